--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -48,6 +48,7 @@
     // Above 0: the first change is a document of so many routes, and each later one patches a
     // route.
     int routes = 0;
+    bool trace = false;  // keep a digest of all messages and effects, see trace_digest()
   };
   // What a machine of the log causes, for tests that play what rests on it.
   struct Hooks {
@@ -430,6 +431,9 @@
 
   // Sends what the node has been caused to send.
   void Flush(size_t i) { Pump(i); }
+  // A hash over every message sent (time, sender, receiver, encoded bytes) and every effect of the
+  // nodes' state machines. 0 unless Options::trace is set.
+  uint64_t trace_digest() const { return trace_digest_; }
 
   Hooks hooks;
   Millis now = 1000;
@@ -497,6 +501,11 @@
     auto at = by_address_.find(to);
     if (at == by_address_.end()) return;
     ++messages_;
+    if (options_.trace) {
+      std::string bytes = std::visit([](const auto& m) { return wire::Encode(m); }, body);
+      Trace(from, body.index(), bytes);
+      Trace(at->second, datagram, {});
+    }
     if (options_.count_bytes && !std::holds_alternative<consensus::Message>(body)) {
       nodes_[from]->bytes += std::visit([](const auto& m) { return wire::Encode(m).size(); }, body);
     }
@@ -507,6 +516,14 @@
                    std::move(body)});
   }
 
+  // Adds one event of a node to the digest.
+  void Trace(size_t node, uint64_t kind, std::string_view bytes) {
+    if (!options_.trace) return;
+    trace_digest_ = base::Hash(bytes, base::Random(trace_digest_ + static_cast<uint64_t>(now) * 31 +
+                                                   node * 1009 + kind * 65537)
+                                          .Next());
+  }
+
   void Step() {
     while (!packets_.empty() && packets_.top().at <= now) {
       Packet p = packets_.top();
@@ -870,6 +887,7 @@
       if (node.state == ring::State::kAlive) n.disseminator->OnHeard(now, node);
       if (!node.reachable()) n.disseminator->OnLost(node);
     }
+    for (const auto& node : ring.changed) Trace(i, 110, wire::Encode(node));
     for (auto& [to, m] : ring.heartbeats) Send(i, to, m);
     for (auto& [to, m] : ring.tables) Send(i, to, m);
     for (auto& [to, m] : ring.sums) Send(i, to, m);
@@ -885,6 +903,15 @@
     for (auto& [to, m] : effects.evacuations) Send(i, to, m);
     for (auto& [to, m] : effects.rollouts) Send(i, to, m);
     if (effects.rollouts_adopted) n.gate->Adopt(now, n.disseminator->rollouts());
+    if (options_.trace && !effects.empty()) {
+      Trace(i, 111,
+            std::to_string(n.disseminator->revision()) + "," +
+                std::to_string(n.disseminator->orders().version()) + "," +
+                std::to_string(n.disseminator->rollouts().version()) + "," +
+                std::to_string(n.disseminator->catalog().epoch) + "," +
+                std::to_string(n.disseminator->catalog().sequence) + "," +
+                std::to_string(n.disseminator->log_age(now)));
+    }
     CheckFreshness(n);
     if (n.disseminator->revision() < n.adopted_revision)
       Fail(n.address.ip + " went back to an older configuration");
@@ -918,6 +945,24 @@
       Fail(who + " has another winner of revision " + std::to_string(revision));
   }
 
+  void TraceEffects(size_t i, const consensus::Machine::Effects& e) {
+    if (!options_.trace) return;
+    for (const auto& write : e.writes) {
+      Trace(i, 100,
+            std::to_string(write.sequence) + "," + std::to_string(write.commit) + "," +
+                std::to_string(write.truncate_from) + "," + std::to_string(write.drop_to));
+      if (write.hard_changed) Trace(i, 101, wire::Encode(write.hard));
+      for (const auto& entry : write.entries) Trace(i, 102, wire::Encode(entry));
+      for (const auto& snapshot : write.snapshot) Trace(i, 103, wire::Encode(snapshot));
+    }
+    for (const auto& entry : e.committed) Trace(i, 104, wire::Encode(entry));
+    for (const auto& snapshot : e.installed) Trace(i, 105, wire::Encode(snapshot));
+    for (uint64_t token : e.reads_ready) Trace(i, 106, std::to_string(token));
+    for (uint64_t token : e.reads_failed) Trace(i, 107, std::to_string(token));
+    if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
+  }
+  consensus::Role RoleOf(size_t i) const { return nodes_[i]->machine->role(); }
+
   void PumpMachine(size_t i) {
     Node& n = *nodes_[i];
     for (;;) {
@@ -928,6 +973,7 @@
           e.reads_ready.empty() && e.reads_failed.empty() && !e.role_changed) {
         break;
       }
+      TraceEffects(i, e);
       for (auto& write : e.writes)
         n.writing.push_back({now + 2 + static_cast<Millis>(random_.Below(20)), std::move(write)});
       for (auto& out : e.messages) Send(i, out.to, out.message);
@@ -1010,6 +1056,7 @@
   std::set<std::pair<size_t, size_t>> connections_lost_;  // from, to
   std::optional<configuration::Change> last_change_;
   uint64_t order_ = 0, messages_ = 0;
+  uint64_t trace_digest_ = 0;
   int list_ = 0;
   int64_t next_revision_ = 0, acknowledged_ = 0;
   std::map<Millis, int64_t> acknowledged_at_;
--- /dev/null
+++ b/tests/stored_data_test.cc
@@ -0,0 +1,81 @@
+// A data folder that a controller of version 0.1.0 (commit 517eb81) wrote: 150 routes sent whole,
+// 120 patches, two drained zones of which one was taken back, a roll-out, snapshots and the log
+// since.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+
+#include "base/random.h"
+#include "base/settings.h"
+#include "consensus/machine.h"
+#include "consensus/store.h"
+#include "controller/control_state.h"
+
+namespace elderkeel::controller {
+namespace {
+
+const std::filesystem::path kData = ELDERKEEL_TEST_DATA;
+
+class StoredDataTest : public ::testing::Test {
+ protected:
+  StoredDataTest()
+      : copy_(std::filesystem::temp_directory_path() /
+              ("elderkeel-stored-" + std::to_string(base::SystemSeed()))) {
+    std::filesystem::copy(kData / "store_0_1_0", copy_);
+  }
+  ~StoredDataTest() override { std::filesystem::remove_all(copy_); }
+
+  consensus::Restored Load() {
+    auto store = consensus::OpenDiskStore(copy_.string());
+    EXPECT_TRUE(store.ok());
+    auto restored = (*store)->Load();
+    EXPECT_TRUE(restored.ok());
+    return *restored;
+  }
+
+  std::filesystem::path copy_;
+};
+
+TEST_F(StoredDataTest, IsReadWhole) {
+  consensus::Restored restored = Load();
+  EXPECT_FALSE(restored.empty);
+  EXPECT_NE(restored.hard.cluster, 0u);
+  EXPECT_NE(restored.hard.self, 0u);
+  EXPECT_GT(restored.hard.term, 1u);
+  EXPECT_GT(restored.snapshot.index, 90u);
+  EXPECT_EQ(restored.snapshot.voters.size(), 3u);
+  ASSERT_FALSE(restored.entries.empty());
+  EXPECT_GT(restored.entries.back().index, restored.snapshot.index);
+
+  auto state = ControlState::Read(restored.snapshot.state);
+  ASSERT_TRUE(state.has_value());
+  for (const consensus::Entry& entry : restored.entries) {
+    if (entry.index <= restored.snapshot.index) continue;
+    if (entry.kind == consensus::EntryKind::kCommand) state->Apply(entry.data);
+  }
+  EXPECT_EQ(state->configuration.revision(), 240);
+  EXPECT_EQ(state->configuration.text(),
+            *base::ReadFile((kData / "store_0_1_0_configuration.json").string()));
+  EXPECT_EQ(state->orders.zones(), std::vector<std::string>{"z2"});
+  EXPECT_EQ(state->orders.version(), 3u);
+  ASSERT_NE(state->rollouts.Of("s1"), nullptr);
+  EXPECT_EQ(state->rollouts.Of("s1")->order.version, "v2");
+  EXPECT_EQ(state->rollouts.Of("s1")->order.over_ms, 3600000);
+  EXPECT_NE(state->duty.holder, 0u);
+}
+
+// A member that starts on it votes no second time in its term and serves what was committed.
+TEST_F(StoredDataTest, IsTakenUpByAMember) {
+  consensus::Restored restored = Load();
+  consensus::Machine::Options options;
+  options.self.id = 1;  // the store knows better
+  consensus::Machine machine(options, restored, 0);
+  EXPECT_EQ(machine.self().id, restored.hard.self);
+  EXPECT_EQ(machine.term(), restored.hard.term);
+  EXPECT_EQ(machine.voters().size(), 3u);
+  EXPECT_EQ(machine.last_index(), restored.entries.back().index);
+  EXPECT_GE(machine.commit(), restored.snapshot.index);
+}
+
+}  // namespace
+}  // namespace elderkeel::controller
