--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -217,7 +217,9 @@
   return rapidjson::Value(text.c_str(), a);
 }
 
-Error Bad(const std::string& reason) { return Error{"settings", "", reason}; }
+tl::unexpected<Error> Bad(const std::string& reason) {
+  return Failure(ErrorCode::kInvalidArgument, "settings", "", reason);
+}
 
 }  // namespace
 
@@ -228,16 +230,17 @@
 
 Result<Address> ParseAddress(const std::string& text) {
   size_t colon = text.rfind(':');
-  if (colon == std::string::npos) return Error{"address", text, "has no port"};
+  if (colon == std::string::npos)
+    return Failure(ErrorCode::kInvalidArgument, "address", text, "has no port");
   Address address{text.substr(0, colon), 0};
   in_addr parsed;
   if (inet_pton(AF_INET, address.ip.c_str(), &parsed) != 1) {
-    return Error{"address", text, "is not an IPv4 address"};
+    return Failure(ErrorCode::kInvalidArgument, "address", text, "is not an IPv4 address");
   }
   char* end = nullptr;
   long port = std::strtol(text.c_str() + colon + 1, &end, 10);
   if (end == text.c_str() + colon + 1 || *end != '\0' || port < 1 || port > 65535) {
-    return Error{"address", text, "has no port from 1 to 65535"};
+    return Failure(ErrorCode::kInvalidArgument, "address", text, "has no port from 1 to 65535");
   }
   address.port = static_cast<uint16_t>(port);
   return address;
@@ -343,7 +346,7 @@
 
 Result<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) return Error{"read", path, "cannot be opened"};
+  if (!file) return Failure(ErrorCode::kIoError, "read", path, "cannot be opened");
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
@@ -351,7 +354,7 @@
 
 Result<Settings> LoadSettings(const std::string& path) {
   Result<std::string> text = ReadFile(path);
-  if (!text) return text.error();
+  if (!text) return Failure(text.error());
   return ParseSettings(*text);
 }
 
--- a/src/catalog/catalog.cc
+++ b/src/catalog/catalog.cc
@@ -57,9 +57,10 @@
 base::Result<Page> ParsePage(std::string_view text) {
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (d.HasParseError() || !d.IsObject()) return base::Error{"catalog", "", "page is not JSON"};
+  if (d.HasParseError() || !d.IsObject())
+    return base::Failure(base::ErrorCode::kProtocolError, "catalog", "", "page is not JSON");
   std::string fault = base::SchemaFault(Schema(), d);
-  if (!fault.empty()) return base::Error{"catalog", "", fault};
+  if (!fault.empty()) return base::Failure(base::ErrorCode::kProtocolError, "catalog", "", fault);
   Page page;
   for (const auto& s : d["servers"].GetArray()) {
     Server server;
@@ -78,7 +79,8 @@
     server.draining = text_of("status") != "accepting";
     server.warmup_left_ms = number_of("warmup-left-ms", 0);
     if (!base::ParseAddress(server.address)) {
-      return base::Error{"catalog", server.id, "address can't be read"};
+      return base::Failure(base::ErrorCode::kProtocolError, "catalog", server.id,
+                           "address can't be read");
     }
     page.servers.push_back(std::move(server));
   }
@@ -120,24 +122,26 @@
 base::Result<std::string> Reading::Take(int status, std::string_view body) {
   if (status != 200) {
     active_ = false;
-    return base::Error{"catalog", "platform", "status " + std::to_string(status)};
+    return base::Failure(base::ErrorCode::kUnavailable, "catalog", "platform",
+                         "status " + std::to_string(status));
   }
   auto page = ParsePage(body);
   if (!page) {
     active_ = false;
-    return page.error();
+    return base::Failure(page.error());
   }
   servers_.insert(servers_.end(), page->servers.begin(), page->servers.end());
   if (page->next.empty()) {
     if (std::string fault = Merge(); !fault.empty()) {
       active_ = false;
-      return base::Error{"catalog", "platform", fault};
+      return base::Failure(base::ErrorCode::kProtocolError, "catalog", "platform", fault);
     }
     return std::string();
   }
   if (++pages_ > kMaxPages) {
     active_ = false;
-    return base::Error{"catalog", "platform", "pages without end"};
+    return base::Failure(base::ErrorCode::kProtocolError, "catalog", "platform",
+                         "pages without end");
   }
   return "/servers?page-token=" + Escape(page->next);
 }
--- a/src/catalog/platform.cc
+++ b/src/catalog/platform.cc
@@ -29,17 +29,18 @@
       loop_->Defer([last] {});
     }
     Done done = std::move(done_);
-    done(std::move(error));
+    done(base::Failure(std::move(error)));
   };
   timer_.Start(loop_, kTimeoutMs, [fail, this] {
-    fail(base::Error{"catalog.read", address_.ToString(), "timed out"});
+    fail(base::Error{base::ErrorCode::kTimeout, "catalog.read", address_.ToString(), "timed out"});
   });
   connection_->Send("GET " + target + " HTTP/1.1\r\nHost: " + address_.ToString() + "\r\n\r\n",
                     false, [this, fail, call](wire::HttpConnection::Outcome&& outcome) {
                       if (call != current_) return;
                       timer_.Cancel();
                       if (outcome.ending != wire::HttpConnection::Ending::kAnswer) {
-                        fail(base::Error{"catalog.read", address_.ToString(), outcome.reason});
+                        fail(base::Error{base::ErrorCode::kUnavailable, "catalog.read",
+                                         address_.ToString(), outcome.reason});
                         return;
                       }
                       auto next = reading_.Take(outcome.answer.status, outcome.answer.body);
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -51,21 +51,21 @@
   std::string directory = options_.data_dir + "/log";
   if (discard_store_) {
     auto moved = MoveAside(directory);
-    if (!moved) return moved.error();
+    if (!moved) return base::Failure(moved.error());
     discard_store_ = false;
   }
   auto open = [&]() -> base::Result<std::unique_ptr<Store>> {
     auto opened = OpenDiskStore(directory);
     if (!opened) return opened;
     auto loaded = (*opened)->Load();
-    if (!loaded) return loaded.error();
+    if (!loaded) return base::Failure(loaded.error());
     // The disk may be full still: it must take something before this member has a part again.
     Persist again;
     again.hard_changed = true;
     again.hard = loaded->hard;
     if (!loaded->empty) {
       auto written = (*opened)->Write(again);
-      if (!written) return written.error();
+      if (!written) return base::Failure(written.error());
     }
     *restored = std::move(*loaded);
     return opened;
@@ -77,7 +77,7 @@
   base::Warn("store.unreadable", opened.error());
   hooks_.store_changed("store.unreadable", opened.error().reason);
   auto moved = MoveAside(directory);
-  if (!moved) return moved.error();
+  if (!moved) return base::Failure(moved.error());
   options_.bootstrap = false;
   return open();
 }
@@ -129,10 +129,10 @@
   for (const auto& [ip, zone] : zones_) machine_->NoteZone(ip, zone);
   uint64_t opening = ++opening_;
   thread_ = std::make_unique<StoreThread>(
-      std::move(*opened), [this, opening](uint64_t sequence, base::Result<bool> result) {
+      std::move(*opened), [this, opening](uint64_t sequence, base::Status result) {
         loop_->Post([this, opening, sequence, result] {
           if (opening != opening_) return;
-          machine_->Persisted(base::SteadyMillis(), sequence, result.ok());
+          machine_->Persisted(base::SteadyMillis(), sequence, result.has_value());
           Pump();
           // Nothing of this opening may be trusted: what the disk holds is read anew.
           if (!result) CloseStore("store.refused", result.error().reason);
--- a/src/consensus/store.cc
+++ b/src/consensus/store.cc
@@ -83,8 +83,6 @@
 // kept is copied then.
 constexpr uint64_t kReclaimBytes = 4 << 20;
 
-constexpr char kUnreadable[] = "store.load";
-
 // LevelDB's own notes would grow for as long as the process runs.
 class NoLogger : public leveldb::Logger {
   void Logv(const char*, std::va_list) override {}
@@ -105,10 +103,11 @@
     if (reclaimer_.joinable()) reclaimer_.join();
   }
 
-  base::Result<bool> Open() {
+  base::Status Open() {
     leveldb::Status status = MakeFolder(files_, Parent(directory_));
     if (status.ok()) status = MakeFolder(files_, directory_);
-    if (!status.ok()) return base::Error{"store.open", "", status.ToString()};
+    if (!status.ok())
+      return base::Failure(base::ErrorCode::kIoError, "store.open", "", status.ToString());
     leveldb::Options options;
     options.create_if_missing = true;
     options.env = &env_;
@@ -121,10 +120,10 @@
     options.block_cache = cache_.get();
     leveldb::DB* db = nullptr;
     status = leveldb::DB::Open(options, directory_, &db);
-    if (!status.ok()) return Failed("store.open", status);
+    if (!status.ok()) return base::Failure(Failed("store.open", status));
     db_.reset(db);
     written_ = Kept();  // some of it may have been dropped in an earlier life
-    return true;
+    return {};
   }
 
   base::Result<Restored> Load() override {
@@ -134,18 +133,22 @@
     std::string value;
     leveldb::Status status = db_->Get(options, "hard", &value);
     if (status.IsNotFound()) return restored;
-    if (!status.ok()) return Failed("store.open", status);
+    if (!status.ok()) return base::Failure(Failed("store.open", status));
     auto hard = wire::Decode<HardState>(value);
-    if (!hard) return base::Error{kUnreadable, "", "the vote can't be read"};
+    if (!hard)
+      return base::Failure(base::ErrorCode::kCorruption, "store.load", "",
+                           "the vote can't be read");
     restored.empty = false;
     restored.hard = *hard;
     status = db_->Get(options, "snapshot", &value);
     if (status.ok()) {
       auto snapshot = wire::Decode<Snapshot>(value);
-      if (!snapshot) return base::Error{kUnreadable, "", "the snapshot can't be read"};
+      if (!snapshot)
+        return base::Failure(base::ErrorCode::kCorruption, "store.load", "",
+                             "the snapshot can't be read");
       restored.snapshot = *snapshot;
     } else if (!status.IsNotFound()) {
-      return Failed("store.open", status);
+      return base::Failure(Failed("store.open", status));
     }
     if (db_->Get(options, "commit", &value).ok()) {
       if (auto commit = wire::Decode<Index>(value)) restored.commit = *commit;
@@ -153,22 +156,25 @@
     std::unique_ptr<leveldb::Iterator> at(db_->NewIterator(options));
     for (at->Seek("e"); at->Valid() && at->key().starts_with("e"); at->Next()) {
       auto entry = wire::Decode<Entry>(std::string_view(at->value().data(), at->value().size()));
-      if (!entry) return base::Error{kUnreadable, "", "an entry can't be read"};
+      if (!entry)
+        return base::Failure(base::ErrorCode::kCorruption, "store.load", "",
+                             "an entry can't be read");
       if (!restored.entries.empty() && entry->index != restored.entries.back().index + 1) {
-        return base::Error{kUnreadable, "", "the log has a gap"};
+        return base::Failure(base::ErrorCode::kCorruption, "store.load", "", "the log has a gap");
       }
       restored.entries.push_back(std::move(*entry));
     }
-    if (!at->status().ok()) return Failed("store.open", at->status());
+    if (!at->status().ok()) return base::Failure(Failed("store.open", at->status()));
     if (!restored.entries.empty() && restored.entries.front().index > restored.snapshot.index + 1) {
-      return base::Error{kUnreadable, "", "the log begins after its snapshot"};
+      return base::Failure(base::ErrorCode::kCorruption, "store.load", "",
+                           "the log begins after its snapshot");
     }
     return restored;
   }
 
-  base::Result<bool> Write(const Persist& write) override {
+  base::Status Write(const Persist& write) override {
     // LevelDB may go on behind a record that is only partly there, and would not find what follows.
-    if (refused_) return *refused_;
+    if (refused_) return base::Failure(*refused_);
     leveldb::WriteBatch batch;
     if (write.hard_changed) batch.Put("hard", wire::Encode(write.hard));
     if (!write.snapshot.empty()) batch.Put("snapshot", wire::Encode(write.snapshot[0]));
@@ -182,10 +188,10 @@
     leveldb::Status status = db_->Write(options, &batch);
     if (!status.ok()) {
       refused_ = Failed("store.write", status);
-      return *refused_;
+      return base::Failure(*refused_);
     }
     written_ += batch.ApproximateSize();
-    return true;
+    return {};
   }
 
   // On a thread of its own, so that writes go on; they wait for it only if as much was written
@@ -202,7 +208,9 @@
 
  private:
   static base::Error Failed(const char* step, const leveldb::Status& status) {
-    return {status.IsCorruption() ? kUnreadable : step, "", status.ToString()};
+    base::ErrorCode code =
+        status.IsCorruption() ? base::ErrorCode::kCorruption : base::ErrorCode::kIoError;
+    return {code, step, "", status.ToString()};
   }
   // Bytes in tables.
   uint64_t Kept() {
@@ -235,7 +243,7 @@
 class MemoryStore : public Store {
  public:
   base::Result<Restored> Load() override { return Restored(); }
-  base::Result<bool> Write(const Persist&) override { return true; }
+  base::Status Write(const Persist&) override { return {}; }
 };
 
 }  // namespace
@@ -249,21 +257,22 @@
                                                    const FileSystem& files) {
   auto store = std::make_unique<DiskStore>(directory, files);
   auto opened = store->Open();
-  if (!opened) return opened.error();
+  if (!opened) return base::Failure(opened.error());
   return std::unique_ptr<Store>(std::move(store));
 }
 
-bool Unreadable(const base::Error& error) { return error.step == kUnreadable; }
+bool Unreadable(const base::Error& error) { return error.code == base::ErrorCode::kCorruption; }
 
-base::Result<bool> MoveAside(const std::string& directory, const FileSystem& files) {
+base::Status MoveAside(const std::string& directory, const FileSystem& files) {
   std::string aside = directory + ".unreadable";
   std::error_code error;
   std::filesystem::remove_all(aside, error);
   if (!error) std::filesystem::rename(directory, aside, error);
-  if (error) return base::Error{"store.aside", "", error.message()};
+  if (error) return base::Failure(base::ErrorCode::kIoError, "store.aside", "", error.message());
   leveldb::Status status = files.sync_folder(Parent(directory));
-  if (!status.ok()) return base::Error{"store.aside", "", status.ToString()};
-  return true;
+  if (!status.ok())
+    return base::Failure(base::ErrorCode::kIoError, "store.aside", "", status.ToString());
+  return {};
 }
 
 std::unique_ptr<Store> MakeMemoryStore() { return std::make_unique<MemoryStore>(); }
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -19,9 +19,9 @@
  public:
   virtual ~Store() = default;
   virtual base::Result<Restored> Load() = 0;
-  // On disk, synced, when it returns true. After an error every later write is refused too: the
+  // On disk, synced, when it returns success. After an error every later write is refused too: the
   // store must be opened anew.
-  virtual base::Result<bool> Write(const Persist& write) = 0;
+  virtual base::Status Write(const Persist& write) = 0;
   // Gives back the room of what was dropped, if enough was written since; called between writes.
   virtual void Reclaim() {}
 };
@@ -45,8 +45,7 @@
 // never votes again.
 bool Unreadable(const base::Error& error);
 // Renames the folder of a store to `directory`.unreadable; one that is there gives way.
-base::Result<bool> MoveAside(const std::string& directory,
-                             const FileSystem& files = RealFileSystem());
+base::Status MoveAside(const std::string& directory, const FileSystem& files = RealFileSystem());
 // For machines without a disk: everything goes with the process.
 std::unique_ptr<Store> MakeMemoryStore();
 
@@ -55,7 +54,7 @@
 class StoreThread {
  public:
   // `done` is called on this thread.
-  using Done = std::function<void(uint64_t sequence, base::Result<bool> result)>;
+  using Done = std::function<void(uint64_t sequence, base::Status result)>;
   StoreThread(std::unique_ptr<Store> store, Done done);
   ~StoreThread();
   void Write(Persist write);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -115,7 +115,7 @@
   control_->Answer(ticket, answer);
 }
 
-base::Result<bool> Controller::Start() {
+base::Status Controller::Start() {
   dissemination::Peers::Hooks hooks;
   hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
     OnMessage(from, kind, payload);
@@ -216,7 +216,7 @@
   base::Info("controller.started", {{"node", settings_.node_name},
                                     {"control", settings_.control.ToString()},
                                     {"version", ELDERKEEL_VERSION}});
-  return true;
+  return {};
 }
 
 void Controller::Note(std::string what, std::string detail) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -30,7 +30,7 @@
  public:
   Controller(base::Loop* loop, base::Settings settings, std::string settings_path);
 
-  base::Result<bool> Start();
+  base::Status Start();
   void Terminate();
 
  private:
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -14,11 +14,19 @@
   auto text = base::ReadFile(path);
   if (!text) return base::Complain(path, text.error());
   configuration::Refusal refusal = configuration::CheckValid(*text);
-  if (!refusal.reason.empty()) return base::Complain(path, {"check", path, refusal.reason});
+  if (!refusal.reason.empty())
+    return base::Complain(path, {base::ErrorCode::kInvalidArgument, "check", path, refusal.reason});
   std::cout << path << ": valid, revision " << configuration::RevisionOf(*text) << "\n";
   return 0;
 }
 
+// Whom to ask: the address given on the command line, or else that of the settings.
+base::Result<base::Address> ControlAddress(const std::string& given, const std::string& settings) {
+  if (!given.empty()) return base::ParseAddress(given);
+  return base::LoadSettings(settings).map(
+      [](const base::Settings& loaded) { return loaded.control; });
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -81,17 +89,7 @@
   }
   if (run->parsed()) return base::RunProcess<controller::Controller>(settings);
   if (status->parsed() || diagnose->parsed() || failures->parsed() || rollout->parsed()) {
-    base::Result<base::Address> address = base::Error{};
-    if (!control.empty()) {
-      address = base::ParseAddress(control);
-    } else {
-      auto loaded = base::LoadSettings(settings);
-      if (loaded) {
-        address = loaded->control;
-      } else {
-        address = loaded.error();
-      }
-    }
+    base::Result<base::Address> address = ControlAddress(control, settings);
     if (!address) {
       std::cerr << "no controller to ask: " << address.error().reason << "\n";
       return diagnosis::kUsage;
--- a/src/diagnosis/console.cc
+++ b/src/diagnosis/console.cc
@@ -30,7 +30,7 @@
              });
   loop.Run();
   if (result.ending != wire::HttpConnection::Ending::kAnswer) {
-    return base::Error{"call", control.ToString(), result.reason};
+    return base::Failure(base::ErrorCode::kUnavailable, "call", control.ToString(), result.reason);
   }
   if (const std::string* location = result.answer.Find("Location");
       result.answer.status == 307 && location && hops > 0) {
@@ -42,8 +42,10 @@
     }
   }
   if (result.answer.status != 200) {
-    return base::Error{"call", control.ToString(),
-                       "status " + std::to_string(result.answer.status) + " " + result.answer.body};
+    return base::Failure(
+        result.answer.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
+        "call", control.ToString(),
+        "status " + std::to_string(result.answer.status) + " " + result.answer.body);
   }
   return result.answer.body;
 }
@@ -63,7 +65,7 @@
   auto body = Get(control, target);
   if (!body) {
     std::cerr << "no answer: " << body.error().ToString() << "\n";
-    return body.error().reason.rfind("status 404", 0) == 0 ? kDegraded : kUnreachable;
+    return body.error().code == base::ErrorCode::kNotFound ? kDegraded : kUnreachable;
   }
   bool degraded = false;
   std::string text = render(*body, &degraded);
--- a/src/diagnosis/diagnosis.cc
+++ b/src/diagnosis/diagnosis.cc
@@ -147,7 +147,8 @@
     std::string_view key = pair.substr(0, equals);
     std::string value(equals == std::string_view::npos ? "" : pair.substr(equals + 1));
     if (!Plain(value)) {
-      return base::Error{"failures", "", std::string(key) + ": empty, too long or not plain"};
+      return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
+                           std::string(key) + ": empty, too long or not plain");
     }
     if (key == "route") {
       question.value = value;
@@ -155,9 +156,12 @@
       question.zone = value;
     } else if (key == "last-s") {
       question.last_s = wire::ParseDecimal(value);
-      if (question.last_s < 1) return base::Error{"failures", "", "last-s: is no number above 0"};
+      if (question.last_s < 1)
+        return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
+                             "last-s: is no number above 0");
     } else {
-      return base::Error{"failures", "", "ask by route, zone and last-s"};
+      return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
+                           "ask by route, zone and last-s");
     }
   }
   return question;
@@ -175,10 +179,12 @@
   } else if (key == "revision") {
     question.about = About::kRevision;
   } else {
-    return base::Error{"diagnose", "", "ask by attempt, server or revision"};
+    return base::Failure(base::ErrorCode::kInvalidArgument, "diagnose", "",
+                         "ask by attempt, server or revision");
   }
   if (!Plain(question.value))
-    return base::Error{"diagnose", "", "the value is empty, too long or not plain"};
+    return base::Failure(base::ErrorCode::kInvalidArgument, "diagnose", "",
+                         "the value is empty, too long or not plain");
   return question;
 }
 
--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -41,7 +41,9 @@
 
 base::Result<Resolution> Resolution::Parse(std::string_view query) {
   Resolution resolution;
-  auto bad = [](const std::string& why) { return base::Error{"resolution", "", why}; };
+  auto bad = [](const std::string& why) {
+    return base::Failure(base::ErrorCode::kInvalidArgument, "resolution", "", why);
+  };
   while (!query.empty()) {
     size_t end = query.find('&');
     std::string_view pair = query.substr(0, end);
--- a/src/dissemination/peers.cc
+++ b/src/dissemination/peers.cc
@@ -67,11 +67,11 @@
                base::SteadyMillis()),
       disseminator_(DisseminatorOptions(settings, program), &members_, base::SteadyMillis()) {}
 
-base::Result<bool> Peers::Start() {
+base::Status Peers::Start() {
   auto listening = mesh_.Listen();
   if (!listening) return listening;
   Tick();
-  return true;
+  return {};
 }
 
 void Peers::Tick() {
@@ -174,7 +174,8 @@
       use(*read);
     } else {
       base::Warn("message.dropped",
-                 base::Error{"dissemination.read", from.ToString(), "can't be read"});
+                 base::Error{base::ErrorCode::kProtocolError, "dissemination.read", from.ToString(),
+                             "can't be read"});
     }
   };
   switch (kind) {
--- a/src/dissemination/peers.h
+++ b/src/dissemination/peers.h
@@ -28,7 +28,7 @@
 
   Peers(base::Loop* loop, const base::Settings& settings, ring::Program program, Hooks hooks);
 
-  base::Result<bool> Start();
+  base::Status Start();
   void Leave();
 
   wire::Mesh& mesh() { return mesh_; }
--- a/src/forwarding/front.cc
+++ b/src/forwarding/front.cc
@@ -106,7 +106,7 @@
 
 Front::~Front() = default;
 
-base::Result<bool> Front::Listen() { return server_.Listen(settings_.front); }
+base::Status Front::Listen() { return server_.Listen(settings_.front); }
 
 void Front::SetProxies(size_t proxies, size_t possible) {
   proxies_ = std::max<size_t>(1, proxies);
--- a/src/forwarding/front.h
+++ b/src/forwarding/front.h
@@ -28,7 +28,7 @@
   Front(base::Loop* loop, const base::Settings& settings, telemetry::Recorder* recorder);
   ~Front();
 
-  base::Result<bool> Listen();
+  base::Status Listen();
   // Every table that is made from the one in force must be adopted: only its changes are looked at.
   void Adopt(std::shared_ptr<const configuration::Table> table);
   // The table in force; null before the first.
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -47,7 +47,7 @@
   return telemetry::MakeStdoutSink();
 }
 
-base::Result<bool> Proxy::Start() {
+base::Status Proxy::Start() {
   telemetry::Recorder::Options telemetry;
   telemetry.flush_ms = settings_.telemetry_flush_ms;
   recorder_ = std::make_unique<telemetry::Recorder>(telemetry, MakeSink());
@@ -110,7 +110,7 @@
   base::Info("proxy.started", {{"node", settings_.node_name},
                                {"front", settings_.front.ToString()},
                                {"version", ELDERKEEL_VERSION}});
-  return true;
+  return {};
 }
 
 void Proxy::ConfigAdopted() {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -22,7 +22,7 @@
   Proxy(base::Loop* loop, base::Settings settings, std::string settings_path);
   ~Proxy();
 
-  base::Result<bool> Start();
+  base::Status Start();
   void Terminate();
 
  private:
--- a/src/wire/http_server.cc
+++ b/src/wire/http_server.cc
@@ -73,7 +73,7 @@
 
 HttpServer::~HttpServer() = default;
 
-base::Result<bool> HttpServer::Listen(const base::Address& address) {
+base::Status HttpServer::Listen(const base::Address& address) {
   return listener_.Open(loop_, address, [this](int fd) { Accepted(fd); });
 }
 
--- a/src/wire/http_server.h
+++ b/src/wire/http_server.h
@@ -36,7 +36,7 @@
   HttpServer(base::Loop* loop, Options options, Handler handler);
   ~HttpServer();
 
-  base::Result<bool> Listen(const base::Address& address);
+  base::Status Listen(const base::Address& address);
   void StopListening() { listener_.Close(); }
   void OnGone(GoneHandler gone) { gone_ = std::move(gone); }
   void OnRefused(RefusedHandler refused) { refused_ = std::move(refused); }
--- a/src/wire/mesh.cc
+++ b/src/wire/mesh.cc
@@ -69,7 +69,7 @@
   if (udp_ >= 0) close(udp_);
 }
 
-base::Result<bool> Mesh::Listen() {
+base::Status Mesh::Listen() {
   auto opened = listener_.Open(loop_, self_, [this](int fd) { Accepted(fd); });
   if (!opened) return opened;
   udp_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -78,7 +78,8 @@
   at.sin_port = htons(self_.port);
   inet_pton(AF_INET, self_.ip.c_str(), &at.sin_addr);
   if (udp_ < 0 || bind(udp_, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0) {
-    return base::Error{"listen.udp", self_.ToString(), std::strerror(errno)};
+    return base::Failure(base::ErrorCode::kIoError, "listen.udp", self_.ToString(),
+                         std::strerror(errno));
   }
   udp_event_.reset(event_new(
       loop_->base(), udp_, EV_READ | EV_PERSIST,
@@ -90,7 +91,7 @@
       at = now - at->second->used > kIdleMs ? links_.erase(at) : std::next(at);
     }
   });
-  return true;
+  return {};
 }
 
 void Mesh::ReadDatagrams() {
--- a/src/wire/mesh.h
+++ b/src/wire/mesh.h
@@ -23,7 +23,7 @@
   Mesh(base::Loop* loop, const base::Address& self, Handler handler);
   ~Mesh();
 
-  base::Result<bool> Listen();
+  base::Status Listen();
   // False if the frame was dropped: the peer can't be reached, does not read (an event, with what
   // waits for it), or the frame is larger than kMaxFrame (an event).
   bool Send(const base::Address& to, Kind kind, std::string_view payload);
--- a/src/wire/socket.cc
+++ b/src/wire/socket.cc
@@ -59,9 +59,11 @@
   return {text, ntohs(peer.sin_port)};
 }
 
-base::Result<bool> Listener::Open(base::Loop* loop, const base::Address& address, Accept accept) {
+base::Status Listener::Open(base::Loop* loop, const base::Address& address, Accept accept) {
   sockaddr_in at;
-  if (!Fill(address, &at)) return base::Error{"listen", address.ToString(), "is not an address"};
+  if (!Fill(address, &at))
+    return base::Failure(base::ErrorCode::kInvalidArgument, "listen", address.ToString(),
+                         "is not an address");
   accept_ = std::move(accept);
   listener_.reset(evconnlistener_new_bind(
       loop->base(),
@@ -70,11 +72,13 @@
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, 1024,
       reinterpret_cast<sockaddr*>(&at), sizeof at));
-  if (!listener_) return base::Error{"listen", address.ToString(), std::strerror(errno)};
+  if (!listener_)
+    return base::Failure(base::ErrorCode::kIoError, "listen", address.ToString(),
+                         std::strerror(errno));
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void*) {
     base::Warn("accept.failed", {{"reason", std::strerror(errno)}});
   });
-  return true;
+  return {};
 }
 
 }  // namespace elderkeel::wire
--- a/src/wire/socket.h
+++ b/src/wire/socket.h
@@ -36,7 +36,7 @@
 class Listener {
  public:
   using Accept = std::function<void(int fd)>;
-  base::Result<bool> Open(base::Loop* loop, const base::Address& address, Accept accept);
+  base::Status Open(base::Loop* loop, const base::Address& address, Accept accept);
   void Close() { listener_.reset(); }
   bool open() const { return listener_ != nullptr; }
 
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -73,7 +73,7 @@
       settings_.front = {"127.0.0.1", port};
       front_ = std::make_unique<forwarding::Front>(&loop_, settings_, &recorder_);
       front_->SetServing(true);
-      if (front_->Listen().ok()) break;
+      if (front_->Listen().has_value()) break;
     }
     front_->Adopt(configuration::Table::Build(stand_in::ConfigurationText(2000, 60, idle_ms_),
                                               front_->names(), front_->regions()));
--- a/tests/consensus_store_test.cc
+++ b/tests/consensus_store_test.cc
@@ -30,15 +30,15 @@
   }
   Restored Reload() {
     auto store = OpenDiskStore(path_.string());
-    EXPECT_TRUE(store.ok());
+    EXPECT_TRUE(store.has_value());
     auto restored = (*store)->Load();
-    EXPECT_TRUE(restored.ok()) << restored.error().reason;
+    EXPECT_TRUE(restored.has_value()) << restored.error().reason;
     return *restored;
   }
   void Write(const Persist& write) {
     auto store = OpenDiskStore(path_.string());
-    ASSERT_TRUE(store.ok());
-    ASSERT_TRUE((*store)->Write(write).ok());
+    ASSERT_TRUE(store.has_value());
+    ASSERT_TRUE((*store)->Write(write).has_value());
   }
   std::filesystem::path path_;
 };
@@ -80,13 +80,14 @@
   write.entries = {Make(1, 1), Make(3, 1)};  // a gap
   Write(write);
   auto store = OpenDiskStore(path_.string());
-  ASSERT_TRUE(store.ok());
+  ASSERT_TRUE(store.has_value());
   auto loaded = (*store)->Load();
-  ASSERT_FALSE(loaded.ok());
+  ASSERT_FALSE(loaded.has_value());
   EXPECT_EQ(loaded.error().step, "store.load");
+  EXPECT_EQ(loaded.error().code, base::ErrorCode::kCorruption);
   store->reset();
   std::ofstream(path_ / "CURRENT") << "nonsense";
-  EXPECT_FALSE(OpenDiskStore(path_.string()).ok());
+  EXPECT_FALSE(OpenDiskStore(path_.string()).has_value());
 }
 
 TEST_F(StoreTest, MovesAsideOnlyWhatIsDamaged) {
@@ -95,16 +96,16 @@
   write.hard = {1, 2, 3, 4};
   Write(write);
   auto first = OpenDiskStore(path_.string());
-  ASSERT_TRUE(first.ok());
+  ASSERT_TRUE(first.has_value());
   auto second = OpenDiskStore(path_.string());  // the first one's lock will go
-  ASSERT_FALSE(second.ok());
+  ASSERT_FALSE(second.has_value());
   EXPECT_FALSE(Unreadable(second.error()));
   first->reset();
   std::ofstream(path_ / "CURRENT") << "nonsense";
   auto damaged = OpenDiskStore(path_.string());
-  ASSERT_FALSE(damaged.ok());
+  ASSERT_FALSE(damaged.has_value());
   EXPECT_TRUE(Unreadable(damaged.error()));
-  ASSERT_TRUE(MoveAside(path_.string()).ok());
+  ASSERT_TRUE(MoveAside(path_.string()).has_value());
   EXPECT_TRUE(std::filesystem::exists(path_.string() + ".unreadable/CURRENT"));
   EXPECT_TRUE(Reload().empty);
   std::filesystem::remove_all(path_.string() + ".unreadable");
@@ -112,11 +113,11 @@
 
 TEST_F(StoreTest, WritesInOrderOnItsOwnThread) {
   auto store = OpenDiskStore(path_.string());
-  ASSERT_TRUE(store.ok());
+  ASSERT_TRUE(store.has_value());
   std::vector<uint64_t> done;
   {
-    StoreThread thread(std::move(*store), [&](uint64_t sequence, base::Result<bool> result) {
-      EXPECT_TRUE(result.ok());
+    StoreThread thread(std::move(*store), [&](uint64_t sequence, base::Status result) {
+      EXPECT_TRUE(result.has_value());
       done.push_back(sequence);
     });
     for (uint64_t i = 1; i <= 20; ++i) {
@@ -239,7 +240,7 @@
 TEST_F(StoreTest, ManyLargeChangesNeedLittleRoom) {
   constexpr size_t kState = 900'000, kChanges = 64;
   auto store = OpenDiskStore(path_.string());
-  ASSERT_TRUE(store.ok());
+  ASSERT_TRUE(store.has_value());
   std::atomic<bool> ending{false};
   std::atomic<uint64_t> peak{0};
   std::thread watch([&] {
@@ -269,7 +270,7 @@
       any = !effects.writes.empty();
       for (const Persist& write : effects.writes) {
         auto written = (*store)->Write(write);
-        machine.Persisted(0, write.sequence, written.ok());
+        machine.Persisted(0, write.sequence, written.has_value());
         base::Millis begun = base::SteadyMillis();
         (*store)->Reclaim();
         longest = std::max(longest, base::SteadyMillis() - begun);
--- a/tests/diagnosis_test.cc
+++ b/tests/diagnosis_test.cc
@@ -32,7 +32,7 @@
                {"attempt=a b", 99}, {"attempt=a1&x=y", 99}};
   for (const Case& c : cases) {
     auto question = Question::Parse(c.query);
-    ASSERT_EQ(question.ok(), c.lines != 99) << c.query;
+    ASSERT_EQ(question.has_value(), c.lines != 99) << c.query;
     if (question) {
       EXPECT_EQ(Select(*question, kLines).lines.size(), c.lines) << c.query;
     }
@@ -79,7 +79,7 @@
       "event=request.failed at_us=9000000 attempt=a2 status=502 route=r2 server=i-1\n";
   for (const Case& c : cases) {
     auto question = Question::ParseFailures(c.query);
-    ASSERT_EQ(question.ok(), c.lines >= 0) << c.query;
+    ASSERT_EQ(question.has_value(), c.lines >= 0) << c.query;
     if (!question) continue;
     EXPECT_EQ(SelectFailures(*question, text, 10000000).lines.size(), static_cast<size_t>(c.lines))
         << c.query;
--- a/tests/front_test.cc
+++ b/tests/front_test.cc
@@ -23,7 +23,7 @@
   StandIn(base::Loop* loop, Script script) : loop_(loop), script_(std::move(script)) {
     for (uint16_t port = 21000; port < 22000; ++port) {
       address_ = {"127.0.0.1", port};
-      if (listener_.Open(loop, address_, [this](int fd) { Accept(fd); }).ok()) return;
+      if (listener_.Open(loop, address_, [this](int fd) { Accept(fd); }).has_value()) return;
     }
   }
   const base::Address& address() const { return address_; }
@@ -107,7 +107,7 @@
       settings_.front = {"127.0.0.1", port};
       front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
       front_->SetServing(true);
-      if (front_->Listen().ok()) break;
+      if (front_->Listen().has_value()) break;
     }
   }
 
@@ -299,7 +299,7 @@
     for (const char* kind : {"get", "post"}) {
       settings_.front.port += 1;
       front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
-      while (!front_->Listen().ok()) {
+      while (!front_->Listen().has_value()) {
         settings_.front.port += 1;
         front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
       }
--- a/tests/golden_test.cc
+++ b/tests/golden_test.cc
@@ -33,7 +33,7 @@
   ~Golden() {
     if (std::getenv("ELDERKEEL_WRITE_GOLDEN")) std::ofstream(path_) << text_;
     auto expected = base::ReadFile(path_);
-    EXPECT_TRUE(expected.ok()) << path_;
+    EXPECT_TRUE(expected.has_value()) << path_;
     EXPECT_EQ(text_, expected ? *expected : "") << path_;
   }
   void Add(const std::string& name, const std::string& text) { text_ += name + " " + text + "\n"; }
@@ -364,7 +364,7 @@
       "elderkeel.telemetry-flush-ms=132\nport-range=7200,7215\n"
       "seed-list=10.0.0.1:1,10.0.0.2:2\nzones.z=g\nzones.y=h\n";
   auto s = base::ParseSettings(text);
-  ASSERT_TRUE(s.ok()) << s.error().reason;
+  ASSERT_TRUE(s.has_value()) << s.error().reason;
   EXPECT_EQ(s->node_name, "n");
   EXPECT_EQ(s->role, "r");
   EXPECT_EQ(s->ip, "10.0.0.1");
--- a/tests/once_world.h
+++ b/tests/once_world.h
@@ -195,7 +195,8 @@
 
   uint16_t FreePort() {
     wire::Listener listener;
-    while (!listener.Open(&loop_, {"127.0.0.1", next_port_}, [](int fd) { close(fd); }).ok()) {
+    while (
+        !listener.Open(&loop_, {"127.0.0.1", next_port_}, [](int fd) { close(fd); }).has_value()) {
       ++next_port_;
     }
     return next_port_++;
@@ -223,7 +224,7 @@
                                  telemetry::MakeCallSink([](std::string) { return true; }));
     forwarding::Front front(&loop, settings, &recorder);
     front.SetServing(true);
-    if (!front.Listen().ok()) _exit(3);
+    if (!front.Listen().has_value()) _exit(3);
     front.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
     front.Adopt(configuration::Table::Build(stand_in::ConfigurationText(1000, 200, 3000),
                                             front.names(), front.regions()));
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -12,7 +12,7 @@
 
 TEST(Settings, ReadsKnownFieldsAndIgnoresOthers) {
   auto settings = ParseSettings(kGood);
-  ASSERT_TRUE(settings.ok()) << settings.error().reason;
+  ASSERT_TRUE(settings.has_value()) << settings.error().reason;
   EXPECT_EQ(settings->node_name, "edge-a-1");
   EXPECT_EQ(settings->zones.size(), 2u);
   EXPECT_EQ(settings->seeds.size(), 2u);
@@ -44,12 +44,12 @@
   };
   for (const Case& c : cases) {
     auto settings = ParseSettings(std::string(kGood) + c.line + "\n");
-    ASSERT_FALSE(settings.ok()) << c.line;
+    ASSERT_FALSE(settings.has_value()) << c.line;
     EXPECT_EQ(settings.error().reason.rfind(c.reason, 0), 0u)
         << c.line << " gave " << settings.error().reason;
   }
   auto missing = ParseSettings("ip=10.1.0.39\nzone=a\nport-range=1,9\n");
-  ASSERT_FALSE(missing.ok());
+  ASSERT_FALSE(missing.has_value());
   EXPECT_EQ(missing.error().reason, "node-name: is missing");
 }
 
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -72,7 +72,7 @@
   Server(base::Loop* loop, std::string id, uint16_t first_port) : loop_(loop), id_(std::move(id)) {
     for (uint16_t port = first_port; port < first_port + 2000; ++port) {
       address_ = {"127.0.0.1", port};
-      if (listener_.Open(loop, address_, [this](int fd) { Accept(fd); }).ok()) return;
+      if (listener_.Open(loop, address_, [this](int fd) { Accept(fd); }).has_value()) return;
     }
   }
   ~Server() {
--- a/tests/store_power_test.cc
+++ b/tests/store_power_test.cc
@@ -98,7 +98,7 @@
   void Live(const Disk& disk, Restored state, size_t writes, uint64_t seed) {
     PowerEnv env(disk);
     auto store = OpenDiskStore(kDirectory, env.files());
-    ASSERT_TRUE(store.ok()) << store.error().reason;
+    ASSERT_TRUE(store.has_value()) << store.error().reason;
     env.Advance(SIZE_MAX - 1);
     Writes next(seed);
     base::Random random(seed + 1);
@@ -114,7 +114,7 @@
       } else {
         env.Advance(1 + random.Below(12));
       }
-      ASSERT_TRUE((*store)->Write(writes_.back()).ok());
+      ASSERT_TRUE((*store)->Write(writes_.back()).has_value());
       acknowledged_.push_back(env.changes());
       Apply(writes_.back(), &state);
     }
@@ -132,9 +132,9 @@
       ++refused_;
       return;
     }
-    ASSERT_TRUE(store.ok()) << "at " << point << ": " << store.error().reason;
+    ASSERT_TRUE(store.has_value()) << "at " << point << ": " << store.error().reason;
     auto loaded = (*store)->Load();
-    ASSERT_TRUE(loaded.ok()) << "at " << point << ": " << loaded.error().reason;
+    ASSERT_TRUE(loaded.has_value()) << "at " << point << ": " << loaded.error().reason;
     std::string difference = Difference(*loaded, before);
     if (after && Difference(*loaded, *after).empty()) difference.clear();
     ASSERT_EQ(difference, "") << "at " << point;
@@ -234,7 +234,7 @@
     PowerEnv env;
     Restored state, next;
     auto store = OpenDiskStore(kDirectory, env.files());
-    ASSERT_TRUE(store.ok());
+    ASSERT_TRUE(store.has_value());
     Writes writes(seed);
     env.SetCapacity(2000 + random.Below(1'800'000));
     bool refused = false;
@@ -242,7 +242,7 @@
       Persist write = writes.Next(state);
       next = state;
       Apply(write, &next);
-      refused = !(*store)->Write(write).ok();
+      refused = !(*store)->Write(write).has_value();
       if (!refused) state = next;
     }
     if (!refused) continue;
@@ -251,7 +251,7 @@
     env.SetCapacity(SIZE_MAX);
     Persist after;
     after.hard_changed = true;
-    EXPECT_FALSE((*store)->Write(after).ok());
+    EXPECT_FALSE((*store)->Write(after).has_value());
     store->reset();
     for (int tries = 0; tries < 3; ++tries) {
       env.SetCapacity(env.disk().used() + random.Below(3000));
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -27,9 +27,9 @@
 
   consensus::Restored Load() {
     auto store = consensus::OpenDiskStore(copy_.string());
-    EXPECT_TRUE(store.ok());
+    EXPECT_TRUE(store.has_value());
     auto restored = (*store)->Load();
-    EXPECT_TRUE(restored.ok());
+    EXPECT_TRUE(restored.has_value());
     return *restored;
   }
 
