--- a/tests/scale_run.cc
+++ b/tools/scale_run.cc
@@ -105,7 +105,7 @@
       shared->rollout_at = base::SteadyMillis();
       ++shared->rollouts;
     };
-    hooks.demand_told = [this] {
+    hooks.load_report = [this] {
       demand::Report report;
       for (int z = 0; z < kControllers; ++z) {
         demand::ZoneDemand zone;
