--- a/src/base/loop.cc
+++ b/src/base/loop.cc
@@ -90,7 +90,7 @@
 
 Millis UntilMultiple(Millis now, Millis after, Millis every) {
   // Not the same moments in all processes: those of a fleet should not all wake together.
-  static const Millis phase = static_cast<Millis>(SystemSeed() % 1000);
+  static const Millis phase = static_cast<Millis>(RandomSeed() % 1000);
   Millis due = now + std::max<Millis>(after, 0) + phase;
   return (due + every - 1) / every * every - phase - now;
 }
--- a/src/base/random.cc
+++ b/src/base/random.cc
@@ -4,7 +4,7 @@
 
 namespace elderkeel::base {
 
-uint64_t SystemSeed() {
+uint64_t RandomSeed() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) ^ device();
 }
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -23,7 +23,7 @@
 };
 
 // A seed from the operating system; for everything that must differ between lives of a process.
-uint64_t SystemSeed();
+uint64_t RandomSeed();
 
 // FNV-1a with a final mix: places names on rings and digests documents; not for secrets.
 inline uint64_t Hash(std::string_view bytes, uint64_t seed = 0) {
--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -158,7 +158,7 @@
   Job job;
   job.ticket = ticket;
   if (!Understand(request, &job)) return;
-  if (!log_->leading()) {
+  if (!log_->is_leader()) {
     Elsewhere(ticket, request.target);
     return;
   }
@@ -182,7 +182,7 @@
 
 // A leader that has not yet committed an entry of its own term asks again at the next tick.
 void OperatorApi::Ask(uint64_t token) {
-  if (!log_->settled()) return;
+  if (!log_->HasCommittedInTerm()) return;
   bool asked = log_->Read(token);
   auto at = jobs_.find(token);
   if (at != jobs_.end()) at->second.asked = asked;
@@ -312,7 +312,7 @@
 }
 
 void OperatorApi::RoleChanged(base::Millis) {
-  if (log_->leading() && log_->term() == term_) return;
+  if (log_->is_leader() && log_->term() == term_) return;
   term_ = log_->term();
   in_flight_.reset();
   std::map<uint64_t, Job> jobs;
@@ -331,7 +331,7 @@
     jobs_.erase(token);
     Reply(ticket, 503, "no majority in time");
   }
-  if (!log_->settled()) return;
+  if (!log_->HasCommittedInTerm()) return;
   std::vector<uint64_t> unread;
   for (auto& [token, job] : jobs_) {
     if (!job.asked) unread.push_back(token);
--- a/src/configuration/operator_api.h
+++ b/src/configuration/operator_api.h
@@ -19,8 +19,8 @@
  public:
   virtual ~Log() = default;
   // Leads, and has committed an entry of its own term.
-  virtual bool settled() const = 0;
-  virtual bool leading() const = 0;
+  virtual bool HasCommittedInTerm() const = 0;
+  virtual bool is_leader() const = 0;
   virtual uint64_t term() const = 0;
   // Where the operator reaches the leader, if another leads.
   virtual std::optional<std::string> leader_control() const = 0;
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -1,30 +1,31 @@
 // Terms and votes: pre-vote, elections, stepping down, handing leadership over.
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 
 namespace elderkeel::consensus {
 
-void Machine::ResetElection(base::Millis now) {
-  if (fresh_) {
+void RaftNode::ResetElection(base::Millis now) {
+  if (no_leader_seen_) {
     // Nobody was heard yet, so there may be nobody to wait for; a pre-vote disturbs no leader.
-    election_at_ =
-        now + timing_.first_election +
-        static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(timing_.first_election * 4)));
+    election_at_ = now + timing_.startup_election_timeout +
+                   static_cast<base::Millis>(
+                       random_.Below(static_cast<uint64_t>(timing_.startup_election_timeout * 4)));
     return;
   }
-  election_at_ = now + timing_.election +
-                 static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(timing_.election)));
+  election_at_ =
+      now + timing_.election_timeout +
+      static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(timing_.election_timeout)));
 }
 
-void Machine::BecomeFollower(base::Millis now, Term term, MemberId leader) {
+void RaftNode::BecomeFollower(base::Millis now, Term term, MemberId leader) {
   if (role_ != Role::kFollower) out_.role_changed = true;
-  if (leading()) {
+  if (is_leader()) {
     FailReads();
     progress_.clear();
   }
   role_ = Role::kFollower;
   if (term > term_) {
     term_ = term;
-    heard_round_ = 0;
+    last_leader_round_ = 0;
     incoming_.reset();
     SetHardState(term, 0);
   }
@@ -33,7 +34,7 @@
   ResetElection(now);
 }
 
-void Machine::StartPreVote(base::Millis now) {
+void RaftNode::StartPreVote(base::Millis now) {
   role_ = Role::kPreCandidate;
   out_.role_changed = true;
   leader_id_ = 0;
@@ -55,12 +56,12 @@
   }
 }
 
-void Machine::StartElection(base::Millis now) {
+void RaftNode::StartElection(base::Millis now) {
   role_ = Role::kCandidate;
   out_.role_changed = true;
   leader_id_ = 0;  // one that handed over leads no more
   ++term_;
-  heard_round_ = 0;
+  last_leader_round_ = 0;
   SetHardState(term_, self_.id);
   votes_ = {self_.id};
   ResetElection(now);
@@ -77,22 +78,23 @@
   }
 }
 
-void Machine::BecomeLeader(base::Millis now) {
+void RaftNode::BecomeLeader(base::Millis now) {
   role_ = Role::kLeader;
-  fresh_ = false;
+  no_leader_seen_ = false;
   out_.role_changed = true;
   leader_id_ = self_.id;
   progress_.clear();
-  SyncProgress();
+  TrackVoters();
   Append(EntryKind::kNoop, "");
   Broadcast(now);
 }
 
-void Machine::OnPreVote(base::Millis now, const Message& m, const base::Address& from) {
+void RaftNode::OnPreVote(base::Millis now, const Message& m, const base::Address& from) {
   bool current = m.log_term > TermAt(last_index()) ||
                  (m.log_term == TermAt(last_index()) && m.index >= last_index());
   bool leader_alive =
-      leading() || (leader_id_ && now - leader_heard_ < timing_.election && leader_id_ != m.from);
+      is_leader() ||
+      (leader_id_ && now - last_leader_contact_ < timing_.election_timeout && leader_id_ != m.from);
   Message reply = Make(MessageType::kPreVoteReply, m.from);
   reply.granted = current && !leader_alive && m.term > term_;
   reply.term = reply.granted ? m.term : term_;
@@ -102,7 +104,7 @@
 
 // A grant is no promise, and may have been overtaken by a leader: only those of the pre-vote that
 // is under way count.
-void Machine::OnPreVoteReply(base::Millis now, const Message& m) {
+void RaftNode::OnPreVoteReply(base::Millis now, const Message& m) {
   if (!m.granted) {
     if (m.term > term_) BecomeFollower(now, m.term, 0);
     return;
@@ -115,10 +117,10 @@
   if (votes_.size() >= Majority()) StartElection(now);
 }
 
-void Machine::OnRequestVote(base::Millis now, const Message& m, const base::Address& from) {
+void RaftNode::OnRequestVote(base::Millis now, const Message& m, const base::Address& from) {
   bool current = m.log_term > TermAt(last_index()) ||
                  (m.log_term == TermAt(last_index()) && m.index >= last_index());
-  bool free = hard_.voted_for == 0 || hard_.voted_for == m.from;
+  bool free = hard_state_.voted_for == 0 || hard_state_.voted_for == m.from;
   Message reply = Make(MessageType::kRequestVoteReply, m.from);
   reply.granted = current && free && role_ == Role::kFollower;
   if (reply.granted) {
@@ -128,17 +130,18 @@
   Post(from, std::move(reply), true);
 }
 
-void Machine::OnRequestVoteReply(base::Millis now, const Message& m) {
+void RaftNode::OnRequestVoteReply(base::Millis now, const Message& m) {
   if (role_ != Role::kCandidate || !m.granted || !IsVoter(m.from)) return;
   votes_.insert(m.from);
   if (votes_.size() >= Majority()) BecomeLeader(now);
 }
 
-void Machine::TransferLeadership(base::Millis now) {
-  if (!leading()) return;
+void RaftNode::TransferLeadership(base::Millis now) {
+  if (!is_leader()) return;
   const Progress* best = nullptr;
   for (const auto& [id, p] : progress_) {
-    if (!p.voter || p.lost_state || Leaving(p) || now - p.heard > timing_.election) continue;
+    if (!p.voter || p.state_lost || Leaving(p) || now - p.heard > timing_.election_timeout)
+      continue;
     if (!best || p.match > best->match) best = &p;
   }
   if (!best) return;
@@ -148,8 +151,9 @@
 }
 
 // A leader that was heard after it handed over did not go.
-void Machine::OnTimeoutNow(base::Millis now, const Message& m) {
-  if (role_ != Role::kFollower || leaving_ || !IsVoter(self_.id) || m.round < heard_round_) return;
+void RaftNode::OnTimeoutNow(base::Millis now, const Message& m) {
+  if (role_ != Role::kFollower || leaving_ || !IsVoter(self_.id) || m.round < last_leader_round_)
+    return;
   StartElection(now);
 }
 
--- a/src/consensus/machine.cc
+++ b/src/consensus/raft_node.cc
@@ -1,4 +1,4 @@
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
   return "unknown";
 }
 
-Machine::Machine(Options options, Restored restored, base::Millis now)
+RaftNode::RaftNode(Options options, RestoredState restored, base::Millis now)
     : self_(std::move(options.self)),
       timing_(options.timing),
       tolerance_(options.tolerance),
@@ -29,11 +29,11 @@
       now_(now),
       round_(base::Random(~options.seed).Next() >> 16) {  // no reply to a former life fits
   if (restored.empty) {
-    hard_.cluster = options.cluster;
-    hard_.self = self_.id;
-    Persist& write = Write();
-    write.hard_changed = true;
-    write.hard = hard_;
+    hard_state_.cluster = options.cluster;
+    hard_state_.self = self_.id;
+    WriteRequest& write = Write();
+    write.hard_state_changed = true;
+    write.hard_state = hard_state_;
     if (!founders_.empty()) {
       // The founders begin from the same snapshot, so that the first voters are part of the log's
       // history on every one of them.
@@ -41,41 +41,41 @@
       snapshot_.term = 1;
       snapshot_.voters = founders_;
       write.snapshot = {snapshot_};
-      hard_.term = 1;
-      write.hard = hard_;
+      hard_state_.term = 1;
+      write.hard_state = hard_state_;
     }
   } else {
-    hard_ = restored.hard;
-    self_.id = hard_.self;
+    hard_state_ = restored.hard_state;
+    self_.id = hard_state_.self;
     snapshot_ = std::move(restored.snapshot);
     log_ = std::move(restored.entries);
   }
-  term_ = hard_.term;
+  term_ = hard_state_.term;
   commit_ = applied_ = snapshot_.index;
-  persisted_ = last_index();
-  RefreshVoters();
+  durable_index_ = last_index();
+  ReloadVoters();
   if (snapshot_.index > 0) out_.installed.push_back(snapshot_);
   // What was known to be committed is so still, and can be used before there is a leader.
   commit_ = std::max(commit_, std::min(restored.commit, last_index()));
-  commit_told_ = commit_;
+  recorded_commit_ = commit_;
   ApplyCommitted();
   ResetElection(now);
 }
 
-Index Machine::last_index() const { return log_.empty() ? snapshot_.index : log_.back().index; }
+Index RaftNode::last_index() const { return log_.empty() ? snapshot_.index : log_.back().index; }
 
-const Entry* Machine::At(Index index) const {
+const Entry* RaftNode::At(Index index) const {
   if (log_.empty() || index < log_.front().index || index > log_.back().index) return nullptr;
   return &log_[index - log_.front().index];
 }
 
-Term Machine::TermAt(Index index) const {
+Term RaftNode::TermAt(Index index) const {
   if (const Entry* entry = At(index)) return entry->term;
   return index == snapshot_.index ? snapshot_.term : 0;
 }
 
-std::optional<Member> Machine::leader() const {
-  if (leading()) return self_;
+std::optional<Member> RaftNode::leader() const {
+  if (is_leader()) return self_;
   if (!leader_id_) return std::nullopt;
   for (const Member& m : voters_) {
     if (m.id == leader_id_) return m;
@@ -88,14 +88,14 @@
   return m;
 }
 
-std::optional<Member> Machine::LeaderInTouch(base::Millis now) const {
-  if (now - now_ > timing_.election) return std::nullopt;
-  base::Millis heard = leading() ? MajorityHeard() : leader_heard_;
-  if (now - heard > timing_.election) return std::nullopt;
+std::optional<Member> RaftNode::LeaderInContact(base::Millis now) const {
+  if (now - now_ > timing_.election_timeout) return std::nullopt;
+  base::Millis heard = is_leader() ? LastMajorityContact() : last_leader_contact_;
+  if (now - heard > timing_.election_timeout) return std::nullopt;
   return leader();
 }
 
-base::Millis Machine::MajorityHeard() const {
+base::Millis RaftNode::LastMajorityContact() const {
   std::vector<base::Millis> heard;
   for (const Member& v : voters_) {
     auto at = progress_.find(v.id);
@@ -106,162 +106,163 @@
   return heard[Majority() - 1];
 }
 
-void Machine::Wake(base::Millis now) {
+void RaftNode::AdvanceClock(base::Millis now) {
   base::Millis gap = now - now_;
   now_ = std::max(now_, now);
-  if (gap <= (leading() ? timing_.election * 2 : timing_.election)) return;
+  if (gap <= (is_leader() ? timing_.election_timeout * 2 : timing_.election_timeout)) return;
   // What was heard before says nothing about now, and neither does what waited meanwhile. Give a
   // leader time to be heard.
   BecomeFollower(now, term_, 0);
 }
 
-base::Millis Machine::LastHeard(MemberId id) const {
+base::Millis RaftNode::LastContact(MemberId id) const {
   if (id == self_.id) return now_;
   auto at = progress_.find(id);
   return at == progress_.end() ? -1 : at->second.heard;
 }
 
-bool Machine::HeardWithin(base::Millis now, MemberId id, base::Millis span) const {
+bool RaftNode::ContactedWithin(base::Millis now, MemberId id, base::Millis span) const {
   if (id == self_.id) return true;
   auto at = progress_.find(id);
-  return at != progress_.end() && !at->second.lost_state && now - at->second.heard < span;
+  return at != progress_.end() && !at->second.state_lost && now - at->second.heard < span;
 }
 
-bool Machine::disk_stuck(base::Millis now) const {
-  return broken_ ||
-         (!write_since_.empty() && now - write_since_.begin()->second > timing_.disk_patience);
+bool RaftNode::IsDiskStalled(base::Millis now) const {
+  return storage_failed_ || (!write_started_at_.empty() &&
+                             now - write_started_at_.begin()->second > timing_.disk_stall_timeout);
 }
 
-Machine::Effects Machine::Take() {
+RaftNode::Effects RaftNode::Take() {
   Effects taken = std::move(out_);
   out_ = Effects();
   return taken;
 }
 
 // Writes made in one turn are merged until they are taken.
-Persist& Machine::Write() {
+WriteRequest& RaftNode::Write() {
   if (out_.writes.empty()) {
-    Persist write;
+    WriteRequest write;
     write.sequence = ++write_sequence_;
     out_.writes.push_back(std::move(write));
-    write_since_[write_sequence_] = now_;
+    write_started_at_[write_sequence_] = now_;
   }
   return out_.writes.back();
 }
 
-void Machine::SetHardState(Term term, MemberId voted_for) {
-  if (hard_.term == term && hard_.voted_for == voted_for) return;
-  hard_.term = term;
-  hard_.voted_for = voted_for;
-  Persist& write = Write();
-  write.hard_changed = true;
-  write.hard = hard_;
+void RaftNode::SetHardState(Term term, MemberId voted_for) {
+  if (hard_state_.term == term && hard_state_.voted_for == voted_for) return;
+  hard_state_.term = term;
+  hard_state_.voted_for = voted_for;
+  WriteRequest& write = Write();
+  write.hard_state_changed = true;
+  write.hard_state = hard_state_;
 }
 
-Message Machine::Make(MessageType type, MemberId to) const {
+Message RaftNode::Make(MessageType type, MemberId to) const {
   Message m;
   m.type = type;
-  m.cluster = hard_.cluster;
+  m.cluster = hard_state_.cluster;
   m.from = self_.id;
   m.to = to;
   m.term = term_;
   return m;
 }
 
-void Machine::Post(const base::Address& to, Message message, bool after_writes) {
-  if (after_writes && written_ < write_sequence_) {
+void RaftNode::Post(const base::Address& to, Message message, bool after_writes) {
+  if (after_writes && finished_write_ < write_sequence_) {
     // What rests on a write is told once it is on disk.
-    if (held_.size() > 256) held_.erase(held_.begin());
-    held_.push_back({write_sequence_, {to, std::move(message)}});
+    if (deferred_messages_.size() > 256) deferred_messages_.erase(deferred_messages_.begin());
+    deferred_messages_.push_back({write_sequence_, {to, std::move(message)}});
     return;
   }
   out_.messages.push_back({to, std::move(message)});
 }
 
-void Machine::Persisted(base::Millis now, uint64_t sequence, bool ok) {
-  Wake(now);
+void RaftNode::OnWriteFinished(base::Millis now, uint64_t sequence, bool ok) {
+  AdvanceClock(now);
   if (!ok) {
     // A refused write ends this member's part: what it told before stands, nothing new is told.
-    broken_ = true;
-    held_.clear();
+    storage_failed_ = true;
+    deferred_messages_.clear();
     if (role_ != Role::kFollower) BecomeFollower(now, term_, 0);
     return;
   }
-  written_ = std::max(written_, sequence);
-  write_since_.erase(write_since_.begin(), write_since_.upper_bound(sequence));
-  for (auto at = write_last_.begin(); at != write_last_.end() && at->first <= sequence;) {
-    persisted_ = std::max(persisted_, std::min(at->second, last_index()));
-    at = write_last_.erase(at);
+  finished_write_ = std::max(finished_write_, sequence);
+  write_started_at_.erase(write_started_at_.begin(), write_started_at_.upper_bound(sequence));
+  for (auto at = write_covers_.begin(); at != write_covers_.end() && at->first <= sequence;) {
+    durable_index_ = std::max(durable_index_, std::min(at->second, last_index()));
+    at = write_covers_.erase(at);
   }
-  std::vector<Held> rest;
-  for (Held& held : held_) {
-    if (held.after <= written_) {
+  std::vector<DeferredMessage> rest;
+  for (DeferredMessage& held : deferred_messages_) {
+    if (held.after <= finished_write_) {
       out_.messages.push_back(std::move(held.out));
     } else {
       rest.push_back(std::move(held));
     }
   }
-  held_.swap(rest);
-  if (leading()) AdvanceCommit(now);
+  deferred_messages_.swap(rest);
+  if (is_leader()) AdvanceCommit(now);
 }
 
-void Machine::Tick(base::Millis now) {
-  Wake(now);
-  if (commit_ > commit_told_ && !broken_) {
-    commit_told_ = commit_;
+void RaftNode::Tick(base::Millis now) {
+  AdvanceClock(now);
+  if (commit_ > recorded_commit_ && !storage_failed_) {
+    recorded_commit_ = commit_;
     Write().commit = commit_;
   }
-  if (leading()) {
+  if (is_leader()) {
     // Check-quorum: by the longest election time-out, others lead where it hears no majority.
-    if (now - MajorityHeard() > timing_.election * 2) {
+    if (now - LastMajorityContact() > timing_.election_timeout * 2) {
       BecomeFollower(now, term_, 0);
       return;
     }
-    if (disk_stuck(now)) {
+    if (IsDiskStalled(now)) {
       TransferLeadership(now);
       BecomeFollower(now, term_, 0);
       // It may vote again when its disk answers; until then others are better placed.
-      election_at_ = now + timing_.election * 4;
+      election_at_ = now + timing_.election_timeout * 4;
       return;
     }
     // The word that hands over may be lost, or come after a heartbeat that unsays it.
-    if (leaving_ && now >= leave_at_) {
-      leave_at_ = now + timing_.election / 2;
+    if (leaving_ && now >= leave_retry_at_) {
+      leave_retry_at_ = now + timing_.election_timeout / 2;
       TransferLeadership(now);
     }
     ReviewVoters(now);  // not only with heartbeats: while changes go out none is due
     if (now >= heartbeat_at_) {
       Broadcast(now);
       // Nobody is left to hand over to.
-      departed_ |= leaving_ && std::none_of(progress_.begin(), progress_.end(), [&](const auto& p) {
-                     return now - p.second.heard < timing_.election;
+      may_stop_ |= leaving_ && std::none_of(progress_.begin(), progress_.end(), [&](const auto& p) {
+                     return now - p.second.heard < timing_.election_timeout;
                    });
     }
     return;
   }
-  if (leaving_ && !departed_ && leader_id_ && now >= leave_at_) {
-    leave_at_ = now + timing_.heartbeat;
+  if (leaving_ && !may_stop_ && leader_id_ && now >= leave_retry_at_) {
+    leave_retry_at_ = now + timing_.heartbeat_interval;
     Post(leader_address_, Make(MessageType::kLeave, leader_id_), false);
   }
-  if (leader_id_ && now - leader_heard_ > timing_.election * 2) {
+  if (leader_id_ && now - last_leader_contact_ > timing_.election_timeout * 2) {
     leader_id_ = 0;
     out_.role_changed = true;
   }
-  if (now >= election_at_ && IsVoter(self_.id) && !broken_ && !disk_stuck(now)) StartPreVote(now);
+  if (now >= election_at_ && IsVoter(self_.id) && !storage_failed_ && !IsDiskStalled(now))
+    StartPreVote(now);
 }
 
-void Machine::Receive(base::Millis now, const Message& m, const base::Address& from) {
-  Wake(now);
-  if (m.to != self_.id || broken_) return;
-  if (hard_.cluster == 0 && m.cluster != 0 &&
+void RaftNode::Receive(base::Millis now, const Message& m, const base::Address& from) {
+  AdvanceClock(now);
+  if (m.to != self_.id || storage_failed_) return;
+  if (hard_state_.cluster == 0 && m.cluster != 0 &&
       (m.type == MessageType::kAppendEntries || m.type == MessageType::kInstallSnapshot)) {
     // A joiner learns which cluster it joined from the leader that took it.
-    hard_.cluster = m.cluster;
-    Persist& write = Write();
-    write.hard_changed = true;
-    write.hard = hard_;
+    hard_state_.cluster = m.cluster;
+    WriteRequest& write = Write();
+    write.hard_state_changed = true;
+    write.hard_state = hard_state_;
   }
-  if (m.cluster != hard_.cluster) return;
+  if (m.cluster != hard_state_.cluster) return;
   if (m.type == MessageType::kPreVote) return OnPreVote(now, m, from);
   if (m.type == MessageType::kPreVoteReply) return OnPreVoteReply(now, m);
   if (m.term > term_) {
@@ -296,10 +297,10 @@
     case MessageType::kLeave:
       return OnLeave(now, m, from);
     case MessageType::kLeaveReply:
-      departed_ |= leaving_ && m.granted;
+      may_stop_ |= leaving_ && m.granted;
       return;
-    case MessageType::kLostState:
-      return OnLostState();
+    case MessageType::kStateLost:
+      return OnStateLost();
     default:
       return;
   }
--- a/src/consensus/machine.h
+++ b/src/consensus/raft_node.h
@@ -18,12 +18,14 @@
 const char* RoleName(Role role);
 
 struct Timing {
-  base::Millis heartbeat = 120;
-  base::Millis election = 600;        // one to two times this
-  base::Millis first_election = 80;   // one to five times this, until a leader was heard once
-  base::Millis replace_after = 2500;  // a silent voter gives way to a waiting replacement
-  base::Millis forget_after = 20000;  // so long silent, a voter that is not needed is taken out
-  base::Millis disk_patience = 1500;  // a leader whose disk hangs so long gives up leadership
+  base::Millis heartbeat_interval = 120;
+  base::Millis election_timeout = 600;  // one to two times this
+  base::Millis startup_election_timeout =
+      80;  // one to five times this, until a leader was heard once
+  base::Millis replace_silent_after = 2500;  // a silent voter gives way to a waiting replacement
+  base::Millis remove_silent_after =
+      20000;  // so long silent, a voter that is not needed is taken out
+  base::Millis disk_stall_timeout = 1500;  // a leader whose disk hangs so long gives up leadership
 };
 
 // What may be lost at once, disks included, without losing what is committed.
@@ -35,7 +37,7 @@
 
 // The replicated log as a pure state machine: time, messages and finished writes in; messages,
 // writes and committed entries out. It touches no socket, disk or clock.
-class Machine {
+class RaftNode {
  public:
   struct Options {
     Member self;
@@ -52,21 +54,21 @@
   };
   struct Effects {
     std::vector<Outgoing> messages;
-    std::vector<Persist> writes;
-    std::vector<Entry> committed;        // in order, to be applied
-    std::vector<Snapshot> installed;     // replaces all applied state; comes before `committed`
-    std::vector<uint64_t> reads_ready;   // tokens given to Read()
-    std::vector<uint64_t> reads_failed;  // leadership was lost first
-    std::vector<Member> lost_state;      // members found to lack what they had acknowledged
+    std::vector<WriteRequest> writes;
+    std::vector<Entry> committed;           // in order, to be applied
+    std::vector<Snapshot> installed;        // replaces all applied state; comes before `committed`
+    std::vector<uint64_t> confirmed_reads;  // tokens given to Read()
+    std::vector<uint64_t> failed_reads;     // leadership was lost first
+    std::vector<Member> state_lost;         // members found to lack what they had acknowledged
     bool discard_store = false;  // this member is one: it must come back empty, under a new id
     bool role_changed = false;
   };
 
-  Machine(Options options, Restored restored, base::Millis now);
+  RaftNode(Options options, RestoredState restored, base::Millis now);
 
   void Tick(base::Millis now);
   void Receive(base::Millis now, const Message& message, const base::Address& from);
-  void Persisted(base::Millis now, uint64_t sequence, bool ok);
+  void OnWriteFinished(base::Millis now, uint64_t sequence, bool ok);
   // The index that the entry got, if this is the leader and may append.
   std::optional<Index> Propose(base::Millis now, std::string command);
   // Confirms with a majority that this is still the leader; false if it is not one now.
@@ -76,14 +78,14 @@
   // A controller without a vote asks to be caught up and made a voter.
   void Join(base::Millis now, const Member& member);
   // Where a member stands, as the ring tells it; founders are known by address alone at first.
-  void NoteZone(const std::string& ip, const std::string& zone) { zones_[ip] = zone; }
+  void SetZone(const std::string& ip, const std::string& zone) { zones_[ip] = zone; }
   // Hands leadership to the best follower; for an orderly end.
   void TransferLeadership(base::Millis now);
   // From here on this member asks the leader to be taken out, until departed().
   void Leave() { leaving_ = true; }
   // The leader has said that this member may end: it has no vote any more, or the others need none
   // less, and what is committed is on as many of their disks as it must be.
-  bool departed() const { return departed_; }
+  bool may_stop() const { return may_stop_; }
   // Whether the log is long enough, in entries or in bytes, to be replaced by a snapshot.
   bool CompactionDue() const;
   // Replaces the log up to `index`, which must be applied, by a snapshot of the state.
@@ -91,31 +93,31 @@
   Effects Take();
 
   Role role() const { return role_; }
-  bool leading() const { return role_ == Role::kLeader; }
+  bool is_leader() const { return role_ == Role::kLeader; }
   // May answer for the whole: leads, and an entry of its own term is committed.
-  bool settled() const { return leading() && TermAt(commit_) == term_; }
+  bool HasCommittedInTerm() const { return is_leader() && TermAt(commit_) == term_; }
   Term term() const { return term_; }
   Index commit() const { return commit_; }
   Index last_index() const;
   const Member& self() const { return self_; }
-  uint64_t cluster() const { return hard_.cluster; }
+  uint64_t cluster() const { return hard_state_.cluster; }
   const std::vector<Member>& voters() const { return voters_; }
   std::vector<Member> learners() const;
   bool IsVoter(MemberId id) const;
   std::optional<Member> leader() const;
-  base::Millis leader_heard() const { return leader_heard_; }
+  base::Millis last_leader_contact() const { return last_leader_contact_; }
   // Who leads by what was heard within the election time-out: where callers may be sent. For a
   // leader itself, nobody once that long has passed since a majority answered; nobody for a process
   // that slept meanwhile.
-  std::optional<Member> LeaderInTouch(base::Millis now) const;
+  std::optional<Member> LeaderInContact(base::Millis now) const;
   // For the leader: when a member last answered; for status, duty and replacement.
-  base::Millis LastHeard(MemberId id) const;
-  bool disk_stuck(base::Millis now) const;
+  base::Millis LastContact(MemberId id) const;
+  bool IsDiskStalled(base::Millis now) const;
   size_t log_size() const { return log_.size(); }
   // Of the entries in memory, those kept behind the snapshot included.
   size_t log_bytes() const;
   Index snapshot_index() const { return snapshot_.index; }
-  bool broken() const { return broken_; }
+  bool storage_failed() const { return storage_failed_; }
   // Whether all logs agree is what the simulation checks.
   const std::vector<Entry>& log() const { return log_; }
 
@@ -126,7 +128,7 @@
     size_t bytes;
     base::Millis at;
   };
-  friend struct MachineProbe;  // reads all state, for the model checker; new state goes there too
+  friend struct RaftNodeProbe;  // reads all state, for the model checker; new state goes there too
 
   struct Progress {
     Member member;
@@ -142,9 +144,9 @@
     // whatever was compacted since.
     std::shared_ptr<const Snapshot> sending;
     size_t offset = 0;
-    bool lost_state = false;  // lacks what it had acknowledged: counts for nothing
+    bool state_lost = false;  // lacks what it had acknowledged: counts for nothing
     bool voter = false;
-    base::Millis leave_asked = -1;  // when it last said that it ends; -1 for never
+    base::Millis leave_requested_at = -1;  // when it last said that it ends; -1 for never
   };
   // A snapshot of which not all parts have come; in memory only.
   struct Incoming {
@@ -155,7 +157,7 @@
     uint64_t token;
     uint64_t round;
   };
-  struct Held {
+  struct DeferredMessage {
     uint64_t after;
     Outgoing out;
   };
@@ -164,46 +166,46 @@
   const Entry* At(Index index) const;
   size_t Majority() const { return voters_.size() / 2 + 1; }
   // So few voters can still lose what is tolerated and have a majority left.
-  size_t FewestVoters() const { return std::max<size_t>(3, 2 * tolerance_.machines + 1); }
-  bool EnoughCopies(Index index) const;
+  size_t MinVoters() const { return std::max<size_t>(3, 2 * tolerance_.machines + 1); }
+  bool HasEnoughReplicas(Index index) const;
   Index Synced(const Member& voter) const;
-  void RefreshVoters();
+  void ReloadVoters();
   Index LastVotersIndex() const;
 
   // All that happens begins here: a process that slept must not act by what it knew before.
-  void Wake(base::Millis now);
+  void AdvanceClock(base::Millis now);
   // For the leader: since when a majority has not answered, itself included.
-  base::Millis MajorityHeard() const;
+  base::Millis LastMajorityContact() const;
   void BecomeFollower(base::Millis now, Term term, MemberId leader);
   void StartPreVote(base::Millis now);
   void StartElection(base::Millis now);
   void BecomeLeader(base::Millis now);
   void ResetElection(base::Millis now);
   void SetHardState(Term term, MemberId voted_for);
-  Persist& Write();
+  WriteRequest& Write();
   void Post(const base::Address& to, Message message, bool after_writes);
   Message Make(MessageType type, MemberId to) const;
 
   Index Append(EntryKind kind, std::string data);
   // A heartbeat is sent in any case, otherwise only what is new and fits into the window.
-  void SendAppendEntries(base::Millis now, Progress* p, bool heartbeat);
-  void SendSnapshot(base::Millis now, Progress* p, bool heartbeat);
-  Progress* HeardMember(base::Millis now, const Message& m, bool* newest);
+  void SendAppendEntries(base::Millis now, Progress* p, bool heartbeat_interval);
+  void SendSnapshot(base::Millis now, Progress* p, bool heartbeat_interval);
+  Progress* RecordPeerContact(base::Millis now, const Message& m, bool* newest);
   void Rewind(Progress* p);
   void Broadcast(base::Millis now);
   void AdvanceCommit(base::Millis now);
   void ApplyCommitted();
   void AdvanceReads();
   void FailReads();
-  bool HeardWithin(base::Millis now, MemberId id, base::Millis span) const;
-  void SyncProgress();
+  bool ContactedWithin(base::Millis now, MemberId id, base::Millis span) const;
+  void TrackVoters();
   void ReviewVoters(base::Millis now);
-  bool LiveMajorityWithout(base::Millis now, MemberId without) const;
+  bool HasLiveMajorityWithout(base::Millis now, MemberId without) const;
   bool Leaving(const Progress& p) const;
-  bool MayEnd(base::Millis now, MemberId id) const;
+  bool MayStop(base::Millis now, MemberId id) const;
   void OnLeave(base::Millis now, const Message& m, const base::Address& from);
 
-  void HeardLeader(base::Millis now, const Message& m, const base::Address& from);
+  void RecordLeaderContact(base::Millis now, const Message& m, const base::Address& from);
   void CommitTo(Index index);
   void OnPreVoteReply(base::Millis now, const Message& m);
   void OnTimeoutNow(base::Millis now, const Message& m);
@@ -213,12 +215,12 @@
   void OnAppendEntries(base::Millis now, const Message& m, const base::Address& from);
   void OnAppendEntriesReply(base::Millis now, const Message& m);
   void OnRejected(base::Millis now, const Message& m, bool newest, Progress* p);
-  void OnLostState();
+  void OnStateLost();
   void OnInstallSnapshot(base::Millis now, const Message& m, const base::Address& from);
   void OnInstallSnapshotReply(base::Millis now, const Message& m);
   void Install(Snapshot snapshot);
-  Index KeptFor(base::Millis now) const;
-  std::optional<Index> DropTo(Index index, size_t state_bytes) const;
+  Index OldestIndexNeeded(base::Millis now) const;
+  std::optional<Index> TruncationPoint(Index index, size_t state_bytes) const;
 
   std::string ZoneOf(const Member& member) const {
     auto at = zones_.find(member.ip);
@@ -233,7 +235,7 @@
   base::Random random_;
   Role role_ = Role::kFollower;
   Term term_ = 0;
-  HardState hard_;
+  HardState hard_state_;
   Snapshot snapshot_;
   std::vector<Entry> log_;  // those after the snapshot
   std::optional<Incoming> incoming_;
@@ -241,31 +243,31 @@
   std::vector<Member> voters_;
   Index commit_ = 0;
   Index applied_ = 0;
-  Index commit_told_ = 0;  // to the store
-  Index persisted_ = 0;    // of the log as it is now
+  Index recorded_commit_ = 0;  // to the store
+  Index durable_index_ = 0;    // of the log as it is now
   uint64_t write_sequence_ = 0;
-  uint64_t written_ = 0;
-  std::map<uint64_t, Index> write_last_;  // outstanding write -> last index it covers
-  std::map<uint64_t, base::Millis> write_since_;
-  bool broken_ = false;
-  bool fresh_ = true;  // no leader was heard in this life
+  uint64_t finished_write_ = 0;
+  std::map<uint64_t, Index> write_covers_;  // outstanding write -> last index it covers
+  std::map<uint64_t, base::Millis> write_started_at_;
+  bool storage_failed_ = false;
+  bool no_leader_seen_ = true;  // no leader was heard in this life
   bool leaving_ = false;
-  bool departed_ = false;
-  base::Millis leave_at_ = 0;  // when the leader is asked next, or asks another one to lead
+  bool may_stop_ = false;
+  base::Millis leave_retry_at_ = 0;  // when the leader is asked next, or asks another one to lead
 
   MemberId leader_id_ = 0;
   base::Address leader_address_;
-  base::Millis leader_heard_ = 0;
+  base::Millis last_leader_contact_ = 0;
   base::Millis election_at_ = 0;
   base::Millis heartbeat_at_ = 0;
   base::Millis now_ = 0;
   std::set<MemberId> votes_;
-  uint64_t pre_vote_round_ = 0;  // of the pre-vote under way
-  uint64_t heard_round_ = 0;     // the newest heard from the leader of this term
+  uint64_t pre_vote_round_ = 0;     // of the pre-vote under way
+  uint64_t last_leader_round_ = 0;  // the newest heard from the leader of this term
   std::map<MemberId, Progress> progress_;
   uint64_t round_ = 0;  // of the newest message that is numbered
   std::vector<PendingRead> reads_;
-  std::vector<Held> held_;
+  std::vector<DeferredMessage> deferred_messages_;
   Effects out_;
 };
 
--- a/src/consensus/read_index.cc
+++ b/src/consensus/read_index.cc
@@ -1,18 +1,18 @@
 // Reads: confirmed by a round of heartbeats that a majority answered after they were asked for.
 #include <algorithm>
 
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 
 namespace elderkeel::consensus {
 
-void Machine::FailReads() {
-  for (const PendingRead& read : reads_) out_.reads_failed.push_back(read.token);
+void RaftNode::FailReads() {
+  for (const PendingRead& read : reads_) out_.failed_reads.push_back(read.token);
   reads_.clear();
 }
 
-bool Machine::Read(base::Millis now, uint64_t token) {
-  Wake(now);
-  if (!settled()) return false;
+bool RaftNode::Read(base::Millis now, uint64_t token) {
+  AdvanceClock(now);
+  if (!HasCommittedInTerm()) return false;
   reads_.push_back({token, ++round_});
   if (Majority() == 1) {
     AdvanceReads();
@@ -22,16 +22,16 @@
   return true;
 }
 
-bool Machine::ReadByHeartbeat(base::Millis now, uint64_t token) {
-  Wake(now);
-  if (!settled()) return false;
+bool RaftNode::ReadByHeartbeat(base::Millis now, uint64_t token) {
+  AdvanceClock(now);
+  if (!HasCommittedInTerm()) return false;
   // Any message that is numbered from here on was sent after the question.
   reads_.push_back({token, round_ + 1});
   if (Majority() == 1) AdvanceReads();
   return true;
 }
 
-void Machine::AdvanceReads() {
+void RaftNode::AdvanceReads() {
   std::vector<uint64_t> rounds;
   for (const Member& v : voters_) {
     auto at = progress_.find(v.id);
@@ -43,7 +43,7 @@
   std::vector<PendingRead> rest;
   for (const PendingRead& read : reads_) {
     if (read.round <= confirmed) {
-      out_.reads_ready.push_back(read.token);
+      out_.confirmed_reads.push_back(read.token);
     } else {
       rest.push_back(read);
     }
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -40,17 +40,17 @@
   });
 }
 
-void Replica::NoteZone(const std::string& ip, const std::string& zone) {
+void Replica::SetZone(const std::string& ip, const std::string& zone) {
   zones_[ip] = zone;
-  if (machine_) machine_->NoteZone(ip, zone);
+  if (machine_) machine_->SetZone(ip, zone);
 }
 
 // A store that can be written, and what it held.
-base::Result<std::unique_ptr<Store>> Replica::OpenStore(Restored* restored) {
+base::Result<std::unique_ptr<Store>> Replica::OpenStore(RestoredState* restored) {
   if (options_.data_dir.empty()) return MakeMemoryStore();
   std::string directory = options_.data_dir + "/log";
   if (discard_store_) {
-    auto moved = MoveAside(directory);
+    auto moved = Quarantine(directory);
     if (!moved) return base::Failure(moved.error());
     discard_store_ = false;
   }
@@ -60,9 +60,9 @@
     auto loaded = (*opened)->Load();
     if (!loaded) return base::Failure(loaded.error());
     // The disk may be full still: it must take something before this member has a part again.
-    Persist again;
-    again.hard_changed = true;
-    again.hard = loaded->hard;
+    WriteRequest again;
+    again.hard_state_changed = true;
+    again.hard_state = loaded->hard_state;
     if (!loaded->empty) {
       auto written = (*opened)->Write(again);
       if (!written) return base::Failure(written.error());
@@ -71,12 +71,12 @@
     return opened;
   };
   auto opened = open();
-  if (opened || !Unreadable(opened.error())) return opened;
+  if (opened || !IsCorruption(opened.error())) return opened;
   // This member comes back under a new identity, as after a lost disk: its old votes can't be given
   // twice.
   base::Warn("store.unreadable", opened.error());
   hooks_.store_changed("store.unreadable", opened.error().reason);
-  auto moved = MoveAside(directory);
+  auto moved = Quarantine(directory);
   if (!moved) return base::Failure(moved.error());
   options_.bootstrap = false;
   return open();
@@ -102,7 +102,7 @@
 }
 
 void Replica::Open() {
-  Restored restored;
+  RestoredState restored;
   auto opened = OpenStore(&restored);
   if (!opened) return CloseStore("store.unopened", opened.error().reason);
   store_state_ = options_.data_dir.empty() ? StoreState::kMemory : StoreState::kDisk;
@@ -111,28 +111,28 @@
   bool founder = options_.bootstrap && restored.empty &&
                  std::any_of(options_.founders.begin(), options_.founders.end(),
                              [&](const Member& m) { return m.id == options_.self.id; });
-  Machine::Options machine;
+  RaftNode::Options machine;
   machine.self = options_.self;
   machine.timing = options_.timing;
   machine.tolerance = options_.tolerance;
   machine.regions = options_.regions;
-  machine.seed = base::SystemSeed();
+  machine.seed = base::RandomSeed();
   if (founder) {
     machine.founders = options_.founders;
     machine.cluster = options_.cluster;
   } else if (restored.empty) {
-    machine.self.id = base::SystemSeed() | 1;
+    machine.self.id = base::RandomSeed() | 1;
   }
   bool empty = restored.empty;
   machine_ =
-      std::make_unique<Machine>(std::move(machine), std::move(restored), base::SteadyMillis());
-  for (const auto& [ip, zone] : zones_) machine_->NoteZone(ip, zone);
+      std::make_unique<RaftNode>(std::move(machine), std::move(restored), base::SteadyMillis());
+  for (const auto& [ip, zone] : zones_) machine_->SetZone(ip, zone);
   uint64_t opening = ++opening_;
   thread_ = std::make_unique<StoreThread>(
       std::move(*opened), [this, opening](uint64_t sequence, base::Status result) {
         loop_->Post([this, opening, sequence, result] {
           if (opening != opening_) return;
-          machine_->Persisted(base::SteadyMillis(), sequence, result.has_value());
+          machine_->OnWriteFinished(base::SteadyMillis(), sequence, result.has_value());
           Pump();
           // Nothing of this opening may be trusted: what the disk holds is read anew.
           if (!result) CloseStore("store.refused", result.error().reason);
@@ -151,13 +151,13 @@
   if (pumping_ || !machine_) return;  // hooks may call in; the outer loop takes what they caused
   pumping_ = true;
   for (;;) {
-    Machine::Effects effects = machine_->Take();
+    RaftNode::Effects effects = machine_->Take();
     bool any = !effects.messages.empty() || !effects.writes.empty() || !effects.committed.empty() ||
-               !effects.installed.empty() || !effects.reads_ready.empty() ||
-               !effects.reads_failed.empty() || !effects.lost_state.empty() ||
+               !effects.installed.empty() || !effects.confirmed_reads.empty() ||
+               !effects.failed_reads.empty() || !effects.state_lost.empty() ||
                effects.discard_store || effects.role_changed;
     if (!any) break;
-    for (Persist& write : effects.writes) {
+    for (WriteRequest& write : effects.writes) {
       if (thread_) thread_->Write(std::move(write));
     }
     for (const auto& out : effects.messages) hooks_.send(out.to, out.message);
@@ -166,7 +166,7 @@
       if (entry.kind == EntryKind::kCommand) hooks_.apply(entry);
       if (entry.index == machine_->commit()) hooks_.caught_up();
     }
-    for (const Member& member : effects.lost_state) {
+    for (const Member& member : effects.state_lost) {
       base::Warn("voter.lost_state", {{"member", member.id},
                                       {"peer", member.address().ToString()},
                                       {"voter", machine_->IsVoter(member.id)}});
@@ -178,8 +178,8 @@
       CloseStore("store.lost_state", "the log lacks what this member had acknowledged");
     }
     if (effects.role_changed) hooks_.role_changed();
-    for (uint64_t token : effects.reads_failed) hooks_.read_done(token, false);
-    for (uint64_t token : effects.reads_ready) hooks_.read_done(token, true);
+    for (uint64_t token : effects.failed_reads) hooks_.read_done(token, false);
+    for (uint64_t token : effects.confirmed_reads) hooks_.read_done(token, true);
     if (!effects.committed.empty() && machine_->CompactionDue()) {
       machine_->Compact(machine_->commit(), hooks_.snapshot_state());
     }
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "base/loop.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "consensus/store.h"
 
 namespace elderkeel::consensus {
@@ -59,14 +59,14 @@
   void TransferLeadership();
   // Gives up the vote; machine().departed() tells when this process may end.
   void Leave() { machine_->Leave(); }
-  void NoteZone(const std::string& ip, const std::string& zone);
+  void SetZone(const std::string& ip, const std::string& zone);
   bool started() const { return machine_ != nullptr; }
-  const Machine& machine() const { return *machine_; }
+  const RaftNode& machine() const { return *machine_; }
   Member self() const { return machine_->self(); }
 
  private:
   void Open();
-  base::Result<std::unique_ptr<Store>> OpenStore(Restored* restored);
+  base::Result<std::unique_ptr<Store>> OpenStore(RestoredState* restored);
   void CloseStore(const std::string& event, const std::string& reason);
   void Pump();
 
@@ -74,7 +74,7 @@
   Options options_;
   Hooks hooks_;
   std::unique_ptr<StoreThread> thread_;
-  std::unique_ptr<Machine> machine_;
+  std::unique_ptr<RaftNode> machine_;
   base::Timer tick_;
   base::Timer reopen_;
   std::map<std::string, std::string> zones_;  // by ip
--- a/src/consensus/replication.cc
+++ b/src/consensus/replication.cc
@@ -2,7 +2,7 @@
 // synced.
 #include <algorithm>
 
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "wire/frame.h"
 
 namespace elderkeel::consensus {
@@ -14,40 +14,40 @@
 constexpr size_t kEntryOverhead = 64;
 }  // namespace
 
-Index Machine::Append(EntryKind kind, std::string data) {
+Index RaftNode::Append(EntryKind kind, std::string data) {
   Entry entry;
   entry.term = term_;
   entry.index = last_index() + 1;
   entry.kind = kind;
   entry.data = std::move(data);
-  Persist& write = Write();
+  WriteRequest& write = Write();
   write.entries.push_back(entry);
-  write_last_[write.sequence] = entry.index;
+  write_covers_[write.sequence] = entry.index;
   log_.push_back(std::move(entry));
   if (kind == EntryKind::kVoters) {
-    RefreshVoters();
-    SyncProgress();
+    ReloadVoters();
+    TrackVoters();
   }
   return last_index();
 }
 
-std::optional<Index> Machine::Propose(base::Millis now, std::string command) {
-  Wake(now);
-  if (!settled() || broken_) return std::nullopt;
+std::optional<Index> RaftNode::Propose(base::Millis now, std::string command) {
+  AdvanceClock(now);
+  if (!HasCommittedInTerm() || storage_failed_) return std::nullopt;
   Index index = Append(EntryKind::kCommand, std::move(command));
   Broadcast(now);
   return index;
 }
 
-void Machine::Broadcast(base::Millis now) {
-  heartbeat_at_ = now + timing_.heartbeat;
+void RaftNode::Broadcast(base::Millis now) {
+  heartbeat_at_ = now + timing_.heartbeat_interval;
   for (auto& [id, p] : progress_) SendAppendEntries(now, &p, true);
 }
 
-void Machine::SendAppendEntries(base::Millis now, Progress* p, bool heartbeat) {
-  if (p->lost_state) {
-    if (!heartbeat) return;
-    Message m = Make(MessageType::kLostState, p->member.id);
+void RaftNode::SendAppendEntries(base::Millis now, Progress* p, bool heartbeat_interval) {
+  if (p->state_lost) {
+    if (!heartbeat_interval) return;
+    Message m = Make(MessageType::kStateLost, p->member.id);
     m.index = p->match;
     m.round = ++round_;
     Post(p->member.address(), std::move(m), false);
@@ -56,7 +56,7 @@
   p->window = std::max(p->window, kLeastWindow);
   Index previous = p->next - 1;
   if (p->sending || (previous != snapshot_.index && !At(previous))) {
-    SendSnapshot(now, p, heartbeat);
+    SendSnapshot(now, p, heartbeat_interval);
     return;
   }
   Message m = Make(MessageType::kAppendEntries, p->member.id);
@@ -74,7 +74,7 @@
     bytes += size;
     m.entries.push_back(*entry);
   }
-  if (m.entries.empty() && !heartbeat) return;
+  if (m.entries.empty() && !heartbeat_interval) return;
   m.round = ++round_;
   if (bytes > 0) p->in_flight.push_back({m.round, bytes, now});
   p->next += m.entries.size();
@@ -83,10 +83,10 @@
 
 // The member that a reply is of, if it counts. What was sent up to the message that it answers is
 // no longer in flight; the window follows the time that took.
-Machine::Progress* Machine::HeardMember(base::Millis now, const Message& m, bool* newest) {
-  if (!leading()) return nullptr;
+RaftNode::Progress* RaftNode::RecordPeerContact(base::Millis now, const Message& m, bool* newest) {
+  if (!is_leader()) return nullptr;
   auto at = progress_.find(m.from);
-  if (at == progress_.end() || at->second.lost_state) return nullptr;
+  if (at == progress_.end() || at->second.state_lost) return nullptr;
   Progress& p = at->second;
   p.heard = now;
   *newest = m.round > p.round;
@@ -95,9 +95,9 @@
     const Flight& flight = p.in_flight.front();
     base::Millis took = now - flight.at;
     bool filled = flight.bytes * 2 >= p.window;
-    if (flight.round == m.round && filled && took <= timing_.heartbeat) {
+    if (flight.round == m.round && filled && took <= timing_.heartbeat_interval) {
       p.window = std::min(p.window * 2, kMostWindow);
-    } else if (flight.round == m.round && took > timing_.heartbeat * 2) {
+    } else if (flight.round == m.round && took > timing_.heartbeat_interval * 2) {
       p.window = std::max(p.window / 2, kLeastWindow);
     }
     p.in_flight.pop_front();
@@ -106,20 +106,20 @@
 }
 
 // Rejections of what was sent before are answered by what is sent from here on.
-void Machine::Rewind(Progress* p) {
+void RaftNode::Rewind(Progress* p) {
   p->rewound_round = round_;
   p->in_flight.clear();
 }
 
-Index Machine::Synced(const Member& voter) const {
-  if (voter.id == self_.id) return persisted_;
+Index RaftNode::Synced(const Member& voter) const {
+  if (voter.id == self_.id) return durable_index_;
   auto at = progress_.find(voter.id);
-  return at == progress_.end() || at->second.lost_state ? 0 : at->second.match;
+  return at == progress_.end() || at->second.state_lost ? 0 : at->second.match;
 }
 
 // A majority decides; what it decided must also outlive the loss that is tolerated. Both matter: of
 // five voters with two that may be lost three copies are enough, of three they are all needed.
-bool Machine::EnoughCopies(Index index) const {
+bool RaftNode::HasEnoughReplicas(Index index) const {
   size_t copies = 0;
   std::set<std::string> zones, regions, all_zones, all_regions;
   for (const Member& v : voters_) {
@@ -138,13 +138,13 @@
          regions.size() >= std::min(tolerance_.regions + 1, all_regions.size());
 }
 
-void Machine::AdvanceCommit(base::Millis now) {
+void RaftNode::AdvanceCommit(base::Millis now) {
   std::vector<Index> matches;
   for (const Member& v : voters_) matches.push_back(Synced(v));
   if (matches.empty()) return;
   std::sort(matches.rbegin(), matches.rend());
   size_t place = Majority() - 1;
-  while (place < matches.size() && !EnoughCopies(matches[place])) ++place;
+  while (place < matches.size() && !HasEnoughReplicas(matches[place])) ++place;
   if (place == matches.size()) return;
   Index index = matches[place];
   if (index > commit_ && TermAt(index) == term_) {
@@ -162,7 +162,7 @@
   }
 }
 
-void Machine::ApplyCommitted() {
+void RaftNode::ApplyCommitted() {
   while (applied_ < commit_) {
     const Entry* entry = At(applied_ + 1);
     if (!entry) break;
@@ -171,7 +171,7 @@
   }
 }
 
-void Machine::CommitTo(Index index) {
+void RaftNode::CommitTo(Index index) {
   if (index <= commit_) return;
   commit_ = index;
   if (incoming_ && incoming_->snapshot.index <= commit_) incoming_.reset();
@@ -179,18 +179,18 @@
 }
 
 // What a leader sent before the newest that was heard of it, or twice, says nothing about now.
-void Machine::HeardLeader(base::Millis now, const Message& m, const base::Address& from) {
-  if (m.round <= heard_round_ && heard_round_ > 0) return;
-  heard_round_ = m.round;
+void RaftNode::RecordLeaderContact(base::Millis now, const Message& m, const base::Address& from) {
+  if (m.round <= last_leader_round_ && last_leader_round_ > 0) return;
+  last_leader_round_ = m.round;
   if (role_ != Role::kFollower || leader_id_ != m.from) BecomeFollower(now, m.term, m.from);
-  fresh_ = false;
-  leader_heard_ = now;
+  no_leader_seen_ = false;
+  last_leader_contact_ = now;
   leader_address_ = from;
   ResetElection(now);
 }
 
-void Machine::OnAppendEntries(base::Millis now, const Message& m, const base::Address& from) {
-  HeardLeader(now, m, from);
+void RaftNode::OnAppendEntries(base::Millis now, const Message& m, const base::Address& from) {
+  RecordLeaderContact(now, m, from);
   Message reply = Make(MessageType::kAppendEntriesReply, m.from);
   reply.round = m.round;
   bool fits =
@@ -209,7 +209,7 @@
     if (entry.index <= last_index()) {
       if (TermAt(entry.index) == entry.term) continue;
       // Another leader's entries, never committed, give way.
-      Persist& write = Write();
+      WriteRequest& write = Write();
       if (write.truncate_from == 0 || entry.index < write.truncate_from) {
         write.truncate_from = entry.index;
       }
@@ -220,17 +220,17 @@
       log_.erase(std::remove_if(log_.begin(), log_.end(),
                                 [&](const Entry& e) { return e.index >= entry.index; }),
                  log_.end());
-      persisted_ = std::min(persisted_, entry.index - 1);
-      for (auto& [sequence, last] : write_last_) last = std::min(last, entry.index - 1);
+      durable_index_ = std::min(durable_index_, entry.index - 1);
+      for (auto& [sequence, last] : write_covers_) last = std::min(last, entry.index - 1);
       voters_touched = true;
     }
-    Persist& write = Write();
+    WriteRequest& write = Write();
     write.entries.push_back(entry);
-    write_last_[write.sequence] = entry.index;
+    write_covers_[write.sequence] = entry.index;
     log_.push_back(entry);
     voters_touched |= entry.kind == EntryKind::kVoters;
   }
-  if (voters_touched) RefreshVoters();
+  if (voters_touched) ReloadVoters();
   matched = std::max(matched, std::min(snapshot_.index, m.index + m.entries.size()));
   CommitTo(std::min(m.commit, matched));
   reply.granted = true;
@@ -238,9 +238,9 @@
   Post(from, std::move(reply), true);
 }
 
-void Machine::OnAppendEntriesReply(base::Millis now, const Message& m) {
+void RaftNode::OnAppendEntriesReply(base::Millis now, const Message& m) {
   bool newest = false;
-  Progress* p = HeardMember(now, m, &newest);
+  Progress* p = RecordPeerContact(now, m, &newest);
   if (!p) return;
   if (m.granted) {
     if (m.index > p->match) {
@@ -252,7 +252,7 @@
         p->in_flight.clear();
       }
       AdvanceCommit(now);
-      if (!leading()) return;
+      if (!is_leader()) return;
       auto at = progress_.find(m.from);
       if (at == progress_.end()) return;
       p = &at->second;
@@ -266,12 +266,12 @@
 
 // `m.index` is the last entry that the member may share with us. What it acknowledged is synced, so
 // a rejection below that is either older than the acknowledgement, or the member has lost it.
-void Machine::OnRejected(base::Millis now, const Message& m, bool newest, Progress* p) {
+void RaftNode::OnRejected(base::Millis now, const Message& m, bool newest, Progress* p) {
   if (m.index < p->match) {
     if (m.round <= p->acknowledged_round) return;
-    p->lost_state = true;
+    p->state_lost = true;
     p->round = 0;  // nor does it confirm reads
-    out_.lost_state.push_back(p->member);
+    out_.state_lost.push_back(p->member);
     SendAppendEntries(now, p, true);
   } else if (!p->sending && newest && m.round > p->rewound_round && m.index + 1 < p->next) {
     p->next = m.index + 1;
@@ -282,9 +282,9 @@
 
 // The leader has proof that this member acknowledged what it no longer holds. Its votes may be gone
 // as well, so this identity ends here; what is left of it is of no use.
-void Machine::OnLostState() {
-  broken_ = true;
-  held_.clear();
+void RaftNode::OnStateLost() {
+  storage_failed_ = true;
+  deferred_messages_.clear();
   out_.discard_store = true;
 }
 
--- a/src/consensus/snapshot.cc
+++ b/src/consensus/snapshot.cc
@@ -1,7 +1,7 @@
 // Cutting the log by a snapshot, and installing a leader's.
 #include <algorithm>
 
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "wire/frame.h"
 
 namespace elderkeel::consensus {
@@ -18,9 +18,9 @@
 
 // Parts of the snapshot as far as the window reaches. A heartbeat is a part without bytes, placed
 // after what was sent: the member says if anything before it is missing.
-void Machine::SendSnapshot(base::Millis now, Progress* p, bool heartbeat) {
+void RaftNode::SendSnapshot(base::Millis now, Progress* p, bool heartbeat_interval) {
   if (p->sending && p->sending->index != snapshot_.index &&
-      !HeardWithin(now, p->member.id, timing_.election * 2)) {
+      !ContactedWithin(now, p->member.id, timing_.election_timeout * 2)) {
     p->sending.reset();  // nothing is kept for one that is silent: the newest serves it best
   }
   if (!p->sending) {
@@ -37,7 +37,7 @@
   for (;;) {
     size_t size = std::min(kChunk, snapshot.state.size() - p->offset);
     if (in_flight > 0 && in_flight + size > p->window) size = 0;
-    if (size == 0 && !heartbeat) return;
+    if (size == 0 && !heartbeat_interval) return;
     Message m = Make(MessageType::kInstallSnapshot, p->member.id);
     m.round = ++round_;
     m.commit = commit_;
@@ -48,14 +48,14 @@
     if (size > 0) p->in_flight.push_back({m.round, size, now});
     in_flight += size;
     p->offset += size;
-    heartbeat = false;
+    heartbeat_interval = false;
     Post(p->member.address(), std::move(m), false);
   }
 }
 
-void Machine::OnInstallSnapshotReply(base::Millis now, const Message& m) {
+void RaftNode::OnInstallSnapshotReply(base::Millis now, const Message& m) {
   bool newest = false;
-  Progress* p = HeardMember(now, m, &newest);
+  Progress* p = RecordPeerContact(now, m, &newest);
   if (!p) return;
   if (p->sending && m.index == p->sending->index && m.offset <= p->sending->state.size()) {
     if (m.granted) {
@@ -69,23 +69,23 @@
   AdvanceReads();
 }
 
-void Machine::Install(Snapshot snapshot) {
+void RaftNode::Install(Snapshot snapshot) {
   snapshot_ = std::move(snapshot);
   log_.clear();
-  commit_ = applied_ = persisted_ = snapshot_.index;
-  Persist& write = Write();
+  commit_ = applied_ = durable_index_ = snapshot_.index;
+  WriteRequest& write = Write();
   write.entries.clear();
   write.truncate_from = 1;
   write.snapshot = {snapshot_};
-  write_last_.clear();
-  RefreshVoters();
+  write_covers_.clear();
+  ReloadVoters();
   out_.committed.clear();
   out_.installed.push_back(snapshot_);
 }
 
-void Machine::OnInstallSnapshot(base::Millis now, const Message& m, const base::Address& from) {
+void RaftNode::OnInstallSnapshot(base::Millis now, const Message& m, const base::Address& from) {
   if (m.snapshot.empty()) return;
-  HeardLeader(now, m, from);
+  RecordLeaderContact(now, m, from);
   const Snapshot& part = m.snapshot[0];
   if (part.index > commit_ && At(part.index) && TermAt(part.index) == part.term) {
     // The log leads to the same state, and what it holds after that may have been acknowledged.
@@ -123,28 +123,28 @@
   Post(from, std::move(reply), true);
 }
 
-size_t Machine::log_bytes() const {
+size_t RaftNode::log_bytes() const {
   size_t bytes = 0;
   for (const Entry& entry : log_) bytes += entry.data.size();
   return bytes;
 }
 
-bool Machine::CompactionDue() const {
+bool RaftNode::CompactionDue() const {
   size_t bytes = 0;
   for (const Entry& entry : log_) {
     if (entry.index > snapshot_.index && entry.index <= applied_) bytes += entry.data.size();
   }
   bool due = log_.size() > kCompactAfter ||
              bytes > std::max(kCompactAfterBytes, 2 * snapshot_.state.size());
-  return due && DropTo(applied_, snapshot_.state.size()).has_value();
+  return due && TruncationPoint(applied_, snapshot_.state.size()).has_value();
 }
 
 // The entry up to which nobody who is being caught up needs the log. A member that got a snapshot
 // goes on with the entries after it; if they were gone it would need the next one, and never end.
-Index Machine::KeptFor(base::Millis now) const {
+Index RaftNode::OldestIndexNeeded(base::Millis now) const {
   Index kept = last_index();
   for (const auto& [id, p] : progress_) {
-    if (!HeardWithin(now, id, timing_.election * 2)) continue;
+    if (!ContactedWithin(now, id, timing_.election_timeout * 2)) continue;
     Index from = p.sending ? p.sending->index : p.match;
     if (At(from)) kept = std::min(kept, from - 1);  // itself too: its term is what they fit by
   }
@@ -156,7 +156,7 @@
 
 // Up to which entry the log is cut by a snapshot up to `index` with so many bytes; none if all is
 // still needed.
-std::optional<Index> Machine::DropTo(Index index, size_t state_bytes) const {
+std::optional<Index> RaftNode::TruncationPoint(Index index, size_t state_bytes) const {
   // Whoever is later than the tail gets the snapshot, so a tail that is larger saves nothing.
   size_t tail_bytes = std::max(kTailBytes, state_bytes);
   Index tail = index;
@@ -166,14 +166,14 @@
     tail_bytes -= at->data.size();
     tail = at->index - 1;
   }
-  Index drop_to = std::min(tail, KeptFor(now_));
+  Index drop_to = std::min(tail, OldestIndexNeeded(now_));
   if (drop_to < tail && (log_.empty() || drop_to < log_.front().index)) return std::nullopt;
   return drop_to;
 }
 
-void Machine::Compact(Index index, std::string state) {
+void RaftNode::Compact(Index index, std::string state) {
   if (index <= snapshot_.index || index > applied_) return;
-  std::optional<Index> drop_to = DropTo(index, state.size());
+  std::optional<Index> drop_to = TruncationPoint(index, state.size());
   if (!drop_to) return;
   Snapshot snapshot;
   snapshot.index = index;
@@ -189,7 +189,7 @@
   log_.erase(
       std::remove_if(log_.begin(), log_.end(), [&](const Entry& e) { return e.index <= *drop_to; }),
       log_.end());
-  Persist& write = Write();
+  WriteRequest& write = Write();
   write.snapshot = {snapshot_};
   write.drop_to = *drop_to;
 }
--- a/src/consensus/store.cc
+++ b/src/consensus/store.cc
@@ -126,20 +126,20 @@
     return {};
   }
 
-  base::Result<Restored> Load() override {
-    Restored restored;
+  base::Result<RestoredState> Load() override {
+    RestoredState restored;
     leveldb::ReadOptions options;
     options.verify_checksums = true;
     std::string value;
     leveldb::Status status = db_->Get(options, "hard", &value);
     if (status.IsNotFound()) return restored;
     if (!status.ok()) return base::Failure(Failed("store.open", status));
-    auto hard = wire::Decode<HardState>(value);
-    if (!hard)
+    auto hard_state = wire::Decode<HardState>(value);
+    if (!hard_state)
       return base::Failure(base::ErrorCode::kCorruption, "store.load", "",
                            "the vote can't be read");
     restored.empty = false;
-    restored.hard = *hard;
+    restored.hard_state = *hard_state;
     status = db_->Get(options, "snapshot", &value);
     if (status.ok()) {
       auto snapshot = wire::Decode<Snapshot>(value);
@@ -172,18 +172,18 @@
     return restored;
   }
 
-  base::Status Write(const Persist& write) override {
+  base::Status Write(const WriteRequest& write) override {
     // LevelDB may go on behind a record that is only partly there, and would not find what follows.
     if (refused_) return base::Failure(*refused_);
     leveldb::WriteBatch batch;
-    if (write.hard_changed) batch.Put("hard", wire::Encode(write.hard));
+    if (write.hard_state_changed) batch.Put("hard", wire::Encode(write.hard_state));
     if (!write.snapshot.empty()) batch.Put("snapshot", wire::Encode(write.snapshot[0]));
     if (write.drop_to > 0) Drop(&batch, 0, write.drop_to);
     if (write.truncate_from > 0) Drop(&batch, write.truncate_from, UINT64_MAX);
     for (const Entry& entry : write.entries) batch.Put(EntryKey(entry.index), wire::Encode(entry));
     if (write.commit > 0) batch.Put("commit", wire::Encode(write.commit));
     leveldb::WriteOptions options;
-    options.sync = write.hard_changed || !write.snapshot.empty() || !write.entries.empty() ||
+    options.sync = write.hard_state_changed || !write.snapshot.empty() || !write.entries.empty() ||
                    write.truncate_from > 0;
     leveldb::Status status = db_->Write(options, &batch);
     if (!status.ok()) {
@@ -242,8 +242,8 @@
 
 class MemoryStore : public Store {
  public:
-  base::Result<Restored> Load() override { return Restored(); }
-  base::Status Write(const Persist&) override { return {}; }
+  base::Result<RestoredState> Load() override { return RestoredState(); }
+  base::Status Write(const WriteRequest&) override { return {}; }
 };
 
 }  // namespace
@@ -261,9 +261,9 @@
   return std::unique_ptr<Store>(std::move(store));
 }
 
-bool Unreadable(const base::Error& error) { return error.code == base::ErrorCode::kCorruption; }
+bool IsCorruption(const base::Error& error) { return error.code == base::ErrorCode::kCorruption; }
 
-base::Status MoveAside(const std::string& directory, const FileSystem& files) {
+base::Status Quarantine(const std::string& directory, const FileSystem& files) {
   std::string aside = directory + ".unreadable";
   std::error_code error;
   std::filesystem::remove_all(aside, error);
@@ -289,7 +289,7 @@
   thread_.join();
 }
 
-void StoreThread::Write(Persist write) {
+void StoreThread::Write(WriteRequest write) {
   {
     std::lock_guard<std::mutex> lock(mutex_);
     queue_.push_back(std::move(write));
@@ -304,7 +304,7 @@
 
 void StoreThread::Run() {
   for (;;) {
-    Persist write;
+    WriteRequest write;
     {
       std::unique_lock<std::mutex> lock(mutex_);
       wake_.wait(lock, [this] { return ending_ || !queue_.empty(); });
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -18,10 +18,10 @@
 class Store {
  public:
   virtual ~Store() = default;
-  virtual base::Result<Restored> Load() = 0;
+  virtual base::Result<RestoredState> Load() = 0;
   // On disk, synced, when it returns success. After an error every later write is refused too: the
   // store must be opened anew.
-  virtual base::Status Write(const Persist& write) = 0;
+  virtual base::Status Write(const WriteRequest& write) = 0;
   // Gives back the room of what was dropped, if enough was written since; called between writes.
   virtual void Reclaim() {}
 };
@@ -43,9 +43,9 @@
 // Whether a store, or what Load found in it, is damaged for good. Such a store is no store: the
 // caller moves it aside and begins anew with another identity, which is safe since the old one then
 // never votes again.
-bool Unreadable(const base::Error& error);
+bool IsCorruption(const base::Error& error);
 // Renames the folder of a store to `directory`.unreadable; one that is there gives way.
-base::Status MoveAside(const std::string& directory, const FileSystem& files = RealFileSystem());
+base::Status Quarantine(const std::string& directory, const FileSystem& files = RealFileSystem());
 // For machines without a disk: everything goes with the process.
 std::unique_ptr<Store> MakeMemoryStore();
 
@@ -57,7 +57,7 @@
   using Done = std::function<void(uint64_t sequence, base::Status result)>;
   StoreThread(std::unique_ptr<Store> store, Done done);
   ~StoreThread();
-  void Write(Persist write);
+  void Write(WriteRequest write);
   size_t queued();
 
  private:
@@ -67,7 +67,7 @@
   Done done_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Persist> queue_;
+  std::deque<WriteRequest> queue_;
   bool ending_ = false;
   std::thread thread_;
 };
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -79,7 +79,7 @@
   kLeave,                 // a voter that is about to end gives up its vote
   kLeaveReply,            // granted: what it holds is elsewhere, it may end
   kInstallSnapshotReply,  // how much of it has come; the last part is answered as entries are
-  kLostState,             // to a member that no longer holds what it had acknowledged
+  kStateLost,             // to a member that no longer holds what it had acknowledged
 };
 
 struct Message {
@@ -107,10 +107,10 @@
 };
 
 // One atomic write to the store; later ones are written later.
-struct Persist {
+struct WriteRequest {
   uint64_t sequence = 0;
-  bool hard_changed = false;
-  HardState hard;
+  bool hard_state_changed = false;
+  HardState hard_state;
   Index commit = 0;  // a hint, not synced: what is known to be committed stays so; 0 for none
   Index truncate_from = 0;  // removes this entry and all after it; 0 for none
   std::vector<Entry> entries;
@@ -119,9 +119,9 @@
 };
 
 // What a store holds when it is opened.
-struct Restored {
+struct RestoredState {
   bool empty = true;
-  HardState hard;
+  HardState hard_state;
   Index commit = 0;
   Snapshot snapshot;
   std::vector<Entry> entries;
--- a/src/controller/catalog_reader.cc
+++ b/src/controller/catalog_reader.cc
@@ -17,17 +17,17 @@
 }
 
 std::vector<duty::Candidate> Controller::Candidates(base::Millis now) const {
-  const consensus::Machine& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->machine();
   std::vector<duty::Candidate> candidates;
   for (const consensus::Member& v : m.voters()) {
-    base::Millis heard = m.LastHeard(v.id);
+    base::Millis heard = m.LastContact(v.id);
     candidates.push_back({v.id, heard < 0 ? INT64_MAX : now - heard, v.id == m.self().id});
   }
   return candidates;
 }
 
 void Controller::ReviewDuty(base::Millis now) {
-  if (!settled()) return;
+  if (!HasCommittedInTerm()) return;
   if (auto named = assignment_.Review(now, state_.duty, Candidates(now))) {
     replica_->Propose(MakeCommand(Command::Kind::kDuty, *named));
   }
@@ -43,7 +43,7 @@
 }
 
 void Controller::TellLeader(base::Millis now, const duty::Resignation& resignation) {
-  if (leading()) {
+  if (is_leader()) {
     if (auto named = assignment_.Resigned(now, state_.duty, Candidates(now), resignation)) {
       replica_->Propose(MakeCommand(Command::Kind::kDuty, *named));
     }
@@ -112,16 +112,16 @@
 // Where the freshness of the whole fleet comes from: the leader knows by a majority that nothing
 // was committed without it, the reader of the list that it is still the one.
 void Controller::Vouch(base::Millis now) {
-  const consensus::Machine& machine = replica_->machine();
+  const consensus::RaftNode& machine = replica_->machine();
   std::optional<base::Address> leader, reader;
-  if (auto member = machine.leader(); member && !leading()) leader = member->address();
+  if (auto member = machine.leader(); member && !is_leader()) leader = member->address();
   for (const consensus::Member& voter : machine.voters()) {
     if (voter.id == state_.duty.holder && !HoldsDuty()) reader = voter.address();
   }
   peers_->SetVouchers(leader, reader);
   bool lost = vouch_token_ != 0 && now - vouch_asked_at_ > kVouchPatienceMs;
-  if (!settled() || lost) vouch_token_ = 0;
-  if (settled() && vouch_token_ == 0) {
+  if (!HasCommittedInTerm() || lost) vouch_token_ = 0;
+  if (HasCommittedInTerm() && vouch_token_ == 0) {
     vouch_token_ = next_token_++;
     vouch_asked_at_ = now;
     if (!replica_->ReadByHeartbeat(vouch_token_)) vouch_token_ = 0;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -30,7 +30,7 @@
       settings_(std::move(settings)),
       settings_path_(std::move(settings_path)),
       assignment_(kHolderPatienceMs),
-      life_(base::SystemSeed() | 1) {}
+      life_(base::RandomSeed() | 1) {}
 
 consensus::Replica::Options Controller::ReplicaOptions(std::vector<base::Address> founders) const {
   consensus::Replica::Options options;
@@ -41,8 +41,8 @@
   options.self.zone = settings_.zone;
   options.bootstrap = settings_.bootstrap;
   options.data_dir = settings_.data_dir;
-  options.timing.heartbeat = settings_.raft_heartbeat_ms;
-  options.timing.election = settings_.election_ms;
+  options.timing.heartbeat_interval = settings_.raft_heartbeat_ms;
+  options.timing.election_timeout = settings_.election_ms;
   options.tolerance.machines = static_cast<size_t>(settings_.tolerance_machines);
   options.tolerance.zones = static_cast<size_t>(settings_.tolerance_zones);
   options.tolerance.regions = static_cast<size_t>(settings_.tolerance_regions);
@@ -86,7 +86,7 @@
     replica_->SetOptions(ReplicaOptions({}));
   }
   replica_->Start();
-  for (const auto& [id, node] : peers_->members().nodes()) replica_->NoteZone(node.ip, node.zone);
+  for (const auto& [id, node] : peers_->members().nodes()) replica_->SetZone(node.ip, node.zone);
   return true;
 }
 
@@ -121,7 +121,7 @@
     OnMessage(from, kind, payload);
   };
   hooks.node_changed = [this](const ring::Node& node) {
-    if (replica_) replica_->NoteZone(node.ip, node.zone);
+    if (replica_) replica_->SetZone(node.ip, node.zone);
     Note("node." + std::string(ring::StateName(node.state)), node.address().ToString());
   };
   peers_ =
@@ -192,7 +192,7 @@
     resolution.ttl_s =
         std::min(resolution.ttl_s, std::max<int64_t>(1, static_cast<int64_t>(settings_.ttl_max_s)));
     directory_ = std::make_unique<directory::Directory>(resolution, &peers_->members(),
-                                                        base::SystemSeed(), base::SteadyMillis());
+                                                        base::RandomSeed(), base::SteadyMillis());
     wire::HttpServer::Options directory_options;
     directory_options.limits = [] { return wire::Limits(); };
     directory_options.max_connections = static_cast<size_t>(settings_.max_fds / 4);
@@ -224,7 +224,7 @@
 }
 
 std::optional<std::string> Controller::leader_control() const {
-  auto leader = replica_->machine().LeaderInTouch(base::SteadyMillis());
+  auto leader = replica_->machine().LeaderInContact(base::SteadyMillis());
   if (!leader || leader->control.empty()) return std::nullopt;
   return leader->control;
 }
@@ -276,7 +276,7 @@
       // A log on disks takes in nobody who has none.
       const ring::Node* node = peers_->members().Find(member->address());
       if (!settings_.data_dir.empty() && (!node || !node->durable)) break;
-      if (leading()) {
+      if (is_leader()) {
         replica_->Join(*member);
       } else if (auto leader = replica_->machine().leader();
                  leader && leader->address() != from && leader->address() != member->address()) {
@@ -295,7 +295,7 @@
       break;
     case wire::Kind::kResign: {
       auto m = wire::Decode<duty::Resignation>(payload);
-      if (!m || !leading()) break;
+      if (!m || !is_leader()) break;
       if (auto named = assignment_.Resigned(now, state_.duty, Candidates(now), *m)) {
         replica_->Propose(MakeCommand(Command::Kind::kDuty, *named));
       }
@@ -313,7 +313,7 @@
 }
 
 void Controller::OnConfirm(const base::Address& from, const dissemination::Confirm& confirm) {
-  if (settled() && confirms_.size() < 1024) {
+  if (HasCommittedInTerm() && confirms_.size() < 1024) {
     uint64_t token = next_token_++;
     confirms_[token] = {from, confirm.nonce};
     if (replica_->Read(token)) return;
@@ -321,10 +321,11 @@
   }
   dissemination::ConfirmReply reply;
   reply.nonce = confirm.nonce;
-  if (auto leader = replica_->machine().LeaderInTouch(base::SteadyMillis()); leader && !leading()) {
+  if (auto leader = replica_->machine().LeaderInContact(base::SteadyMillis());
+      leader && !is_leader()) {
     reply.leader_ip = leader->ip;
     reply.leader_port = leader->port;
-  } else if (auto neighbour = peers_->members().NearestDurable(false); neighbour && !leading()) {
+  } else if (auto neighbour = peers_->members().NearestDurable(false); neighbour && !is_leader()) {
     reply.leader_ip = neighbour->ip;
     reply.leader_port = neighbour->port;
   }
@@ -390,13 +391,13 @@
 }
 
 void Controller::RoleChanged() {
-  const consensus::Machine& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->machine();
   auto leader = m.leader();
   base::Info("role.changed", {{"role", consensus::RoleName(m.role())},
                               {"term", m.term()},
                               {"leader", leader ? leader->address().ToString() : "none"}});
   Note("role." + std::string(consensus::RoleName(m.role())), std::to_string(m.term()));
-  if (!leading()) assignment_.Clear();
+  if (!is_leader()) assignment_.Clear();
   operator_->RoleChanged(base::SteadyMillis());
 }
 
@@ -406,7 +407,7 @@
   if (!replica_->started()) return;
   operator_->Tick(now);
   SeekMembership(now);
-  if (leading() && !leaving_) {
+  if (is_leader() && !leaving_) {
     ReviewDuty(now);
     ReviewRollouts(now);
   }
@@ -420,14 +421,15 @@
 }
 
 bool Controller::HearsLeader(base::Millis now) const {
-  const consensus::Machine& m = replica_->machine();
-  return leading() ? settled() && m.LeaderInTouch(now)
-                   : m.leader_heard() != 0 && now - m.leader_heard() < settings_.election_ms * 2;
+  const consensus::RaftNode& m = replica_->machine();
+  return is_leader() ? HasCommittedInTerm() && m.LeaderInContact(now)
+                     : m.last_leader_contact() != 0 &&
+                           now - m.last_leader_contact() < settings_.election_ms * 2;
 }
 
 // A controller that no leader speaks to asks to be taken in, wherever it can.
 void Controller::SeekMembership(base::Millis now) {
-  if (leaving_ || leading() || now < join_at_ || Idle()) return;
+  if (leaving_ || is_leader() || now < join_at_ || Idle()) return;
   if (!replica_->store_reason().empty()) return;
   if (HearsLeader(now)) return;
   join_at_ = now + kJoinEveryMs;
@@ -444,7 +446,7 @@
   leaving_ = true;
   if (directory_server_) directory_server_->SetLeaving(true);
   // The duty's entry goes out before leadership does.
-  leave_.Start(loop_, HoldsDuty() && leading() ? 150 : 0, [this, now] {
+  leave_.Start(loop_, HoldsDuty() && is_leader() ? 150 : 0, [this, now] {
     if (replica_->started()) {
       replica_->Leave();
       replica_->TransferLeadership();
@@ -459,12 +461,12 @@
 // would kill it, and its disk may well come back.
 void Controller::End(base::Millis since) {
   base::Millis waited = base::SteadyMillis() - since;
-  bool departed = !replica_->started() || Idle() || replica_->machine().departed();
-  if (!departed && waited < settings_.grace_s * 1000 - kLeaveMs) {
+  bool may_stop = !replica_->started() || Idle() || replica_->machine().may_stop();
+  if (!may_stop && waited < settings_.grace_s * 1000 - kLeaveMs) {
     leave_.Start(loop_, kTickMs, [this, since] { End(since); });
     return;
   }
-  base::Info("controller.left", {{"departed", departed}, {"waited_ms", waited}});
+  base::Info("controller.left", {{"departed", may_stop}, {"waited_ms", waited}});
   loop_->Stop();
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -44,8 +44,10 @@
   void End(base::Millis since);
 
   // configuration::Log
-  bool settled() const override { return replica_->started() && replica_->machine().settled(); }
-  bool leading() const override { return replica_->started() && replica_->machine().leading(); }
+  bool HasCommittedInTerm() const override {
+    return replica_->started() && replica_->machine().HasCommittedInTerm();
+  }
+  bool is_leader() const override { return replica_->started() && replica_->machine().is_leader(); }
   uint64_t term() const override { return replica_->machine().term(); }
   std::optional<std::string> leader_control() const override;
   bool Read(uint64_t token) override { return replica_->Read(token); }
--- a/src/controller/controller_rollouts.cc
+++ b/src/controller/controller_rollouts.cc
@@ -49,7 +49,7 @@
 }
 
 void Controller::ReviewRollouts(base::Millis now) {
-  if (!settled() || !settings_.VersionsByOrder()) return;
+  if (!HasCommittedInTerm() || !settings_.VersionsByOrder()) return;
   std::vector<rollout::Step> steps;
   if (state_.rollouts.Active()) steps = conductor_.Review(now, state_.rollouts, Watchers());
   for (rollout::Step& step : steps) {
@@ -83,7 +83,7 @@
     proxies.push_back({id, node.reachable()});
   }
   for (const rollout::Vote& vote : watcher_->Tick(now, proxies)) {
-    if (leading()) {
+    if (is_leader()) {
       conductor_.OnVote(now, vote);
     } else if (auto leader = replica_->machine().leader()) {
       peers_->mesh().Send(leader->address(), wire::Kind::kVote, vote);
@@ -100,7 +100,7 @@
   }
   if (Idle() || !replica_->store_reason().empty()) return SendOn(ticket, request.target);
   auto leader = replica_->started() ? leader_control() : std::nullopt;
-  if (!leading() && leader) {
+  if (!is_leader() && leader) {
     wire::Message answer = wire::OwnAnswer(307, "the leader is elsewhere");
     answer.headers.push_back({"Location", "http://" + *leader + request.target});
     control_->Answer(ticket, answer);
@@ -112,7 +112,7 @@
   answer.headers.push_back({"Content-Type", "application/json"});
   answer.body = RolloutsJson(
       query == std::string::npos ? "" : std::string_view(request.target).substr(query + 9));
-  if (answer.body.empty() && leading() && HearsLeader(base::SteadyMillis())) {
+  if (answer.body.empty() && is_leader() && HearsLeader(base::SteadyMillis())) {
     answer = wire::OwnAnswer(404, "no roll-out of this service was ordered");
   } else if (answer.body.empty()) {
     answer = wire::OwnAnswer(503, "no leader is known, and here none was ordered");
--- a/src/controller/controller_status.cc
+++ b/src/controller/controller_status.cc
@@ -97,7 +97,7 @@
   w.StartObject();
   text("node", settings_.node_name);
   w.Key("settled");
-  w.Bool(leading() && HearsLeader(now));
+  w.Bool(is_leader() && HearsLeader(now));
   w.Key("by-order");
   w.Bool(settings_.VersionsByOrder());
   w.Key("in-force");
@@ -167,7 +167,7 @@
 // What the log's machine knows.
 void Controller::WriteLog(JsonText* json) const {
   base::Millis now = base::SteadyMillis();
-  const consensus::Machine& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->machine();
   JsonText::Writer& w = json->writer;
   auto text = [&](const char* key, const std::string& value) { json->Text(key, value); };
   auto number = [&](const char* key, int64_t value) { json->Number(key, value); };
@@ -191,7 +191,7 @@
     w.StartObject();
     text("address", v.address().ToString());
     text("control", v.control);
-    if (leading()) number("silent-ms", m.LastHeard(v.id) < 0 ? -1 : now - m.LastHeard(v.id));
+    if (is_leader()) number("silent-ms", m.LastContact(v.id) < 0 ? -1 : now - m.LastContact(v.id));
     w.EndObject();
   }
   w.EndArray();
--- a/src/dissemination/peers.cc
+++ b/src/dissemination/peers.cc
@@ -23,12 +23,12 @@
   self.id = base::Hash(self.address().ToString());
   self.program = program;
   self.zone = settings.zone;
-  self.life = base::SystemSeed();
+  self.life = base::RandomSeed();
   self.front = program == ring::Program::kProxy ? settings.front.port : 0;
   self.durable = program == ring::Program::kController && !settings.data_dir.empty();
   options.regions = settings.zones;
   options.heartbeat = settings.heartbeat_ms;
-  options.seed = base::SystemSeed();
+  options.seed = base::RandomSeed();
   return options;
 }
 
@@ -48,7 +48,7 @@
   base::Millis bound = settings.PropagationMs();
   options.max_age = program == ring::Program::kController ? bound / 3 : bound * 3 / 5;
   options.seeds = SeedNodes(settings, program);
-  options.seed = base::SystemSeed();
+  options.seed = base::RandomSeed();
   options.digest_every = settings.digest_ms;
   return options;
 }
--- a/src/forwarding/front.cc
+++ b/src/forwarding/front.cc
@@ -72,7 +72,7 @@
             options.regions = settings.zones;
             return options;
           }(),
-          &services_, &regions_, base::SystemSeed()),
+          &services_, &regions_, base::RandomSeed()),
       demand_(settings.zone),
       gate_([&] {
         rollout::Gate::Options options;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -30,7 +30,7 @@
     : loop_(loop),
       settings_(std::move(settings)),
       settings_path_(std::move(settings_path)),
-      confirmation_(base::SystemSeed()) {
+      confirmation_(base::RandomSeed()) {
   readiness::Readiness::Options options;
   options.grace = settings_.grace_s * 1000;
   // Clients of a directory keep an answer up to three times as long as it says.
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -247,8 +247,8 @@
 // A log whose every step the test takes.
 class FakeLog : public Log {
  public:
-  bool settled() const override { return settled_; }
-  bool leading() const override { return leading_; }
+  bool HasCommittedInTerm() const override { return settled_; }
+  bool is_leader() const override { return leading_; }
   uint64_t term() const override { return term_; }
   std::optional<std::string> leader_control() const override { return leader_; }
   bool Read(uint64_t token) override {
@@ -393,7 +393,7 @@
 
 TEST_F(OperatorApiTest, SendsCallersOnWhenItDoesNotLead) {
   struct Case {
-    bool leading, settled;
+    bool is_leader, HasCommittedInTerm;
     std::optional<std::string> leader;
     int status;
   } cases[] = {
@@ -403,8 +403,8 @@
   };
   uint64_t ticket = 10;
   for (const Case& c : cases) {
-    log_.leading_ = c.leading;
-    log_.settled_ = c.settled;
+    log_.leading_ = c.is_leader;
+    log_.settled_ = c.HasCommittedInTerm;
     log_.leader_ = c.leader;
     api_.OnRequest(0, ++ticket, Call("GET", "", ""));
     EXPECT_EQ(StatusOf(ticket), c.status);
@@ -484,7 +484,7 @@
     const char* name;
     const char* method;
     const char* zone;
-    bool leading;
+    bool is_leader;
     int status;      // 0: it waits for the log
     bool commit;     // what it proposed is committed
     bool evacuated;  // in the end
@@ -502,7 +502,7 @@
   uint64_t ticket = 100;
   for (const Case& c : cases) {
     size_t before = log_.orders_.size();
-    log_.leading_ = log_.settled_ = c.leading;
+    log_.leading_ = log_.settled_ = c.is_leader;
     api_.OnRequest(0, ++ticket, order(c.method, c.zone));
     ConfirmReads();
     EXPECT_EQ(log_.orders_.size() - before, c.commit || c.status == 0 ? 1u : 0u) << c.name;
--- a/tests/consensus_store_test.cc
+++ b/tests/consensus_store_test.cc
@@ -12,7 +12,7 @@
 #include <thread>
 
 #include "base/random.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "consensus/store.h"
 
 namespace elderkeel::consensus {
@@ -22,20 +22,20 @@
  protected:
   StoreTest()
       : path_(std::filesystem::temp_directory_path() /
-              ("elderkeel-store-" + std::to_string(base::SystemSeed()))) {}
+              ("elderkeel-store-" + std::to_string(base::RandomSeed()))) {}
   ~StoreTest() override { std::filesystem::remove_all(path_); }
 
   Entry Make(Index index, Term term) {
     return Entry{term, index, EntryKind::kCommand, "d" + std::to_string(index)};
   }
-  Restored Reload() {
+  RestoredState Reload() {
     auto store = OpenDiskStore(path_.string());
     EXPECT_TRUE(store.has_value());
     auto restored = (*store)->Load();
     EXPECT_TRUE(restored.has_value()) << restored.error().reason;
     return *restored;
   }
-  void Write(const Persist& write) {
+  void Write(const WriteRequest& write) {
     auto store = OpenDiskStore(path_.string());
     ASSERT_TRUE(store.has_value());
     ASSERT_TRUE((*store)->Write(write).has_value());
@@ -45,25 +45,25 @@
 
 TEST_F(StoreTest, HoldsVoteEntriesAndSnapshotOverOpenings) {
   EXPECT_TRUE(Reload().empty);
-  Persist first;
-  first.hard_changed = true;
-  first.hard = {7, 8, 3, 9};
+  WriteRequest first;
+  first.hard_state_changed = true;
+  first.hard_state = {7, 8, 3, 9};
   first.snapshot = {Snapshot{2, 1, {}, "state"}};
   first.entries = {Make(3, 2), Make(4, 2), Make(5, 2)};
   Write(first);
-  Persist second;  // another leader's entries replace 5, and more follow
+  WriteRequest second;  // another leader's entries replace 5, and more follow
   second.truncate_from = 5;
   second.entries = {Make(5, 3), Make(6, 3)};
   second.commit = 4;
   Write(second);
-  Restored restored = Reload();
+  RestoredState restored = Reload();
   EXPECT_FALSE(restored.empty);
-  EXPECT_EQ(restored.hard.voted_for, 9u);
+  EXPECT_EQ(restored.hard_state.voted_for, 9u);
   EXPECT_EQ(restored.commit, 4u);
   EXPECT_EQ(restored.snapshot.state, "state");
   ASSERT_EQ(restored.entries.size(), 4u);
   EXPECT_EQ(restored.entries[2].term, 3u);
-  Persist third;
+  WriteRequest third;
   third.snapshot = {Snapshot{5, 3, {}, "newer"}};
   third.drop_to = 4;
   Write(third);
@@ -74,9 +74,9 @@
 }
 
 TEST_F(StoreTest, SaysWhenItCannotBeRead) {
-  Persist write;
-  write.hard_changed = true;
-  write.hard = {1, 2, 3, 4};
+  WriteRequest write;
+  write.hard_state_changed = true;
+  write.hard_state = {1, 2, 3, 4};
   write.entries = {Make(1, 1), Make(3, 1)};  // a gap
   Write(write);
   auto store = OpenDiskStore(path_.string());
@@ -91,21 +91,21 @@
 }
 
 TEST_F(StoreTest, MovesAsideOnlyWhatIsDamaged) {
-  Persist write;
-  write.hard_changed = true;
-  write.hard = {1, 2, 3, 4};
+  WriteRequest write;
+  write.hard_state_changed = true;
+  write.hard_state = {1, 2, 3, 4};
   Write(write);
   auto first = OpenDiskStore(path_.string());
   ASSERT_TRUE(first.has_value());
   auto second = OpenDiskStore(path_.string());  // the first one's lock will go
   ASSERT_FALSE(second.has_value());
-  EXPECT_FALSE(Unreadable(second.error()));
+  EXPECT_FALSE(IsCorruption(second.error()));
   first->reset();
   std::ofstream(path_ / "CURRENT") << "nonsense";
   auto damaged = OpenDiskStore(path_.string());
   ASSERT_FALSE(damaged.has_value());
-  EXPECT_TRUE(Unreadable(damaged.error()));
-  ASSERT_TRUE(MoveAside(path_.string()).has_value());
+  EXPECT_TRUE(IsCorruption(damaged.error()));
+  ASSERT_TRUE(Quarantine(path_.string()).has_value());
   EXPECT_TRUE(std::filesystem::exists(path_.string() + ".unreadable/CURRENT"));
   EXPECT_TRUE(Reload().empty);
   std::filesystem::remove_all(path_.string() + ".unreadable");
@@ -121,9 +121,9 @@
       done.push_back(sequence);
     });
     for (uint64_t i = 1; i <= 20; ++i) {
-      Persist write;
+      WriteRequest write;
       write.sequence = i;
-      write.hard_changed = true;
+      write.hard_state_changed = true;
       write.entries = {Make(i, 1)};
       thread.Write(write);
     }
@@ -210,12 +210,12 @@
   db.reset();
 
   for (int openings = 0; openings < 2; ++openings) {  // as it was, and once rewritten
-    Restored restored = Reload();
+    RestoredState restored = Reload();
     EXPECT_FALSE(restored.empty);
-    EXPECT_EQ(restored.hard.cluster, 7u);
-    EXPECT_EQ(restored.hard.self, 8u);
-    EXPECT_EQ(restored.hard.term, 5u);
-    EXPECT_EQ(restored.hard.voted_for, 9u);
+    EXPECT_EQ(restored.hard_state.cluster, 7u);
+    EXPECT_EQ(restored.hard_state.self, 8u);
+    EXPECT_EQ(restored.hard_state.term, 5u);
+    EXPECT_EQ(restored.hard_state.voted_for, 9u);
     EXPECT_EQ(restored.commit, 290u);
     EXPECT_EQ(restored.snapshot.index, 40u);
     EXPECT_EQ(restored.snapshot.term, 3u);
@@ -256,21 +256,21 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
   });
-  Machine::Options options;
+  RaftNode::Options options;
   options.self.id = 1;
   options.founders = {options.self};
   options.cluster = 7;
-  Machine machine(options, Restored(), 0);
+  RaftNode machine(options, RestoredState(), 0);
   size_t log_bytes = 0, log_size = 0;
   base::Millis longest = 0;
   std::string state(2 * kState, 's');  // the configuration in force, and the newest change
   auto work = [&] {
     for (bool any = true; any;) {
-      Machine::Effects effects = machine.Take();
+      RaftNode::Effects effects = machine.Take();
       any = !effects.writes.empty();
-      for (const Persist& write : effects.writes) {
+      for (const WriteRequest& write : effects.writes) {
         auto written = (*store)->Write(write);
-        machine.Persisted(0, write.sequence, written.has_value());
+        machine.OnWriteFinished(0, write.sequence, written.has_value());
         base::Millis begun = base::SteadyMillis();
         (*store)->Reclaim();
         longest = std::max(longest, base::SteadyMillis() - begun);
@@ -282,7 +282,7 @@
       log_size = std::max(log_size, machine.log_size());
     }
   };
-  for (base::Millis now = 0; !machine.settled() && now < 5000; now += 30) {
+  for (base::Millis now = 0; !machine.HasCommittedInTerm() && now < 5000; now += 30) {
     machine.Tick(now);
     work();
   }
@@ -299,7 +299,7 @@
   EXPECT_LT(log_bytes, 8u << 20);
   EXPECT_LE(log_size, 97u);
   store->reset();
-  Restored restored = Reload();
+  RestoredState restored = Reload();
   EXPECT_EQ(restored.snapshot.index, machine.snapshot_index());
   ASSERT_FALSE(restored.entries.empty());
   EXPECT_EQ(restored.entries.back().index, machine.last_index());
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -6,7 +6,7 @@
 #include <map>
 #include <memory>
 
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "wire/frame.h"
 
 // The consensus machine by itself: messages as a network may deliver them (late, twice, out of
@@ -27,9 +27,9 @@
 }
 
 // What a store would hold after `write`.
-void Store(Restored* disk, const Persist& write) {
+void Store(RestoredState* disk, const WriteRequest& write) {
   disk->empty = false;
-  if (write.hard_changed) disk->hard = write.hard;
+  if (write.hard_state_changed) disk->hard_state = write.hard_state;
   if (!write.snapshot.empty()) disk->snapshot = write.snapshot[0];
   auto drop = [&](auto gone) {
     disk->entries.erase(std::remove_if(disk->entries.begin(), disk->entries.end(), gone),
@@ -41,16 +41,16 @@
   if (write.commit) disk->commit = write.commit;
 }
 
-Index LastOf(const Restored& disk) {
+Index LastOf(const RestoredState& disk) {
   return disk.entries.empty() ? disk.snapshot.index : disk.entries.back().index;
 }
 
 // A member of three with its disk. Its writes are synced as soon as they are made.
 struct Node {
   // `joiner`: the id under which it begins anew at that place; 0 for a founder.
-  explicit Node(MemberId id, Restored restored = {}, Millis now = 0, MemberId joiner = 0)
+  explicit Node(MemberId id, RestoredState restored = {}, Millis now = 0, MemberId joiner = 0)
       : disk(std::move(restored)) {
-    Machine::Options options;
+    RaftNode::Options options;
     options.self = Founder(id);
     if (joiner) {
       options.self.id = joiner;
@@ -59,17 +59,17 @@
       for (MemberId k = 1; k <= 3; ++k) options.founders.push_back(Founder(k));
     }
     options.seed = id;
-    machine = std::make_unique<Machine>(options, disk, now);
+    machine = std::make_unique<RaftNode>(options, disk, now);
     Take(now);
   }
   // Syncs what is to be written; all messages up to now.
   std::vector<Message> Take(Millis now) {
     std::vector<Message> messages;
     for (;;) {
-      Machine::Effects e = machine->Take();
+      RaftNode::Effects e = machine->Take();
       discard_store |= e.discard_store;
-      for (const Member& m : e.lost_state) lost.push_back(m.id);
-      reads.insert(reads.end(), e.reads_ready.begin(), e.reads_ready.end());
+      for (const Member& m : e.state_lost) lost.push_back(m.id);
+      reads.insert(reads.end(), e.confirmed_reads.begin(), e.confirmed_reads.end());
       if (e.messages.empty() && e.writes.empty() && e.committed.empty() && e.installed.empty()) {
         break;
       }
@@ -82,7 +82,7 @@
       for (const auto& write : e.writes) {
         if (hangs) continue;
         Store(&disk, write);
-        machine->Persisted(now, write.sequence, true);
+        machine->OnWriteFinished(now, write.sequence, true);
       }
     }
     return messages;
@@ -96,8 +96,8 @@
     return Take(now);
   }
 
-  Restored disk;
-  std::unique_ptr<Machine> machine;
+  RestoredState disk;
+  std::unique_ptr<RaftNode> machine;
   std::vector<Snapshot> installed;
   Index applied = 0;
   std::vector<MemberId> lost;  // as it named them
@@ -216,7 +216,7 @@
     node.Receive(10, Entries(2, 1, 2, 5, 1, 1));
     node.Receive(20, Entries(2, 2, 6, 9, 5, 4));
     node.Receive(30, Entries(2, 2, 10, 9, 5, 5));
-    Restored disk = node.disk;
+    RestoredState disk = node.disk;
     for (int twice = 0; twice < 2; ++twice) {
       for (const Message& reply : node.Receive(400, c.message)) {
         EXPECT_EQ(reply.type, MessageType::kAppendEntriesReply);
@@ -226,8 +226,8 @@
     EXPECT_EQ(node.machine->term(), 2u);
     EXPECT_EQ(node.machine->last_index(), 9u);
     EXPECT_EQ(node.machine->commit(), 5u);
-    EXPECT_EQ(node.machine->leader_heard(), 30);
-    EXPECT_EQ(node.disk.hard.term, 2u);
+    EXPECT_EQ(node.machine->last_leader_contact(), 30);
+    EXPECT_EQ(node.disk.hard_state.term, 2u);
     EXPECT_EQ(LastOf(node.disk), LastOf(disk));
     // Its election is due when it would have been without them.
     Millis due = 0;
@@ -275,10 +275,10 @@
 // A leader, 1 of three, with members whose answers the test gives.
 struct Leader : Node {
   Leader() : Node(1) {
-    for (; now < 5000 && !machine->settled(); now += 10) {
+    for (; now < 5000 && !machine->HasCommittedInTerm(); now += 10) {
       for (const Message& m : Node::Tick(now)) Grant(m);
     }
-    EXPECT_TRUE(machine->settled());
+    EXPECT_TRUE(machine->HasCommittedInTerm());
   }
   // As a member that is as it should be answers.
   void Grant(const Message& m) {
@@ -322,7 +322,7 @@
     for (const auto& [to, m] : leader.Heartbeat()) {
       if (to != 9) leader.Grant(m);
     }
-    ASSERT_TRUE(leader.machine->leading());
+    ASSERT_TRUE(leader.machine->is_leader());
     for (const Member& v : leader.machine->voters()) EXPECT_NE(v.id, 9u);
   }
 }
@@ -407,7 +407,7 @@
   sent = leader.Receive(leader.now, Reply(probe, false, index - 1));
   ASSERT_EQ(leader.lost, std::vector<MemberId>{2});
   ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(sent[0].type, MessageType::kLostState);
+  EXPECT_EQ(sent[0].type, MessageType::kStateLost);
   // Whatever it acknowledges now: its copy is none.
   sent = leader.Propose("y");
   Message later = probe;
@@ -422,12 +422,12 @@
   // Nor is its voice one of a majority: the leader hears nobody else, and gives up.
   for (int k = 0; k < 30; ++k) {
     for (const auto& [to, m] : leader.Heartbeat()) {
-      if (to != 2 || !leader.machine->leading()) continue;
-      EXPECT_EQ(m.type, MessageType::kLostState);
+      if (to != 2 || !leader.machine->is_leader()) continue;
+      EXPECT_EQ(m.type, MessageType::kStateLost);
       leader.Receive(leader.now, Reply(m, true, index + 1));
     }
   }
-  EXPECT_FALSE(leader.machine->leading());
+  EXPECT_FALSE(leader.machine->is_leader());
   EXPECT_EQ(leader.lost.size(), 1u);
 }
 
@@ -436,7 +436,7 @@
   Leader leader;
   leader.hangs = true;
   ASSERT_TRUE(leader.machine->Propose(leader.now, "x").has_value());
-  Machine::Effects e = leader.machine->Take();
+  RaftNode::Effects e = leader.machine->Take();
   ASSERT_EQ(e.writes.size(), 1u);
   Message entries;
   for (const auto& out : e.messages) {
@@ -447,7 +447,7 @@
   Message probe = leader.Heartbeat()[2];
   leader.Receive(leader.now, Reply(probe, false, index - 1));
   EXPECT_EQ(leader.lost, std::vector<MemberId>{2});
-  leader.machine->Persisted(leader.now, e.writes[0].sequence, true);
+  leader.machine->OnWriteFinished(leader.now, e.writes[0].sequence, true);
   EXPECT_EQ(leader.machine->commit(), index - 1);
 }
 
@@ -455,13 +455,13 @@
 TEST(Follower, EndsItsIdentityWhenToldThatItLostState) {
   Node node(2);
   node.Receive(10, Entries(2, 1, 2, 5, 1, 1));
-  Message old = From(1, 2, MessageType::kLostState, 1);
+  Message old = From(1, 2, MessageType::kStateLost, 1);
   node.Receive(20, old);
-  Message other = From(1, 3, MessageType::kLostState, 2);
+  Message other = From(1, 3, MessageType::kStateLost, 2);
   node.Receive(20, other);
-  EXPECT_FALSE(node.machine->broken());
-  node.Receive(30, From(1, 2, MessageType::kLostState, 2));
-  EXPECT_TRUE(node.machine->broken());
+  EXPECT_FALSE(node.machine->storage_failed());
+  node.Receive(30, From(1, 2, MessageType::kStateLost, 2));
+  EXPECT_TRUE(node.machine->storage_failed());
   EXPECT_TRUE(node.discard_store);
   EXPECT_TRUE(node.Receive(40, Entries(2, 2, 6, 6, 1, 3)).empty());
   for (Millis now = 50; now < 3000; now += 10) EXPECT_TRUE(node.Tick(now).empty());
@@ -481,7 +481,7 @@
   }
   Node* leader() {
     for (auto& node : nodes) {
-      if (node && node->machine->settled()) return node.get();
+      if (node && node->machine->HasCommittedInTerm()) return node.get();
     }
     return nullptr;
   }
@@ -549,7 +549,7 @@
   ASSERT_NE(leader, nullptr);
   size_t slot = leader->machine->self().id == 2 ? 2 : 1;
   MemberId id = slot + 1;
-  Restored before = cluster.nodes[slot]->disk;
+  RestoredState before = cluster.nodes[slot]->disk;
   ASSERT_TRUE(leader->machine->Propose(cluster.now, "x").has_value());
   cluster.Run(500);
   Index acknowledged = leader->machine->commit();
@@ -560,7 +560,7 @@
   cluster.Run(300);
   EXPECT_EQ(leader->lost, std::vector<MemberId>{id});
   EXPECT_TRUE(cluster.nodes[slot]->discard_store);
-  cluster.nodes[slot] = std::make_unique<Node>(id, Restored(), cluster.now, 77);
+  cluster.nodes[slot] = std::make_unique<Node>(id, RestoredState(), cluster.now, 77);
   leader->machine->Join(cluster.now, cluster.nodes[slot]->machine->self());
   cluster.Run(2000);
   EXPECT_EQ(cluster.leader(), leader);
@@ -772,7 +772,7 @@
     Node* leader = cluster.leader();
     ASSERT_NE(leader, nullptr);
     size_t slot = leader->machine->self().id == 2 ? 2 : 1;
-    cluster.nodes[slot] = std::make_unique<Node>(slot + 1, Restored(), cluster.now, 77);
+    cluster.nodes[slot] = std::make_unique<Node>(slot + 1, RestoredState(), cluster.now, 77);
     leader->machine->Join(cluster.now, cluster.nodes[slot]->machine->self());
     Millis begun = cluster.now;
     while (cluster.now - begun < 3000 && !leader->machine->IsVoter(77)) {
--- a/tests/cut_test.cc
+++ b/tests/cut_test.cc
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "configuration/operator_api.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "dissemination/confirm.h"
 #include "simulation.h"
 
@@ -98,9 +98,9 @@
     }
     options_.self = options_.founders[0];
     options_.cluster = 7;
-    machine_ = std::make_unique<consensus::Machine>(options_, consensus::Restored(), 0);
+    machine_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
   }
-  consensus::Machine& machine() { return *machine_; }
+  consensus::RaftNode& machine() { return *machine_; }
   // What a member would answer.
   static consensus::Message ReplyTo(const consensus::Message& m) {
     consensus::Message reply = m;
@@ -125,7 +125,7 @@
     for (int k = 0; k < 3; ++k) {
       auto effects = machine_->Take();
       Note(effects);
-      for (const auto& write : effects.writes) machine_->Persisted(now, write.sequence, true);
+      for (const auto& write : effects.writes) machine_->OnWriteFinished(now, write.sequence, true);
       for (const auto& out : effects.messages) {
         if (answered) machine_->Receive(now, ReplyTo(out.message), out.to);
       }
@@ -133,9 +133,9 @@
     Note(machine_->Take());
   }
   void Lead() {
-    for (int k = 0; k < 300 && !machine_->settled(); ++k) Turn(true);
+    for (int k = 0; k < 300 && !machine_->HasCommittedInTerm(); ++k) Turn(true);
     for (int k = 0; k < 20; ++k) Turn(true);
-    ASSERT_TRUE(machine_->settled());
+    ASSERT_TRUE(machine_->HasCommittedInTerm());
   }
   // Member 2 leads, and is heard.
   void Follow(consensus::Term term) {
@@ -149,17 +149,17 @@
     machine_->Receive(now, m, {"10.0.0.2", 7200});
     Note(machine_->Take());
   }
-  void Note(const consensus::Machine::Effects& effects) {
-    for (uint64_t token : effects.reads_ready) ready.push_back(token);
-    for (uint64_t token : effects.reads_failed) failed.push_back(token);
+  void Note(const consensus::RaftNode::Effects& effects) {
+    for (uint64_t token : effects.confirmed_reads) ready.push_back(token);
+    for (uint64_t token : effects.failed_reads) failed.push_back(token);
   }
 
   Millis now = 0;
   std::vector<uint64_t> ready, failed;
 
  private:
-  consensus::Machine::Options options_;
-  std::unique_ptr<consensus::Machine> machine_;
+  consensus::RaftNode::Options options_;
+  std::unique_ptr<consensus::RaftNode> machine_;
 };
 
 // A leader sleeps for ten seconds. Whatever it is given first when it wakes, replies from before
@@ -177,7 +177,8 @@
        }},
       {"a read", [](Founders& f, const auto&) { EXPECT_FALSE(f.machine().Read(f.now, 9)); }},
       {"a change", [](Founders& f, const auto&) { EXPECT_FALSE(f.machine().Propose(f.now, "x")); }},
-      {"a finished write", [](Founders& f, const auto&) { f.machine().Persisted(f.now, 1, true); }},
+      {"a finished write",
+       [](Founders& f, const auto&) { f.machine().OnWriteFinished(f.now, 1, true); }},
       {"a joiner",
        [](Founders& f, const auto&) {
          consensus::Member m;
@@ -188,17 +189,17 @@
   for (const Case& c : cases) {
     Founders f;
     f.Lead();
-    EXPECT_EQ(f.machine().LeaderInTouch(f.now)->id, 1u);
+    EXPECT_EQ(f.machine().LeaderInContact(f.now)->id, 1u);
     ASSERT_TRUE(f.machine().Read(f.now, 5));
     auto effects = f.machine().Take();
     ASSERT_FALSE(effects.messages.empty());
     consensus::Message waited = Founders::ReplyTo(effects.messages[0].message);
     f.now += 10000;
-    EXPECT_FALSE(f.machine().LeaderInTouch(f.now)) << c.name;
+    EXPECT_FALSE(f.machine().LeaderInContact(f.now)) << c.name;
     c.first(f, waited);
     f.Note(f.machine().Take());
-    EXPECT_FALSE(f.machine().leading()) << c.name;
-    EXPECT_FALSE(f.machine().LeaderInTouch(f.now)) << c.name;
+    EXPECT_FALSE(f.machine().is_leader()) << c.name;
+    EXPECT_FALSE(f.machine().LeaderInContact(f.now)) << c.name;
     EXPECT_TRUE(f.ready.empty()) << c.name;
     EXPECT_EQ(f.failed, std::vector<uint64_t>{5}) << c.name;
   }
@@ -210,13 +211,13 @@
   Founders follower;
   follower.Follow(2);
   Millis heard = follower.now;
-  ASSERT_EQ(follower.machine().LeaderInTouch(follower.now)->control, "10.0.0.2:8080");
+  ASSERT_EQ(follower.machine().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
   while (follower.now < heard + 1000) {
     follower.Turn(false);
-    bool named = follower.machine().LeaderInTouch(follower.now).has_value();
+    bool named = follower.machine().LeaderInContact(follower.now).has_value();
     // It may ask for votes before, and then names nobody; it never names the silent one later.
-    if (follower.now - heard > timing.election) EXPECT_FALSE(named) << follower.now;
-    if (follower.now - heard < timing.heartbeat * 3) EXPECT_TRUE(named) << follower.now;
+    if (follower.now - heard > timing.election_timeout) EXPECT_FALSE(named) << follower.now;
+    if (follower.now - heard < timing.heartbeat_interval * 3) EXPECT_TRUE(named) << follower.now;
   }
   Founders leader;
   leader.Lead();
@@ -224,12 +225,12 @@
   while (leader.now < answered + 2000) {
     leader.Turn(false);
     Millis silent = leader.now - answered;
-    if (silent > timing.election) {
-      EXPECT_FALSE(leader.machine().LeaderInTouch(leader.now)) << silent;
+    if (silent > timing.election_timeout) {
+      EXPECT_FALSE(leader.machine().LeaderInContact(leader.now)) << silent;
     }
     // The last answer came within a heartbeat before the silence.
-    if (silent > timing.election * 2) EXPECT_FALSE(leader.machine().leading()) << silent;
-    if (silent < timing.election) EXPECT_TRUE(leader.machine().leading()) << silent;
+    if (silent > timing.election_timeout * 2) EXPECT_FALSE(leader.machine().is_leader()) << silent;
+    if (silent < timing.election_timeout) EXPECT_TRUE(leader.machine().is_leader()) << silent;
   }
   // One that was told to take over names nobody, least of all the one that handed over.
   Founders successor;
@@ -241,7 +242,7 @@
   take.to = 1;
   take.term = 2;
   successor.machine().Receive(successor.now, take, {"10.0.0.2", 7200});
-  EXPECT_FALSE(successor.machine().LeaderInTouch(successor.now));
+  EXPECT_FALSE(successor.machine().LeaderInContact(successor.now));
 }
 
 // A proxy's lease on the new version is renewed by a watcher that knows at least as much, of the
@@ -361,11 +362,11 @@
     Desk(Desks* all, size_t i) : all(all), i(i) {}
     World::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
-    bool settled() const override { return node().machine->settled(); }
-    bool leading() const override { return node().machine->leading(); }
+    bool HasCommittedInTerm() const override { return node().machine->HasCommittedInTerm(); }
+    bool is_leader() const override { return node().machine->is_leader(); }
     uint64_t term() const override { return node().machine->term(); }
     std::optional<std::string> leader_control() const override {
-      auto leader = node().machine->LeaderInTouch(now());
+      auto leader = node().machine->LeaderInContact(now());
       if (!leader) return std::nullopt;
       return leader->ip;
     }
@@ -589,7 +590,7 @@
       }
       for (size_t i = 0; i < kControllers; ++i) {
         const World::Node& n = world_.node(i);
-        if (n.up && n.machine && n.machine->leading()) led_at_[i] = world_.now;
+        if (n.up && n.machine && n.machine->is_leader()) led_at_[i] = world_.now;
       }
       if (world_.now % 50 == 0) desks_.Tick();
       for (Caller& c : callers_) {
--- a/tests/golden_test.cc
+++ b/tests/golden_test.cc
@@ -134,7 +134,7 @@
 TEST(Golden, ConsensusFrames) {
   Golden golden("golden_consensus.txt");
   golden.AddEncoded("member", MakeMember(9));
-  for (int type = 0; type <= static_cast<int>(consensus::MessageType::kLostState); ++type) {
+  for (int type = 0; type <= static_cast<int>(consensus::MessageType::kStateLost); ++type) {
     consensus::Message message;
     message.type = static_cast<consensus::MessageType>(type);
     message.cluster = 77;
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -153,7 +153,7 @@
     world.Leave(static_cast<size_t>(leader));
     world.Run(2500);
     EXPECT_FALSE(world.node(static_cast<size_t>(leader)).up &&
-                 world.node(static_cast<size_t>(leader)).machine->leading());
+                 world.node(static_cast<size_t>(leader)).machine->is_leader());
     EXPECT_EQ(world.fault, "");
   }
 }
--- a/tests/model_checker.h
+++ b/tests/model_checker.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/random.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "wire/frame.h"
 
 namespace elderkeel::model {
@@ -22,15 +22,15 @@
 using base::Millis;
 using consensus::Entry;
 using consensus::Index;
-using consensus::Machine;
 using consensus::Member;
 using consensus::MemberId;
 using consensus::Message;
 using consensus::MessageType;
-using consensus::Persist;
-using consensus::Restored;
+using consensus::RaftNode;
+using consensus::RestoredState;
 using consensus::Snapshot;
 using consensus::Term;
+using consensus::WriteRequest;
 
 // An order-dependent digest of 64 bits. With ten million states the chance that any two different
 // ones share a digest, and one of them is passed over, is about three in a million.
@@ -85,9 +85,9 @@
   for (const Snapshot& s : m.snapshot) AddTo(&d, s);
   return d.value();
 }
-inline void AddTo(Digest* d, const Persist& w) {
-  d->Add(w.hard_changed, w.commit, w.truncate_from, w.drop_to, w.snapshot.size());
-  if (w.hard_changed) AddTo(d, w.hard);
+inline void AddTo(Digest* d, const WriteRequest& w) {
+  d->Add(w.hard_state_changed, w.commit, w.truncate_from, w.drop_to, w.snapshot.size());
+  if (w.hard_state_changed) AddTo(d, w.hard_state);
   AddTo(d, w.entries);
   for (const Snapshot& s : w.snapshot) AddTo(d, s);
 }
@@ -97,57 +97,58 @@
 namespace elderkeel::consensus {
 
 // What the checker reads of a machine and nobody else may.
-struct MachineProbe {
-  static const HardState& hard(const Machine& m) { return m.hard_; }
-  static const Snapshot& snapshot(const Machine& m) { return m.snapshot_; }
-  static base::Millis election_at(const Machine& m) { return m.election_at_; }
-  static base::Millis heartbeat_at(const Machine& m) { return m.heartbeat_at_; }
+struct RaftNodeProbe {
+  static const HardState& hard_state(const RaftNode& m) { return m.hard_state_; }
+  static const Snapshot& snapshot(const RaftNode& m) { return m.snapshot_; }
+  static base::Millis election_at(const RaftNode& m) { return m.election_at_; }
+  static base::Millis heartbeat_at(const RaftNode& m) { return m.heartbeat_at_; }
 
   // Everything that the machine's behaviour depends on, with these abstractions: of times only what
   // the code compares them with (a leader is heard or not, a member silent so long or not, a disk
   // stuck or not); the state of the random generator isn't told apart, since a tick goes to the
   // time-out whatever was drawn; numbers of writes are counted from the last finished one. Rounds
   // are taken as they are, though only their order matters. Reads aren't walked.
-  static uint64_t DigestOf(const Machine& m, base::Millis now) {
+  static uint64_t DigestOf(const RaftNode& m, base::Millis now) {
     model::Digest d;
-    d.Add(m.self_.id, m.role_, m.term_, m.commit_, m.applied_, m.commit_told_, m.persisted_,
-          m.broken_, m.fresh_, m.leader_id_, m.write_sequence_ - m.written_, m.disk_stuck(now),
-          m.round_, m.heard_round_, m.pre_vote_round_, m.leaving_, m.departed_,
-          m.leaving_ && now >= m.leave_at_, m.incoming_.has_value());
+    d.Add(m.self_.id, m.role_, m.term_, m.commit_, m.applied_, m.recorded_commit_, m.durable_index_,
+          m.storage_failed_, m.no_leader_seen_, m.leader_id_, m.write_sequence_ - m.finished_write_,
+          m.IsDiskStalled(now), m.round_, m.last_leader_round_, m.pre_vote_round_, m.leaving_,
+          m.may_stop_, m.leaving_ && now >= m.leave_retry_at_, m.incoming_.has_value());
     if (m.incoming_) {
       model::AddTo(&d, m.incoming_->snapshot);
       d.Add(m.incoming_->leader_term);
     }
-    model::AddTo(&d, m.hard_);
+    model::AddTo(&d, m.hard_state_);
     model::AddTo(&d, m.snapshot_);
     model::AddTo(&d, m.log_);
     model::AddTo(&d, m.voters_);
-    d.Add(m.write_last_.size());
-    for (const auto& [sequence, last] : m.write_last_) d.Add(sequence - m.written_, last);
-    d.Add(m.held_.size());
-    for (const auto& held : m.held_) {
-      d.Add(held.after - m.written_, model::DigestOf(held.out.message));
+    d.Add(m.write_covers_.size());
+    for (const auto& [sequence, last] : m.write_covers_) d.Add(sequence - m.finished_write_, last);
+    d.Add(m.deferred_messages_.size());
+    for (const auto& held : m.deferred_messages_) {
+      d.Add(held.after - m.finished_write_, model::DigestOf(held.out.message));
     }
-    d.Add(m.leader_id_ != 0 && now - m.leader_heard_ < m.timing_.election);
-    d.Add(m.leader_id_ != 0 && now - m.leader_heard_ > m.timing_.election * 2);
+    d.Add(m.leader_id_ != 0 && now - m.last_leader_contact_ < m.timing_.election_timeout);
+    d.Add(m.leader_id_ != 0 && now - m.last_leader_contact_ > m.timing_.election_timeout * 2);
     if (m.role_ == Role::kPreCandidate || m.role_ == Role::kCandidate) {
       d.Add(m.votes_.size());
       for (MemberId id : m.votes_) d.Add(id);
     }
     if (m.role_ == Role::kLeader) {
-      d.Add((now - m.MajorityHeard()) / m.timing_.heartbeat, m.progress_.size());
+      d.Add((now - m.LastMajorityContact()) / m.timing_.heartbeat_interval, m.progress_.size());
       for (const auto& [id, p] : m.progress_) {
         base::Millis silent = now - p.heard;
         d.Add(id, p.match, p.next, p.round, p.voter, p.acknowledged_round, p.rewound_round,
-              p.lost_state, p.window, p.offset, p.sending ? p.sending->index : 0);
+              p.state_lost, p.window, p.offset, p.sending ? p.sending->index : 0);
         d.Add(p.in_flight.size());
         for (const auto& flight : p.in_flight) d.Add(flight.round, flight.bytes);
         const consensus::Timing& t = m.timing_;
-        for (base::Millis span : {t.heartbeat * 4, t.election, t.election * 2, t.replace_after,
-                                  t.replace_after * 2, t.forget_after}) {
+        for (base::Millis span :
+             {t.heartbeat_interval * 4, t.election_timeout, t.election_timeout * 2,
+              t.replace_silent_after, t.replace_silent_after * 2, t.remove_silent_after}) {
           d.Add(silent > span, silent == span);
         }
-        d.Add(p.leave_asked >= 0 && p.heard - p.leave_asked < t.election);
+        d.Add(p.leave_requested_at >= 0 && p.heard - p.leave_requested_at < t.election_timeout);
       }
     }
     return d.value();
@@ -158,7 +159,7 @@
 
 namespace elderkeel::model {
 
-using consensus::MachineProbe;
+using consensus::RaftNodeProbe;
 
 enum class StepKind : uint8_t {
   kDeliver,    // the nth message under way from one node to another
@@ -208,11 +209,11 @@
   // forgotten: the checker needs the decision and not the wait.
   static consensus::Timing ShortTiming() {
     consensus::Timing t;
-    t.heartbeat = 500;
-    t.election = 600;
-    t.replace_after = 400;
-    t.forget_after = 900;
-    t.disk_patience = 60000;
+    t.heartbeat_interval = 500;
+    t.election_timeout = 600;
+    t.replace_silent_after = 400;
+    t.remove_silent_after = 900;
+    t.disk_stall_timeout = 60000;
     return t;
   }
 };
@@ -222,9 +223,9 @@
   bool up = false;
   int lives = 0, wipes = 0;
   Millis now = 1000;
-  Restored disk;                // what is synced
-  std::vector<Persist> writes;  // outstanding, oldest first
-  std::optional<Machine> machine;
+  RestoredState disk;                // what is synced
+  std::vector<WriteRequest> writes;  // outstanding, oldest first
+  std::optional<RaftNode> machine;
   uint64_t chain = 0;  // digest of all that was applied
   // The furthest that it told the leader of a term it holds.
   Term promised_in = 0;
@@ -232,7 +233,7 @@
   Term promised_term = 0;  // of the entry there
   uint64_t digest = 0;
 
-  bool leading() const { return up && machine->leading(); }
+  bool is_leader() const { return up && machine->is_leader(); }
 };
 
 struct Sent {
@@ -293,15 +294,15 @@
   if (log.empty() || index < log.front().index || index > log.back().index) return nullptr;
   return &log[index - log.front().index];
 }
-inline bool Holds(const Restored& disk, Index index, Term term) {
+inline bool Holds(const RestoredState& disk, Index index, Term term) {
   if (disk.empty) return false;
   if (index <= disk.snapshot.index) return true;
   const Entry* e = EntryAt(disk.entries, index);
   return e && e->term == term;
 }
-inline void Store(Restored* disk, const Persist& write) {
+inline void Store(RestoredState* disk, const WriteRequest& write) {
   disk->empty = false;
-  if (write.hard_changed) disk->hard = write.hard;
+  if (write.hard_state_changed) disk->hard_state = write.hard_state;
   if (!write.snapshot.empty()) disk->snapshot = write.snapshot[0];
   auto& log = disk->entries;
   auto drop = [&](auto gone) {
@@ -376,14 +377,14 @@
         add(StepKind::kCrash, 0, kept);
       }
       add(StepKind::kWipe);
-      if (n.machine->settled()) add(StepKind::kPropose);
-      if (n.machine->leading()) add(StepKind::kTransfer);
-      if (n.machine->commit() > n.machine->snapshot_index() && !n.machine->broken()) {
+      if (n.machine->HasCommittedInTerm()) add(StepKind::kPropose);
+      if (n.machine->is_leader()) add(StepKind::kTransfer);
+      if (n.machine->commit() > n.machine->snapshot_index() && !n.machine->storage_failed()) {
         add(StepKind::kCompact);
       }
       for (int k = 1; k <= size; ++k) {
         const Node& other = *s.nodes[static_cast<size_t>(k - 1)];
-        if (k != i && other.leading() && !n.machine->IsVoter(n.machine->self().id)) {
+        if (k != i && other.is_leader() && !n.machine->IsVoter(n.machine->self().id)) {
           add(StepKind::kJoin, k);
         }
         if (k <= i) continue;
@@ -434,15 +435,15 @@
         n.machine->Receive(n.now, *message, AddressOf(step.node - 1));
         break;
       case StepKind::kTick: {
-        bool leading = n.machine->leading();
-        Millis until = leading ? MachineProbe::heartbeat_at(*n.machine)
-                               : MachineProbe::election_at(*n.machine);
+        bool is_leader = n.machine->is_leader();
+        Millis until = is_leader ? RaftNodeProbe::heartbeat_at(*n.machine)
+                                 : RaftNodeProbe::election_at(*n.machine);
         // In strides that aren't taken for a sleep.
         do {
-          n.now = std::min(std::max(n.now, until), n.now + options_.timing.election / 2);
+          n.now = std::min(std::max(n.now, until), n.now + options_.timing.election_timeout / 2);
           n.machine->Tick(n.now);
           Pump(s, i, &n);
-        } while (n.now < until && n.machine->leading() == leading);
+        } while (n.now < until && n.machine->is_leader() == is_leader);
         break;
       }
       case StepKind::kSleep:
@@ -452,12 +453,12 @@
       case StepKind::kPersist:
       case StepKind::kRefuse: {
         if (n.writes.empty()) return false;
-        Persist write = std::move(n.writes.front());
+        WriteRequest write = std::move(n.writes.front());
         n.writes.erase(n.writes.begin());
         bool ok = step.kind == StepKind::kPersist;
         if (ok) Store(&n.disk, write);
         if (!ok && !options_.writes_past_refusal) n.writes.clear();
-        n.machine->Persisted(n.now, write.sequence, ok);
+        n.machine->OnWriteFinished(n.now, write.sequence, ok);
         break;
       }
       case StepKind::kCrash:
@@ -473,7 +474,7 @@
         history->lost.push_back(before);
         s->history = history;
         End(&n);
-        n.disk = Restored();
+        n.disk = RestoredState();
         n.promised_in = n.promised = n.promised_term = 0;
         ++n.wipes;
         break;
@@ -482,7 +483,7 @@
         // Asked by one node, it happens at another.
         s->nodes[at] = before;
         size_t leader = static_cast<size_t>(step.other - 1);
-        if (leader >= s->nodes.size() || !s->nodes[leader]->leading()) return false;
+        if (leader >= s->nodes.size() || !s->nodes[leader]->is_leader()) return false;
         Member member = before->machine->self();
         before = s->nodes[leader];
         auto joined = std::make_shared<Node>(*before);
@@ -494,7 +495,7 @@
         return true;
       }
       case StepKind::kTransfer:
-        if (!n.machine->leading()) return false;
+        if (!n.machine->is_leader()) return false;
         n.machine->TransferLeadership(n.now);
         break;
       case StepKind::kPropose:
@@ -502,7 +503,8 @@
         ++s->proposals;
         break;
       case StepKind::kCompact:
-        if (n.machine->broken() || n.machine->commit() <= n.machine->snapshot_index()) return false;
+        if (n.machine->storage_failed() || n.machine->commit() <= n.machine->snapshot_index())
+          return false;
         n.machine->Compact(n.machine->commit(), std::to_string(n.chain));
         break;
       default:
@@ -573,7 +575,7 @@
     if (!log.empty() && log.front().index > n->disk.snapshot.index + 1) {
       Fault("readable log", i + 1, "begins after its snapshot");
     }
-    Machine::Options o;
+    RaftNode::Options o;
     o.self = MemberOf(i, n->wipes);
     o.timing = options_.timing;
     o.tolerance = options_.tolerance;
@@ -587,7 +589,7 @@
     n->chain = 0;
     n->machine.emplace(o, n->disk, n->now);
     for (int k = 0; k < options_.founders + options_.spares; ++k) {
-      n->machine->NoteZone(AddressOf(k).ip, ZoneOf(k));
+      n->machine->SetZone(AddressOf(k).ip, ZoneOf(k));
     }
     Pump(s, i + 1, n);
   }
@@ -600,18 +602,18 @@
 
   void Pump(State* s, int i, Node* n) {
     for (;;) {
-      Machine::Effects effects = n->machine->Take();
+      RaftNode::Effects effects = n->machine->Take();
       bool any = !effects.messages.empty() || !effects.writes.empty() ||
                  !effects.committed.empty() || !effects.installed.empty() || effects.role_changed;
       if (!any) {
         if (!options_.instant_disk || n->writes.empty()) return;
-        Persist write = std::move(n->writes.front());
+        WriteRequest write = std::move(n->writes.front());
         n->writes.erase(n->writes.begin());
         Store(&n->disk, write);
-        n->machine->Persisted(n->now, write.sequence, true);
+        n->machine->OnWriteFinished(n->now, write.sequence, true);
         continue;
       }
-      for (Persist& write : effects.writes) n->writes.push_back(std::move(write));
+      for (WriteRequest& write : effects.writes) n->writes.push_back(std::move(write));
       for (auto& out : effects.messages) Send(s, i, n, std::move(out));
       for (const Snapshot& snapshot : effects.installed) {
         n->chain = snapshot.state.empty() ? 0 : std::stoull(snapshot.state);
@@ -638,19 +640,20 @@
     s->history = history;
   }
 
-  void Send(State* s, int i, Node* n, Machine::Outgoing out) {
+  void Send(State* s, int i, Node* n, RaftNode::Outgoing out) {
     const Message& m = out.message;
-    const consensus::HardState& hard = n->disk.hard;
+    const consensus::HardState& hard_state = n->disk.hard_state;
     // Persistent promises: what others will count on is on the disk when it is told.
     if (m.type == MessageType::kRequestVote ||
         (m.type == MessageType::kRequestVoteReply && m.granted)) {
       MemberId vote = m.type == MessageType::kRequestVote ? m.from : m.to;
-      if (n->disk.empty || hard.term < m.term || (hard.term == m.term && hard.voted_for != vote)) {
+      if (n->disk.empty || hard_state.term < m.term ||
+          (hard_state.term == m.term && hard_state.voted_for != vote)) {
         Fault("persistent promise", i, "told a vote that isn't on its disk");
       }
     }
     if (m.type == MessageType::kAppendEntriesReply && m.granted) {
-      if (n->disk.empty || hard.term < m.term) {
+      if (n->disk.empty || hard_state.term < m.term) {
         Fault("persistent promise", i, "answered in a term that isn't on its disk");
       }
       // A reply held back may speak of a term that has passed; then nobody counts on it any more.
@@ -683,12 +686,12 @@
     Digest d;
     d.Add(n->up, n->wipes, n->chain, n->promised_in, n->promised, n->promised_term, n->disk.empty,
           n->disk.commit);
-    AddTo(&d, n->disk.hard);
+    AddTo(&d, n->disk.hard_state);
     AddTo(&d, n->disk.snapshot);
     AddTo(&d, n->disk.entries);
     d.Add(n->writes.size());
-    for (const Persist& write : n->writes) AddTo(&d, write);
-    if (n->up) d.Add(MachineProbe::DigestOf(*n->machine, n->now));
+    for (const WriteRequest& write : n->writes) AddTo(&d, write);
+    if (n->up) d.Add(RaftNodeProbe::DigestOf(*n->machine, n->now));
     n->digest = d.value();
   }
 
@@ -696,7 +699,7 @@
   size_t Copies(const State& s, Index index, Term term, const std::vector<Member>* voters) const {
     std::set<MemberId> holders;
     auto count = [&](const Node& n) {
-      MemberId id = n.disk.hard.self;
+      MemberId id = n.disk.hard_state.self;
       bool votes = !voters || std::any_of(voters->begin(), voters->end(),
                                           [&](const Member& v) { return v.id == id; });
       if (votes && Holds(n.disk, index, term)) holders.insert(id);
@@ -708,11 +711,11 @@
 
   // What a step added to what must never be taken back.
   void Remember(State* s, int i, const Node& before, const Node& n) {
-    bool led = before.leading() && n.up && before.machine->term() == n.machine->term();
-    if (!n.leading() && !led) return;
+    bool led = before.is_leader() && n.up && before.machine->term() == n.machine->term();
+    if (!n.is_leader() && !led) return;
     Term term = n.machine->term();
     auto history = std::make_shared<History>(*s->history);
-    if (n.leading()) {
+    if (n.is_leader()) {
       auto [at, first] = history->leaders.try_emplace(term, n.machine->self().id);
       if (!first && at->second != n.machine->self().id) {
         Fault("election safety", i,
@@ -745,7 +748,7 @@
 
   void Check(const State& s, int i, const Node& before, const Node& n) {
     // What it promised the leader of a term stays on its disk as long as it knows no later term.
-    if (!n.disk.empty && n.promised && n.promised_in == n.disk.hard.term &&
+    if (!n.disk.empty && n.promised && n.promised_in == n.disk.hard_state.term &&
         !Holds(n.disk, n.promised, n.promised_term)) {
       Fault("persistent promise", i,
             "lost " + std::to_string(n.promised) + ", which it told that it holds");
@@ -758,7 +761,7 @@
     }
     if (!n.up) return;
     const auto& log = n.machine->log();
-    if (before.leading() && n.leading() && before.machine->term() == n.machine->term()) {
+    if (before.is_leader() && n.is_leader() && before.machine->term() == n.machine->term()) {
       for (const Entry& e : before.machine->log()) {
         const Entry* now = EntryAt(log, e.index);
         if (e.index > n.machine->last_index() || (now && DigestOf(*now) != DigestOf(e)) ||
@@ -785,7 +788,7 @@
         }
       }
     }
-    if (!n.leading()) return;
+    if (!n.is_leader()) return;
     for (const auto& [index, a] : s.history->acknowledged) {
       if (a.in > n.machine->term() || index <= n.machine->snapshot_index()) continue;
       const Entry* e = EntryAt(log, index);
@@ -801,7 +804,7 @@
     // Of the voter sets in a leader's log, from the last committed one on, any may be the one that
     // somebody goes by.
     Index committed = s.history->acknowledged.empty() ? 1 : s.history->acknowledged.rbegin()->first;
-    std::vector<std::vector<Member>> sets{MachineProbe::snapshot(*n.machine).voters};
+    std::vector<std::vector<Member>> sets{RaftNodeProbe::snapshot(*n.machine).voters};
     for (const Entry& e : n.machine->log()) {
       if (e.kind != consensus::EntryKind::kVoters) continue;
       auto voters = wire::Decode<std::vector<Member>>(e.data);
@@ -820,13 +823,14 @@
     auto in_force = [&](const Node& leader) {
       size_t with = 0;
       for (const auto& o : s.nodes) {
-        Term term = o->up ? o->machine->term() : o->disk.hard.term;
-        if (leader.machine->IsVoter(o->disk.hard.self) && term <= leader.machine->term()) ++with;
+        Term term = o->up ? o->machine->term() : o->disk.hard_state.term;
+        if (leader.machine->IsVoter(o->disk.hard_state.self) && term <= leader.machine->term())
+          ++with;
       }
       return with >= leader.machine->voters().size() / 2 + 1;
     };
     for (const auto& o : s.nodes) {
-      if (o.get() == &n || !o->leading() || !in_force(*o) || !in_force(n)) continue;
+      if (o.get() == &n || !o->is_leader() || !in_force(*o) || !in_force(n)) continue;
       if (!MajoritiesMeet(o->machine->voters(), n.machine->voters())) {
         Fault("voter sets meet", i, "leads beside another one by voters that need not meet");
       }
--- a/tests/model_scenarios.h
+++ b/tests/model_scenarios.h
@@ -84,7 +84,7 @@
          s->Do({K::kCrash, 1, 0, 0});
          s->Do({K::kSleep, 3, 0, 0});
          s->Do({K::kTick, 2, 0, 0});
-         while (s->fault.empty() && !s->at(2).leading()) {  // and no further
+         while (s->fault.empty() && !s->at(2).is_leader()) {  // and no further
            s->PersistAll();
            s->Deliver(s->state.network[0].from, s->state.network[0].to);
          }
@@ -96,7 +96,7 @@
          s->Do({K::kHeal, 2, 3, 0});
          s->Do({K::kRestart, 1, 0, 0});
          s->Do({K::kSleep, 3, 0, 0});
-         while (s->fault.empty() && !s->at(1).leading()) {
+         while (s->fault.empty() && !s->at(1).is_leader()) {
            s->PersistAll();
            if (s->Under(1, 3) + s->Under(3, 1) == 0) s->Do({K::kTick, 1, 0, 0});
            if (s->Under(1, 3) > 0) s->Deliver(1, 3);
--- a/tests/operators.h
+++ b/tests/operators.h
@@ -78,11 +78,11 @@
   void Applied(size_t i, consensus::Index index) override {
     if (doors_[i]) doors_[i]->api->Applied(world_->now, index);
   }
-  void Pumped(size_t i, const consensus::Machine::Effects& e) override {
+  void Pumped(size_t i, const consensus::RaftNode::Effects& e) override {
     if (!doors_[i]) return;
     if (e.role_changed) doors_[i]->api->RoleChanged(world_->now);
-    for (uint64_t token : e.reads_failed) ReadDone(i, token, false);
-    for (uint64_t token : e.reads_ready) ReadDone(i, token, true);
+    for (uint64_t token : e.failed_reads) ReadDone(i, token, false);
+    for (uint64_t token : e.confirmed_reads) ReadDone(i, token, true);
   }
   void Stepped() override {
     for (size_t i = 0; i < doors_.size(); ++i) {
@@ -106,8 +106,8 @@
   class NodeLog : public configuration::Log {
    public:
     NodeLog(World* world, size_t i) : world_(world), i_(i) {}
-    bool settled() const override { return node().machine->settled(); }
-    bool leading() const override { return node().machine->leading(); }
+    bool HasCommittedInTerm() const override { return node().machine->HasCommittedInTerm(); }
+    bool is_leader() const override { return node().machine->is_leader(); }
     uint64_t term() const override { return node().machine->term(); }
     std::optional<std::string> leader_control() const override {
       auto leader = node().machine->leader();
@@ -443,10 +443,10 @@
   void ReadZone(size_t i, uint64_t ticket, const std::string& zone) {
     World::Node& n = world_->node(i);
     uint64_t token = ++next_token_;
-    if (!n.machine->leading() || !n.machine->Read(world_->now, token)) {
+    if (!n.machine->is_leader() || !n.machine->Read(world_->now, token)) {
       wire::Message answer;
       answer.status = 503;
-      if (auto leader = n.machine->leader(); leader && !n.machine->leading()) {
+      if (auto leader = n.machine->leader(); leader && !n.machine->is_leader()) {
         answer.status = 307;
         answer.headers.push_back({"Location", "http://" + leader->ip + ":8080/"});
       }
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -25,7 +25,7 @@
 
   Programs()
       : dir_(std::filesystem::temp_directory_path() /
-             ("elderkeel-" + std::to_string(base::SystemSeed()))) {
+             ("elderkeel-" + std::to_string(base::RandomSeed()))) {
     std::filesystem::create_directories(dir_);
     // A range of ports of this run's own, below those that the kernel hands out.
     port_ = static_cast<uint16_t>(12000 + getpid() % 1000 * 16);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/random.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "controller/control_state.h"
 #include "dissemination/confirm.h"
 #include "dissemination/disseminator.h"
@@ -74,13 +74,13 @@
     bool up = false;
     bool frozen = false;
     // The disk: what is synced survives a crash.
-    consensus::Restored disk;
-    std::vector<std::pair<Millis, consensus::Persist>> writing;
+    consensus::RestoredState disk;
+    std::vector<std::pair<Millis, consensus::WriteRequest>> writing;
     Millis disk_hangs_until = 0;
     Millis leave_by = 0;  // when an orderly end is cut short; 0 for none under way
     // A life.
     uint64_t life = 0;
-    std::unique_ptr<consensus::Machine> machine;
+    std::unique_ptr<consensus::RaftNode> machine;
     controller::ControlState state;
     std::unique_ptr<duty::Assignment> assignment;
     uint64_t watched_epoch = 0, sequence = 0;
@@ -120,7 +120,7 @@
     // An entry of the log was applied to the node's state.
     virtual void Applied(size_t node, consensus::Index index) = 0;
     // After all committed entries of these effects were applied.
-    virtual void Pumped(size_t node, const consensus::Machine::Effects& effects) = 0;
+    virtual void Pumped(size_t node, const consensus::RaftNode::Effects& effects) = 0;
     virtual void Stepped() = 0;
   };
   // Outlives all runs from here on; for it everything that is up has started.
@@ -202,7 +202,7 @@
     n.assignment = std::make_unique<duty::Assignment>(1000);
     n.watched_epoch = n.sequence = 0;
     n.poll_at = n.claim_at = n.join_at = 0;
-    consensus::Machine::Options machine;
+    consensus::RaftNode::Options machine;
     machine.self.ip = n.address.ip;
     machine.self.port = n.address.port;
     machine.self.zone = n.zone;
@@ -216,8 +216,8 @@
     } else {
       machine.self.id = random_.Next() | 1;
     }
-    n.machine = std::make_unique<consensus::Machine>(machine, n.disk, now);
-    for (auto& other : nodes_) n.machine->NoteZone(other->address.ip, other->zone);
+    n.machine = std::make_unique<consensus::RaftNode>(machine, n.disk, now);
+    for (auto& other : nodes_) n.machine->SetZone(other->address.ip, other->zone);
     if (follower_) follower_->Started(i);
   }
   void Crash(size_t i) {
@@ -252,7 +252,7 @@
   }
   void Wipe(size_t i) {
     Crash(i);
-    nodes_[i]->disk = consensus::Restored();
+    nodes_[i]->disk = consensus::RestoredState();
   }
   void Freeze(size_t i, bool frozen) { nodes_[i]->frozen = frozen; }
   void Cut(size_t a, size_t b, bool cut) {
@@ -308,14 +308,15 @@
   // Sends the next change to a leader, if one is settled. Acknowledged once applied there.
   bool Change() {
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i]->machine && nodes_[i]->machine->settled() && ChangeAt(i)) return true;
+      if (nodes_[i]->machine && nodes_[i]->machine->HasCommittedInTerm() && ChangeAt(i))
+        return true;
     }
     return false;
   }
   // The same at one node, which may be a leader of before that does not know it yet.
   bool ChangeAt(size_t i) {
     Node* n = nodes_[i].get();
-    if (!n->up || n->frozen || !n->machine || !n->machine->settled()) return false;
+    if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) return false;
     int64_t current = n->state.configuration.revision();
     int64_t revision =
         std::max(current, next_revision_) + 1 + static_cast<int64_t>(random_.Below(3));
@@ -333,7 +334,7 @@
   // Puts any change before the leader, as it is: the log's state judges it.
   bool Submit(const configuration::Change& change) {
     for (auto& n : nodes_) {
-      if (!n->up || n->frozen || !n->machine || !n->machine->settled()) continue;
+      if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) continue;
       return n->machine
           ->Propose(now, controller::MakeCommand(controller::Command::Kind::kConfiguration, change))
           .has_value();
@@ -344,7 +345,7 @@
   std::optional<configuration::Change> last_change() const { return last_change_; }
   bool Evacuate(const std::string& zone, bool evacuate) {
     for (auto& n : nodes_) {
-      if (!n->up || n->frozen || !n->machine || !n->machine->settled()) continue;
+      if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) continue;
       auto index =
           n->machine->Propose(now, controller::MakeCommand(controller::Command::Kind::kEvacuation,
                                                            evacuation::Order{zone, evacuate}));
@@ -358,7 +359,7 @@
   bool Order(int64_t over_ms) {
     for (size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = *nodes_[i];
-      if (!n.up || n.frozen || !n.machine || !n.machine->settled()) continue;
+      if (!n.up || n.frozen || !n.machine || !n.machine->HasCommittedInTerm()) continue;
       rollout::Step step;
       step.kind = rollout::Step::Kind::kOrder;
       step.order = {"s", "v2", over_ms};
@@ -378,7 +379,7 @@
   // --- what must hold in the end, once all is well again ---
   std::string Converged() {
     int leaders = 0;
-    for (auto& n : nodes_) leaders += n->up && n->machine && n->machine->settled();
+    for (auto& n : nodes_) leaders += n->up && n->machine && n->machine->HasCommittedInTerm();
     if (leaders != 1) return std::to_string(leaders) + " settled leaders";
     for (auto& n : nodes_) {
       if (!n->up) return n->address.ip + " is down";
@@ -409,7 +410,7 @@
   size_t size() const { return nodes_.size(); }
   int leader() const {
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i]->up && nodes_[i]->machine && nodes_[i]->machine->settled())
+      if (nodes_[i]->up && nodes_[i]->machine && nodes_[i]->machine->HasCommittedInTerm())
         return static_cast<int>(i);
     }
     return -1;
@@ -555,7 +556,7 @@
       if (!n.controller && options_.requests > 0) Serve(i);
       if (!n.controller && options_.confirm) AskConfirmation(i);
       Pump(i);
-      if (n.leave_by && (n.machine->departed() || now >= n.leave_by)) Crash(i);
+      if (n.leave_by && (n.machine->may_stop() || now >= n.leave_by)) Crash(i);
     }
     if (follower_) follower_->Stepped();
   }
@@ -610,7 +611,7 @@
     if (confirmed) {
       reply.versions = {n.state.configuration.revision(), n.state.orders.version(),
                         n.state.rollouts.version()};
-    } else if (auto leader = n.machine->LeaderInTouch(now); leader && !n.machine->leading()) {
+    } else if (auto leader = n.machine->LeaderInContact(now); leader && !n.machine->is_leader()) {
       reply.leader_ip = leader->ip;
       reply.leader_port = leader->port;
     }
@@ -670,7 +671,7 @@
     n.watcher->Adopt(n.state.rollouts);
     n.disseminator->Commit(n.state.rollouts);
     const rollout::Rollout* rollout = n.state.rollouts.Of("s");
-    if (!rollout || !n.machine->settled()) return;
+    if (!rollout || !n.machine->HasCommittedInTerm()) return;
     if (traffic.ordered_at < 0) traffic.ordered_at = now;
     if (traffic.ended_at >= 0 && rollout->stage != traffic.stage) {
       Fail("a roll-out that had ended went on");
@@ -692,7 +693,7 @@
 
   void TickRollouts(size_t i) {
     Node& n = *nodes_[i];
-    if (n.machine->settled()) {
+    if (n.machine->HasCommittedInTerm()) {
       for (const auto& step : n.conductor->Review(now, n.state.rollouts, Watchers(n))) {
         Propose(n, step);
       }
@@ -710,7 +711,7 @@
       }
     }
     for (const auto& vote : n.watcher->Tick(now, proxies)) {
-      if (n.machine->leading()) {
+      if (n.machine->is_leader()) {
         n.conductor->OnVote(now, vote);
       } else if (auto leader = n.machine->leader()) {
         Send(i, leader->address(), vote);
@@ -721,18 +722,18 @@
   void FinishWrites(size_t i) {
     Node& n = *nodes_[i];
     while (!n.writing.empty() && n.writing.front().first <= now && now >= n.disk_hangs_until) {
-      consensus::Persist write = std::move(n.writing.front().second);
+      consensus::WriteRequest write = std::move(n.writing.front().second);
       n.writing.erase(n.writing.begin());
       Store(&n, write);
-      n.machine->Persisted(now, write.sequence, true);
+      n.machine->OnWriteFinished(now, write.sequence, true);
       Pump(i);
     }
   }
 
-  void Store(Node* node, const consensus::Persist& write) {
+  void Store(Node* node, const consensus::WriteRequest& write) {
     Node& n = *node;
     n.disk.empty = false;
-    if (write.hard_changed) n.disk.hard = write.hard;
+    if (write.hard_state_changed) n.disk.hard_state = write.hard_state;
     if (!write.snapshot.empty()) n.disk.snapshot = write.snapshot[0];
     auto& log = n.disk.entries;
     auto drop = [&](auto keep) {
@@ -784,8 +785,9 @@
     if (!n.controller) return;
     if (auto* m = std::get_if<dissemination::Confirm>(&body)) OnConfirm(i, from, *m);
     if (auto* m = std::get_if<rollout::Tally>(&body)) {
-      bool heard = n.machine->settled() ||
-                   (n.machine->leader_heard() && now - n.machine->leader_heard() < 1200);
+      bool heard =
+          n.machine->HasCommittedInTerm() ||
+          (n.machine->last_leader_contact() && now - n.machine->last_leader_contact() < 1200);
       if (n.watcher->OnTally(now, *m) && m->asks && heard) {
         Send(i, from, rollout::Touch{m->number, n.state.rollouts.version()});
       }
@@ -793,7 +795,7 @@
     if (auto* m = std::get_if<rollout::Vote>(&body)) n.conductor->OnVote(now, *m);
     if (auto* m = std::get_if<consensus::Message>(&body)) n.machine->Receive(now, *m, from);
     if (auto* m = std::get_if<consensus::Member>(&body)) {
-      if (n.machine->leading()) {
+      if (n.machine->is_leader()) {
         n.machine->Join(now, *m);
       } else if (auto leader = n.machine->leader(); leader && leader->address() != from) {
         Send(i, leader->address(), *m);
@@ -805,7 +807,7 @@
   std::vector<duty::Candidate> Candidates(const Node& n) {
     std::vector<duty::Candidate> candidates;
     for (const auto& v : n.machine->voters()) {
-      Millis heard = n.machine->LastHeard(v.id);
+      Millis heard = n.machine->LastContact(v.id);
       candidates.push_back(
           {v.id, heard < 0 ? INT64_MAX : now - heard, v.id == n.machine->self().id});
     }
@@ -817,12 +819,13 @@
   }
   void Resigned(size_t i, const duty::Resignation& r) {
     Node& n = *nodes_[i];
-    if (n.machine->settled()) Name(n, n.assignment->Resigned(now, n.state.duty, Candidates(n), r));
+    if (n.machine->HasCommittedInTerm())
+      Name(n, n.assignment->Resigned(now, n.state.duty, Candidates(n), r));
   }
 
   void Vouch(Node& n) {
     std::optional<Address> leader, reader;
-    if (auto member = n.machine->leader(); member && !n.machine->leading()) {
+    if (auto member = n.machine->leader(); member && !n.machine->is_leader()) {
       leader = member->address();
     }
     bool reads = n.state.duty.holder == n.machine->self().id;
@@ -830,8 +833,8 @@
       if (voter.id == n.state.duty.holder && !reads) reader = voter.address();
     }
     n.disseminator->SetVouchers(leader, reader);
-    if (!n.machine->settled()) n.vouchers.clear();
-    if (n.machine->settled() && n.vouchers.empty()) {
+    if (!n.machine->HasCommittedInTerm()) n.vouchers.clear();
+    if (n.machine->HasCommittedInTerm() && n.vouchers.empty()) {
       n.vouchers[++order_] = now;
       if (!n.machine->ReadByHeartbeat(now, order_)) n.vouchers.clear();
     }
@@ -845,10 +848,11 @@
   void TickController(size_t i) {
     Node& n = *nodes_[i];
     TickRollouts(i);
-    if (n.machine->settled()) Name(n, n.assignment->Review(now, n.state.duty, Candidates(n)));
+    if (n.machine->HasCommittedInTerm())
+      Name(n, n.assignment->Review(now, n.state.duty, Candidates(n)));
     Vouch(n);
-    bool heard = n.machine->leader_heard() && now - n.machine->leader_heard() < 1200;
-    if (!n.machine->leading() && !heard && now >= n.join_at) {
+    bool heard = n.machine->last_leader_contact() && now - n.machine->last_leader_contact() < 1200;
+    if (!n.machine->is_leader() && !heard && now >= n.join_at) {
       n.join_at = now + 400;
       for (int k = 0; k < options_.controllers; ++k) {
         if (nodes_[k].get() != &n) Send(i, nodes_[k]->address, n.machine->self());
@@ -859,7 +863,7 @@
       if (now < n.claim_at) return;
       n.claim_at = now + 200;
       duty::Resignation claim{n.state.duty.epoch, n.machine->self().id, n.life};
-      if (n.machine->leading()) {
+      if (n.machine->is_leader()) {
         Resigned(i, claim);
       } else if (auto leader = n.machine->leader()) {
         Send(i, leader->address(), claim);
@@ -945,20 +949,20 @@
       Fail(who + " has another winner of revision " + std::to_string(revision));
   }
 
-  void TraceEffects(size_t i, const consensus::Machine::Effects& e) {
+  void TraceEffects(size_t i, const consensus::RaftNode::Effects& e) {
     if (!options_.trace) return;
     for (const auto& write : e.writes) {
       Trace(i, 100,
             std::to_string(write.sequence) + "," + std::to_string(write.commit) + "," +
                 std::to_string(write.truncate_from) + "," + std::to_string(write.drop_to));
-      if (write.hard_changed) Trace(i, 101, wire::Encode(write.hard));
+      if (write.hard_state_changed) Trace(i, 101, wire::Encode(write.hard_state));
       for (const auto& entry : write.entries) Trace(i, 102, wire::Encode(entry));
       for (const auto& snapshot : write.snapshot) Trace(i, 103, wire::Encode(snapshot));
     }
     for (const auto& entry : e.committed) Trace(i, 104, wire::Encode(entry));
     for (const auto& snapshot : e.installed) Trace(i, 105, wire::Encode(snapshot));
-    for (uint64_t token : e.reads_ready) Trace(i, 106, std::to_string(token));
-    for (uint64_t token : e.reads_failed) Trace(i, 107, std::to_string(token));
+    for (uint64_t token : e.confirmed_reads) Trace(i, 106, std::to_string(token));
+    for (uint64_t token : e.failed_reads) Trace(i, 107, std::to_string(token));
     if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
   }
   consensus::Role RoleOf(size_t i) const { return nodes_[i]->machine->role(); }
@@ -966,11 +970,11 @@
   void PumpMachine(size_t i) {
     Node& n = *nodes_[i];
     for (;;) {
-      consensus::Machine::Effects e = n.machine->Take();
+      consensus::RaftNode::Effects e = n.machine->Take();
       // No disk here goes back behind what was synced, so nobody may be accused of it.
-      if (!e.lost_state.empty() || e.discard_store) Fail(n.address.ip + " tells of lost state");
+      if (!e.state_lost.empty() || e.discard_store) Fail(n.address.ip + " tells of lost state");
       if (e.messages.empty() && e.writes.empty() && e.committed.empty() && e.installed.empty() &&
-          e.reads_ready.empty() && e.reads_failed.empty() && !e.role_changed) {
+          e.confirmed_reads.empty() && e.failed_reads.empty() && !e.role_changed) {
         break;
       }
       TraceEffects(i, e);
@@ -995,7 +999,7 @@
         }
         auto sent = pending_.find({&n, n.life, entry.index});
         if (sent != pending_.end()) {
-          if (n.machine->leading() && n.state.configuration.revision() == sent->second.first) {
+          if (n.machine->is_leader() && n.state.configuration.revision() == sent->second.first) {
             acknowledged_ = std::max(acknowledged_, sent->second.first);
             acknowledged_at_[now] = acknowledged_;
             auto [at, added] = built_on_.emplace(sent->second.second, sent->second.first);
@@ -1008,7 +1012,7 @@
         }
         auto ordered = ordered_.find({&n, n.life, entry.index});
         if (ordered != ordered_.end()) {
-          if (n.machine->leading()) evacuated_[ordered->second.first] = ordered->second.second;
+          if (n.machine->is_leader()) evacuated_[ordered->second.first] = ordered->second.second;
           ordered_.erase(ordered);
         }
       }
@@ -1021,7 +1025,7 @@
       FollowRollouts(n);
       if (e.role_changed && hooks.role_changed) hooks.role_changed(i);
       for (bool ok : {false, true}) {
-        for (uint64_t token : ok ? e.reads_ready : e.reads_failed) {
+        for (uint64_t token : ok ? e.confirmed_reads : e.failed_reads) {
           if (n.confirms.count(token)) {
             AnswerConfirm(i, token, ok);
           } else if (n.vouchers.count(token)) {
@@ -1036,7 +1040,7 @@
       if (n.machine->log_size() > 24)
         n.machine->Compact(n.machine->commit(), wire::Encode(n.state));
     }
-    if (n.machine->leading()) {
+    if (n.machine->is_leader()) {
       auto [at, added] = leaders_.emplace(n.machine->term(), n.machine->self().id);
       if (!added && at->second != n.machine->self().id)
         Fail("two leaders in term " + std::to_string(n.machine->term()));
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -182,7 +182,7 @@
   world.Run(400);
   EXPECT_EQ(world.acknowledged(), before);
   world.Run(3000);
-  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).machine->leading());  // check-quorum
+  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).machine->is_leader());  // check-quorum
   for (size_t k = 0; k < 3; ++k) world.Cut(static_cast<size_t>(leader), k, false);
   world.Change();
   Settle(&world, 6000, "after the cut");
@@ -250,10 +250,10 @@
   world.Change();
   Settle(&world, 3000, "start");
   size_t leader = static_cast<size_t>(world.leader());
-  consensus::Machine& machine = *world.node(leader).machine;
-  machine.Persisted(world.now, 1u << 30, false);
-  EXPECT_TRUE(machine.broken());
-  EXPECT_FALSE(machine.leading());
+  consensus::RaftNode& machine = *world.node(leader).machine;
+  machine.OnWriteFinished(world.now, 1u << 30, false);
+  EXPECT_TRUE(machine.storage_failed());
+  EXPECT_FALSE(machine.is_leader());
   world.Run(100);
   machine.Take();
   // Asked for its vote it says nothing.
@@ -359,7 +359,7 @@
       {"two regions", {"a", "a", "b", "c", "c"}, {1, 1, 1}, {2, 3}, true},
   };
   for (const Case& c : cases) {
-    consensus::Machine::Options options;
+    consensus::RaftNode::Options options;
     for (size_t i = 0; i < c.zones.size(); ++i) {
       consensus::Member m;
       m.id = i + 1;
@@ -372,14 +372,14 @@
     options.cluster = 7;
     options.tolerance = c.tolerance;
     options.regions = {{"a", "x"}, {"b", "x"}, {"c", "y"}};
-    consensus::Machine machine(options, {}, 0);
+    consensus::RaftNode machine(options, {}, 0);
     Millis now = 0;
     // Grants it every vote; of its appends only those told to are answered.
     auto turn = [&](bool sync_all) {
       now += 10;
       machine.Tick(now);
       auto effects = machine.Take();
-      for (const auto& write : effects.writes) machine.Persisted(now, write.sequence, true);
+      for (const auto& write : effects.writes) machine.OnWriteFinished(now, write.sequence, true);
       for (const auto& out : machine.Take().messages) effects.messages.push_back(out);
       for (const auto& out : effects.messages) {
         consensus::Message reply = out.message;
@@ -400,8 +400,8 @@
         machine.Receive(now, reply, out.to);
       }
     };
-    for (int k = 0; k < 200 && !machine.settled(); ++k) turn(true);
-    ASSERT_TRUE(machine.settled()) << c.name;
+    for (int k = 0; k < 200 && !machine.HasCommittedInTerm(); ++k) turn(true);
+    ASSERT_TRUE(machine.HasCommittedInTerm()) << c.name;
     consensus::Index index = *machine.Propose(now, "change");
     for (int k = 0; k < 30; ++k) turn(false);
     EXPECT_EQ(machine.commit() >= index, c.committed) << c.name;
@@ -608,8 +608,8 @@
         for (Millis end = world.now + span; world.now < end && world.fault.empty();) {
           world.Change();
           world.Run(every);
-          consensus::Machine* machine = world.node(victim).machine.get();
-          if (machine && !world.node(victim).frozen && machine->settled() &&
+          consensus::RaftNode* machine = world.node(victim).machine.get();
+          if (machine && !world.node(victim).frozen && machine->HasCommittedInTerm() &&
               world.node(victim).state.configuration.revision() < world.acknowledged()) {
             world.fault = "it leads with an older state";
           }
--- a/tests/store_power_test.cc
+++ b/tests/store_power_test.cc
@@ -13,9 +13,9 @@
 constexpr size_t kBuffer = 200 << 10;  // well below the store's write buffer
 
 // What a store must hold after so many writes.
-void Apply(const Persist& write, Restored* state) {
+void Apply(const WriteRequest& write, RestoredState* state) {
   state->empty = false;
-  if (write.hard_changed) state->hard = write.hard;
+  if (write.hard_state_changed) state->hard_state = write.hard_state;
   auto& entries = state->entries;
   auto keep = [&](auto kept) {
     entries.erase(std::remove_if(entries.begin(), entries.end(),
@@ -29,10 +29,11 @@
   if (write.commit > 0) state->commit = write.commit;
 }
 
-std::string Difference(const Restored& a, const Restored& b) {
+std::string Difference(const RestoredState& a, const RestoredState& b) {
   if (a.empty != b.empty) return "one is empty";
-  if (a.hard.term != b.hard.term || a.hard.voted_for != b.hard.voted_for) {
-    return "terms " + std::to_string(a.hard.term) + " and " + std::to_string(b.hard.term);
+  if (a.hard_state.term != b.hard_state.term || a.hard_state.voted_for != b.hard_state.voted_for) {
+    return "terms " + std::to_string(a.hard_state.term) + " and " +
+           std::to_string(b.hard_state.term);
   }
   if (a.snapshot.index != b.snapshot.index || a.snapshot.state != b.snapshot.state) {
     return "snapshots " + std::to_string(a.snapshot.index) + " and " +
@@ -53,8 +54,8 @@
  public:
   explicit Writes(uint64_t seed) : random_(seed) {}
 
-  Persist Next(const Restored& state) {
-    Persist write;
+  WriteRequest Next(const RestoredState& state) {
+    WriteRequest write;
     Index last = state.entries.empty() ? state.snapshot.index : state.entries.back().index;
     uint64_t what = state.empty ? 0 : random_.Below(20);
     if (what < 3) SetTerm(state, &write);
@@ -65,26 +66,26 @@
       SetTerm(state, &write);
     } else if (what == 4 && state.entries.size() > 8) {
       write.drop_to = last - 8;
-      write.snapshot = {Snapshot{last - 2, state.hard.term, {}, Text(20000)}};
+      write.snapshot = {Snapshot{last - 2, state.hard_state.term, {}, Text(20000)}};
     } else if (what == 5 && random_.Below(4) == 0) {  // a leader's snapshot
       write.truncate_from = 1;
-      write.snapshot = {Snapshot{last + 5, state.hard.term, {}, Text(30000)}};
+      write.snapshot = {Snapshot{last + 5, state.hard_state.term, {}, Text(30000)}};
       return write;
     } else if (what == 6) {
       write.commit = last;
       return write;
     }
     for (uint64_t i = 0; what > 2 && i < 1 + random_.Below(3); ++i) {
-      Term term = write.hard_changed ? write.hard.term : state.hard.term;
+      Term term = write.hard_state_changed ? write.hard_state.term : state.hard_state.term;
       write.entries.push_back({term, ++last, EntryKind::kCommand, Text(random_.Below(16000))});
     }
     return write;
   }
 
  private:
-  void SetTerm(const Restored& state, Persist* write) {
-    write->hard_changed = true;
-    write->hard = {7, 8, state.hard.term + 1, random_.Below(3)};
+  void SetTerm(const RestoredState& state, WriteRequest* write) {
+    write->hard_state_changed = true;
+    write->hard_state = {7, 8, state.hard_state.term + 1, random_.Below(3)};
   }
   std::string Text(size_t bytes) {
     return std::string(bytes, static_cast<char>('a' + random_.Below(26)));
@@ -95,7 +96,7 @@
 class StorePowerTest : public ::testing::Test {
  protected:
   // One life of a store on `disk`, which held `state`. Notes what it did.
-  void Live(const Disk& disk, Restored state, size_t writes, uint64_t seed) {
+  void Live(const Disk& disk, RestoredState state, size_t writes, uint64_t seed) {
     PowerEnv env(disk);
     auto store = OpenDiskStore(kDirectory, env.files());
     ASSERT_TRUE(store.has_value()) << store.error().reason;
@@ -124,7 +125,8 @@
   }
 
   // Whether the store on `disk` is `before` or, with a write under way, `after`.
-  void Check(const Disk& disk, const Restored& before, const Restored* after, size_t point) {
+  void Check(const Disk& disk, const RestoredState& before, const RestoredState* after,
+             size_t point) {
     ++checked_;
     PowerEnv env(disk);
     auto store = OpenDiskStore(kDirectory, env.files());
@@ -143,7 +145,8 @@
   }
 
   // All losses of power at this point, if there are few, or some.
-  void CheckAll(const Disk& disk, const Restored& before, const Restored* after, size_t point) {
+  void CheckAll(const Disk& disk, const RestoredState& before, const RestoredState* after,
+                size_t point) {
     base::Random random(point);
     if (disk.Choices() > 3) {
       for (int i = 0; i < 6 && !HasFatalFailure(); ++i) {
@@ -173,13 +176,13 @@
   void Play(uint64_t lives, uint64_t one_of) {
     using Kind = DiskOperation::Kind;
     Disk disk;
-    Restored state;
+    RestoredState state;
     size_t points = 0, logs = 0, tables = 0;
     for (uint64_t life = 0; life < lives; ++life) {
       Live(disk, state, 150, life);
       if (HasFatalFailure()) return;
       base::Random random(life);
-      Restored after = state;
+      RestoredState after = state;
       if (!writes_.empty()) Apply(writes_[0], &after);
       size_t end = history_.size() - random.Below(history_.size() / 4);
       for (size_t i = 0, done = 0; i <= end; ++i) {
@@ -215,10 +218,10 @@
     EXPECT_GE(tables, 3 * lives);
   }
 
-  std::vector<Persist> writes_;
+  std::vector<WriteRequest> writes_;
   std::vector<size_t> acknowledged_;  // changes of the disk when each write had returned
   std::vector<DiskOperation> history_;
-  Restored found_;
+  RestoredState found_;
   bool holes_ = false;  // tails may be written out of order
   size_t refused_ = 0;
   size_t checked_ = 0;
@@ -232,14 +235,14 @@
   for (uint64_t seed = 0; seed < 24; ++seed) {
     base::Random random(seed);
     PowerEnv env;
-    Restored state, next;
+    RestoredState state, next;
     auto store = OpenDiskStore(kDirectory, env.files());
     ASSERT_TRUE(store.has_value());
     Writes writes(seed);
     env.SetCapacity(2000 + random.Below(1'800'000));
     bool refused = false;
     for (int i = 0; i < 400 && !refused; ++i) {
-      Persist write = writes.Next(state);
+      WriteRequest write = writes.Next(state);
       next = state;
       Apply(write, &next);
       refused = !(*store)->Write(write).has_value();
@@ -249,8 +252,8 @@
     ++refusals;
     // Whatever comes after the refused write may not be taken: it builds on it.
     env.SetCapacity(SIZE_MAX);
-    Persist after;
-    after.hard_changed = true;
+    WriteRequest after;
+    after.hard_state_changed = true;
     EXPECT_FALSE((*store)->Write(after).has_value());
     store->reset();
     for (int tries = 0; tries < 3; ++tries) {
@@ -258,7 +261,7 @@
       auto again = OpenDiskStore(kDirectory, env.files());
       if (!again) {
         ++openings_refused;
-        EXPECT_FALSE(Unreadable(again.error())) << again.error().reason;
+        EXPECT_FALSE(IsCorruption(again.error())) << again.error().reason;
       }
     }
     env.SetCapacity(SIZE_MAX);
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -7,7 +7,7 @@
 
 #include "base/random.h"
 #include "base/settings.h"
-#include "consensus/machine.h"
+#include "consensus/raft_node.h"
 #include "consensus/store.h"
 #include "controller/control_state.h"
 
@@ -20,12 +20,12 @@
  protected:
   StoredDataTest()
       : copy_(std::filesystem::temp_directory_path() /
-              ("elderkeel-stored-" + std::to_string(base::SystemSeed()))) {
+              ("elderkeel-stored-" + std::to_string(base::RandomSeed()))) {
     std::filesystem::copy(kData / "store_0_1_0", copy_);
   }
   ~StoredDataTest() override { std::filesystem::remove_all(copy_); }
 
-  consensus::Restored Load() {
+  consensus::RestoredState Load() {
     auto store = consensus::OpenDiskStore(copy_.string());
     EXPECT_TRUE(store.has_value());
     auto restored = (*store)->Load();
@@ -37,11 +37,11 @@
 };
 
 TEST_F(StoredDataTest, IsReadWhole) {
-  consensus::Restored restored = Load();
+  consensus::RestoredState restored = Load();
   EXPECT_FALSE(restored.empty);
-  EXPECT_NE(restored.hard.cluster, 0u);
-  EXPECT_NE(restored.hard.self, 0u);
-  EXPECT_GT(restored.hard.term, 1u);
+  EXPECT_NE(restored.hard_state.cluster, 0u);
+  EXPECT_NE(restored.hard_state.self, 0u);
+  EXPECT_GT(restored.hard_state.term, 1u);
   EXPECT_GT(restored.snapshot.index, 90u);
   EXPECT_EQ(restored.snapshot.voters.size(), 3u);
   ASSERT_FALSE(restored.entries.empty());
@@ -66,12 +66,12 @@
 
 // A member that starts on it votes no second time in its term and serves what was committed.
 TEST_F(StoredDataTest, IsTakenUpByAMember) {
-  consensus::Restored restored = Load();
-  consensus::Machine::Options options;
+  consensus::RestoredState restored = Load();
+  consensus::RaftNode::Options options;
   options.self.id = 1;  // the store knows better
-  consensus::Machine machine(options, restored, 0);
-  EXPECT_EQ(machine.self().id, restored.hard.self);
-  EXPECT_EQ(machine.term(), restored.hard.term);
+  consensus::RaftNode machine(options, restored, 0);
+  EXPECT_EQ(machine.self().id, restored.hard_state.self);
+  EXPECT_EQ(machine.term(), restored.hard_state.term);
   EXPECT_EQ(machine.voters().size(), 3u);
   EXPECT_EQ(machine.last_index(), restored.entries.back().index);
   EXPECT_GE(machine.commit(), restored.snapshot.index);
--- a/tools/scale_run.cc
+++ b/tools/scale_run.cc
@@ -286,7 +286,7 @@
 Figures Measure(const std::string& bin, int hollow, int servers) {
   std::memset(static_cast<void*>(shared), 0, sizeof *shared);
   auto dir = std::filesystem::temp_directory_path() /
-             ("elderkeel-scale-" + std::to_string(base::SystemSeed()));
+             ("elderkeel-scale-" + std::to_string(base::RandomSeed()));
   std::filesystem::create_directories(dir);
   Platform platform(servers);
   std::vector<pid_t> all, controllers, proxies, hosts;
