--- /dev/null
+++ b/src/consensus/disk_store.cc
@@ -0,0 +1,259 @@
+#include "consensus/disk_store.h"
+
+#include <leveldb/cache.h>
+#include <leveldb/db.h>
+#include <leveldb/write_batch.h>
+
+#include <algorithm>
+#include <atomic>
+#include <filesystem>
+#include <optional>
+#include <thread>
+
+#include "wire/frame.h"
+
+namespace elderkeel::consensus {
+namespace {
+
+// The format: these keys, with values as cereal encodes them. An entry's key is `kEntryPrefix`
+// followed by its index in eight bytes, the high ones first, so that the keys sort as the entries
+// do.
+constexpr char kHardStateKey[] = "hard";
+constexpr char kSnapshotKey[] = "snapshot";
+constexpr char kCommitKey[] = "commit";
+constexpr char kEntryPrefix[] = "e";
+
+// Sizes that suit a machine with a disk of 64 MB and little memory.
+constexpr size_t kWriteBufferBytes = 512 << 10;
+constexpr size_t kTableFileBytes = 1 << 20;
+constexpr size_t kBlockCacheBytes = 64 << 10;
+constexpr int kMaxOpenFiles = 32;
+
+// Room is given back after so many bytes, or after as many as are kept if that is more: what is
+// kept is copied then.
+constexpr uint64_t kReclaimBytes = 4 << 20;
+
+// LevelDB's own notes would grow for as long as the process runs.
+class NoLogger : public leveldb::Logger {
+  void Logv(const char*, std::va_list) override {}
+};
+
+std::string EntryKey(Index index) {
+  std::string key = kEntryPrefix;
+  for (int shift = 56; shift >= 0; shift -= 8) key.push_back(static_cast<char>(index >> shift));
+  return key;
+}
+
+base::Error MakeError(const char* step, const leveldb::Status& status) {
+  base::ErrorCode code =
+      status.IsCorruption() ? base::ErrorCode::kCorruption : base::ErrorCode::kIoError;
+  return {code, step, "", status.ToString()};
+}
+
+tl::unexpected<base::Error> Corruption(std::string reason) {
+  return base::Failure(base::ErrorCode::kCorruption, "store.load", "", std::move(reason));
+}
+
+class DiskStore : public Store {
+ public:
+  DiskStore(std::string directory, const FileSystem& files)
+      : directory_(std::move(directory)), files_(files), env_(files) {}
+  ~DiskStore() override;
+
+  base::Status Open();
+  base::Result<RestoredState> Load() override;
+  base::Status Write(const WriteRequest& write) override;
+  void Reclaim() override;
+
+ private:
+  base::Status LoadSnapshot(const leveldb::ReadOptions& options, RestoredState* restored) const;
+  base::Status LoadEntries(const leveldb::ReadOptions& options, RestoredState* restored) const;
+  uint64_t TableBytes() const;
+  void DeleteEntries(leveldb::WriteBatch* batch, Index from, Index to) const;
+
+  std::string directory_;
+  FileSystem files_;
+  SyncedEnv env_;
+  NoLogger logger_;
+  std::optional<base::Error> refused_;   // of the first write that failed
+  uint64_t written_bytes_ = 0;           // since room was given back
+  std::atomic<uint64_t> kept_bytes_{0};  // that were left then; set by reclaimer_
+  std::unique_ptr<leveldb::Cache> cache_;
+  std::unique_ptr<leveldb::DB> db_;
+  std::thread reclaimer_;
+};
+
+DiskStore::~DiskStore() {
+  if (reclaimer_.joinable()) reclaimer_.join();
+}
+
+base::Status DiskStore::Open() {
+  leveldb::Status status = MakeDurableDirectory(files_, ParentDirectory(directory_));
+  if (status.ok()) status = MakeDurableDirectory(files_, directory_);
+  if (!status.ok()) {
+    return base::Failure(base::ErrorCode::kIoError, "store.open", "", status.ToString());
+  }
+  leveldb::Options options;
+  options.create_if_missing = true;
+  options.env = &env_;
+  options.write_buffer_size = kWriteBufferBytes;
+  options.max_file_size = kTableFileBytes;
+  options.max_open_files = kMaxOpenFiles;
+  options.info_log = &logger_;
+  options.compression = leveldb::kNoCompression;
+  cache_.reset(leveldb::NewLRUCache(kBlockCacheBytes));
+  options.block_cache = cache_.get();
+  leveldb::DB* db = nullptr;
+  status = leveldb::DB::Open(options, directory_, &db);
+  if (!status.ok()) return base::Failure(MakeError("store.open", status));
+  db_.reset(db);
+  written_bytes_ = TableBytes();  // some of it may have been dropped before the process started
+  return {};
+}
+
+base::Result<RestoredState> DiskStore::Load() {
+  RestoredState restored;
+  leveldb::ReadOptions options;
+  options.verify_checksums = true;
+  std::string value;
+  leveldb::Status status = db_->Get(options, kHardStateKey, &value);
+  if (status.IsNotFound()) return restored;
+  if (!status.ok()) return base::Failure(MakeError("store.open", status));
+  auto hard_state = wire::Decode<HardState>(value);
+  if (!hard_state) return Corruption("the vote can't be read");
+  restored.empty = false;
+  restored.hard_state = *hard_state;
+  base::Status loaded = LoadSnapshot(options, &restored);
+  if (!loaded) return base::Failure(loaded.error());
+  if (db_->Get(options, kCommitKey, &value).ok()) {
+    if (auto commit = wire::Decode<Index>(value)) restored.commit = *commit;
+  }
+  loaded = LoadEntries(options, &restored);
+  if (!loaded) return base::Failure(loaded.error());
+  return restored;
+}
+
+base::Status DiskStore::LoadSnapshot(const leveldb::ReadOptions& options,
+                                     RestoredState* restored) const {
+  std::string value;
+  leveldb::Status status = db_->Get(options, kSnapshotKey, &value);
+  if (status.IsNotFound()) return {};
+  if (!status.ok()) return base::Failure(MakeError("store.open", status));
+  auto snapshot = wire::Decode<Snapshot>(value);
+  if (!snapshot) return Corruption("the snapshot can't be read");
+  restored->snapshot = std::move(*snapshot);
+  return {};
+}
+
+base::Status DiskStore::LoadEntries(const leveldb::ReadOptions& options,
+                                    RestoredState* restored) const {
+  std::vector<Entry>& entries = restored->entries;
+  std::unique_ptr<leveldb::Iterator> record(db_->NewIterator(options));
+  for (record->Seek(kEntryPrefix); record->Valid() && record->key().starts_with(kEntryPrefix);
+       record->Next()) {
+    auto entry =
+        wire::Decode<Entry>(std::string_view(record->value().data(), record->value().size()));
+    if (!entry) return Corruption("an entry can't be read");
+    if (!entries.empty() && entry->index != entries.back().index + 1) {
+      return Corruption("the log has a gap");
+    }
+    entries.push_back(std::move(*entry));
+  }
+  if (!record->status().ok()) return base::Failure(MakeError("store.open", record->status()));
+  if (!entries.empty() && entries.front().index > restored->snapshot.index + 1) {
+    return Corruption("the log begins after its snapshot");
+  }
+  return {};
+}
+
+base::Status DiskStore::Write(const WriteRequest& write) {
+  // LevelDB may go on behind a record that is only partly there, and would not find what follows.
+  if (refused_) return base::Failure(*refused_);
+  leveldb::WriteBatch batch;
+  if (write.hard_state_changed) batch.Put(kHardStateKey, wire::Encode(write.hard_state));
+  if (!write.snapshot.empty()) batch.Put(kSnapshotKey, wire::Encode(write.snapshot[0]));
+  if (write.drop_to > 0) DeleteEntries(&batch, 0, write.drop_to);
+  if (write.truncate_from > 0) DeleteEntries(&batch, write.truncate_from, UINT64_MAX);
+  for (const Entry& entry : write.entries) batch.Put(EntryKey(entry.index), wire::Encode(entry));
+  if (write.commit > 0) batch.Put(kCommitKey, wire::Encode(write.commit));
+  leveldb::WriteOptions options;
+  options.sync = write.hard_state_changed || !write.snapshot.empty() || !write.entries.empty() ||
+                 write.truncate_from > 0;
+  leveldb::Status status = db_->Write(options, &batch);
+  if (!status.ok()) {
+    refused_ = MakeError("store.write", status);
+    return base::Failure(*refused_);
+  }
+  written_bytes_ += batch.ApproximateSize();
+  return {};
+}
+
+// On a thread of its own, so that writes go on; they wait for it only if as much was written since
+// it began.
+void DiskStore::Reclaim() {
+  if (written_bytes_ < std::max(kReclaimBytes, kept_bytes_.load())) return;
+  if (reclaimer_.joinable()) reclaimer_.join();
+  written_bytes_ = 0;
+  reclaimer_ = std::thread([this] {
+    db_->CompactRange(nullptr, nullptr);
+    kept_bytes_ = TableBytes();
+  });
+}
+
+uint64_t DiskStore::TableBytes() const {
+  leveldb::Range all("", "z");
+  uint64_t bytes = 0;
+  db_->GetApproximateSizes(&all, 1, &bytes);
+  return bytes;
+}
+
+void DiskStore::DeleteEntries(leveldb::WriteBatch* batch, Index from, Index to) const {
+  std::unique_ptr<leveldb::Iterator> record(db_->NewIterator(leveldb::ReadOptions()));
+  std::string last = EntryKey(to);
+  for (record->Seek(EntryKey(from)); record->Valid() && record->key().compare(last) <= 0;
+       record->Next()) {
+    batch->Delete(record->key());
+  }
+}
+
+class MemoryStore : public Store {
+ public:
+  base::Result<RestoredState> Load() override { return RestoredState(); }
+  base::Status Write(const WriteRequest&) override { return {}; }
+};
+
+}  // namespace
+
+base::Result<std::unique_ptr<Store>> OpenDiskStore(const std::string& directory,
+                                                   const FileSystem& files) {
+  auto store = std::make_unique<DiskStore>(directory, files);
+  base::Status opened = store->Open();
+  if (!opened) return base::Failure(opened.error());
+  return std::unique_ptr<Store>(std::move(store));
+}
+
+bool HasDiskStore(const std::string& directory) {
+  std::error_code ignored;
+  return std::filesystem::exists(directory + "/CURRENT", ignored);
+}
+
+bool IsCorruption(const base::Error& error) { return error.code == base::ErrorCode::kCorruption; }
+
+base::Status Quarantine(const std::string& directory, const FileSystem& files) {
+  std::string quarantine = directory + ".unreadable";
+  std::error_code error;
+  std::filesystem::remove_all(quarantine, error);
+  if (!error) std::filesystem::rename(directory, quarantine, error);
+  if (error) {
+    return base::Failure(base::ErrorCode::kIoError, "store.quarantine", "", error.message());
+  }
+  leveldb::Status status = files.sync_directory(ParentDirectory(directory));
+  if (!status.ok()) {
+    return base::Failure(base::ErrorCode::kIoError, "store.quarantine", "", status.ToString());
+  }
+  return {};
+}
+
+std::unique_ptr<Store> MakeMemoryStore() { return std::make_unique<MemoryStore>(); }
+
+}  // namespace elderkeel::consensus
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -1,87 +1,84 @@
 // Terms and votes: pre-vote, elections, stepping down, handing leadership over.
+#include <utility>
+
 #include "consensus/raft_node.h"
 
 namespace elderkeel::consensus {
 
-void RaftNode::ResetElection(base::Millis now) {
+void RaftNode::ResetElectionTimer(base::Millis now) {
+  base::Millis shortest = timing_.election_timeout;
+  base::Millis spread = timing_.election_timeout;
   if (no_leader_seen_) {
-    // Nobody was heard yet, so there may be nobody to wait for; a pre-vote disturbs no leader.
-    election_at_ = now + timing_.startup_election_timeout +
-                   static_cast<base::Millis>(
-                       random_.Below(static_cast<uint64_t>(timing_.startup_election_timeout * 4)));
-    return;
+    // There may be no leader to wait for, and a pre-vote disturbs none.
+    shortest = timing_.startup_election_timeout;
+    spread = timing_.startup_election_timeout * 4;
   }
-  election_at_ =
-      now + timing_.election_timeout +
-      static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(timing_.election_timeout)));
+  base::Millis drawn = static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(spread)));
+  election_at_ = now + shortest + drawn;
 }
 
 void RaftNode::BecomeFollower(base::Millis now, Term term, MemberId leader) {
-  if (role_ != Role::kFollower) out_.role_changed = true;
+  if (role_ != Role::kFollower) effects_.role_changed = true;
   if (is_leader()) {
     FailReads();
     progress_.clear();
   }
   role_ = Role::kFollower;
-  if (term > term_) {
-    term_ = term;
+  if (term > hard_state_.term) {
     last_leader_round_ = 0;
     incoming_.reset();
     SetHardState(term, 0);
   }
-  if (leader != leader_id_) out_.role_changed = true;
+  if (leader != leader_id_) effects_.role_changed = true;
   leader_id_ = leader;
-  ResetElection(now);
+  ResetElectionTimer(now);
 }
 
 void RaftNode::StartPreVote(base::Millis now) {
   role_ = Role::kPreCandidate;
-  out_.role_changed = true;
+  effects_.role_changed = true;
   leader_id_ = 0;
   votes_ = {self_.id};
-  ResetElection(now);
+  ResetElectionTimer(now);
   pre_vote_round_ = ++round_;
   if (votes_.size() >= Majority()) {
     StartElection(now);
     return;
   }
-  for (const Member& v : voters_) {
-    if (v.id == self_.id) continue;
-    Message m = Make(MessageType::kPreVote, v.id);
-    m.term = term_ + 1;
-    m.index = last_index();
-    m.log_term = TermAt(last_index());
-    m.round = pre_vote_round_;
-    Post(v.address(), std::move(m), false);
-  }
+  AskForVotes(MessageType::kPreVote, term() + 1, pre_vote_round_, SendWhen::kNow);
 }
 
 void RaftNode::StartElection(base::Millis now) {
   role_ = Role::kCandidate;
-  out_.role_changed = true;
+  effects_.role_changed = true;
   leader_id_ = 0;  // one that handed over leads no more
-  ++term_;
   last_leader_round_ = 0;
-  SetHardState(term_, self_.id);
+  SetHardState(term() + 1, self_.id);
   votes_ = {self_.id};
-  ResetElection(now);
+  ResetElectionTimer(now);
   if (votes_.size() >= Majority()) {
     BecomeLeader(now);
     return;
   }
-  for (const Member& v : voters_) {
-    if (v.id == self_.id) continue;
-    Message m = Make(MessageType::kRequestVote, v.id);
-    m.index = last_index();
-    m.log_term = TermAt(last_index());
-    Post(v.address(), std::move(m), true);
+  AskForVotes(MessageType::kRequestVote, term(), 0, SendWhen::kWritesFinished);
+}
+
+void RaftNode::AskForVotes(MessageType type, Term term, uint64_t round, SendWhen when) {
+  for (const Member& voter : voters_) {
+    if (voter.id == self_.id) continue;
+    Message message = MakeMessage(type, voter.id);
+    message.term = term;
+    message.index = log_.last_index();
+    message.log_term = log_.last_term();
+    message.round = round;
+    Send(voter.address(), std::move(message), when);
   }
 }
 
 void RaftNode::BecomeLeader(base::Millis now) {
   role_ = Role::kLeader;
   no_leader_seen_ = false;
-  out_.role_changed = true;
+  effects_.role_changed = true;
   leader_id_ = self_.id;
   progress_.clear();
   TrackVoters();
@@ -89,72 +86,83 @@
   Broadcast(now);
 }
 
-void RaftNode::OnPreVote(base::Millis now, const Message& m, const base::Address& from) {
-  bool current = m.log_term > TermAt(last_index()) ||
-                 (m.log_term == TermAt(last_index()) && m.index >= last_index());
-  bool leader_alive =
-      is_leader() ||
-      (leader_id_ && now - last_leader_contact_ < timing_.election_timeout && leader_id_ != m.from);
-  Message reply = Make(MessageType::kPreVoteReply, m.from);
-  reply.granted = current && !leader_alive && m.term > term_;
-  reply.term = reply.granted ? m.term : term_;
-  reply.round = m.round;
-  Post(from, std::move(reply), false);
+// A pre-vote is refused while a leader is alive: a member that comes back from a partition must not
+// depose a leader that serves the others well.
+void RaftNode::OnPreVote(base::Millis now, const Message& message, const base::Address& from) {
+  bool hears_leader = leader_id_ && leader_id_ != message.from &&
+                      now - last_leader_contact_ < timing_.election_timeout;
+  Message reply = MakeMessage(MessageType::kPreVoteReply, message.from);
+  reply.granted = log_.IsCoveredBy(message.index, message.log_term) && !is_leader() &&
+                  !hears_leader && message.term > term();
+  if (reply.granted) reply.term = message.term;
+  reply.round = message.round;
+  Send(from, std::move(reply), SendWhen::kNow);
 }
 
-// A grant is no promise, and may have been overtaken by a leader: only those of the pre-vote that
+// A grant is no promise, and a leader may have been elected since: only grants to the pre-vote that
 // is under way count.
-void RaftNode::OnPreVoteReply(base::Millis now, const Message& m) {
-  if (!m.granted) {
-    if (m.term > term_) BecomeFollower(now, m.term, 0);
+void RaftNode::OnPreVoteReply(base::Millis now, const Message& message) {
+  if (!message.granted) {
+    if (message.term > term()) BecomeFollower(now, message.term, 0);
     return;
   }
-  if (role_ != Role::kPreCandidate || m.term != term_ + 1 || m.round != pre_vote_round_ ||
-      !IsVoter(m.from)) {
-    return;
-  }
-  votes_.insert(m.from);
+  bool under_way = role_ == Role::kPreCandidate && message.term == term() + 1 &&
+                   message.round == pre_vote_round_;
+  if (!under_way || !IsVoter(message.from)) return;
+  votes_.insert(message.from);
   if (votes_.size() >= Majority()) StartElection(now);
 }
 
-void RaftNode::OnRequestVote(base::Millis now, const Message& m, const base::Address& from) {
-  bool current = m.log_term > TermAt(last_index()) ||
-                 (m.log_term == TermAt(last_index()) && m.index >= last_index());
-  bool free = hard_state_.voted_for == 0 || hard_state_.voted_for == m.from;
-  Message reply = Make(MessageType::kRequestVoteReply, m.from);
-  reply.granted = current && free && role_ == Role::kFollower;
+// A follower refuses its vote to a candidate whose log is behind its own, and to a second candidate
+// of the same term (Raft, sections 5.2 and 5.4.1).
+void RaftNode::OnRequestVote(base::Millis now, const Message& message, const base::Address& from) {
+  bool free = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
+  Message reply = MakeMessage(MessageType::kRequestVoteReply, message.from);
+  reply.granted =
+      log_.IsCoveredBy(message.index, message.log_term) && free && role_ == Role::kFollower;
   if (reply.granted) {
-    SetHardState(term_, m.from);
-    ResetElection(now);
+    SetHardState(term(), message.from);
+    ResetElectionTimer(now);
   }
-  Post(from, std::move(reply), true);
+  Send(from, std::move(reply), SendWhen::kWritesFinished);
 }
 
-void RaftNode::OnRequestVoteReply(base::Millis now, const Message& m) {
-  if (role_ != Role::kCandidate || !m.granted || !IsVoter(m.from)) return;
-  votes_.insert(m.from);
+void RaftNode::OnRequestVoteReply(base::Millis now, const Message& message) {
+  if (role_ != Role::kCandidate || !message.granted || !IsVoter(message.from)) return;
+  votes_.insert(message.from);
   if (votes_.size() >= Majority()) BecomeLeader(now);
 }
 
 void RaftNode::TransferLeadership(base::Millis now) {
   if (!is_leader()) return;
-  const Progress* best = nullptr;
-  for (const auto& [id, p] : progress_) {
-    if (!p.voter || p.state_lost || Leaving(p) || now - p.heard > timing_.election_timeout)
-      continue;
-    if (!best || p.match > best->match) best = &p;
+  const PeerProgress* best = nullptr;
+  for (const auto& [id, peer] : progress_) {
+    bool eligible = peer.is_voter && !peer.state_lost && !IsLeaving(peer) &&
+                    now - peer.last_contact <= timing_.election_timeout;
+    if (!eligible) continue;
+    if (!best || peer.match_index > best->match_index) best = &peer;
   }
   if (!best) return;
-  Message m = Make(MessageType::kTimeoutNow, best->member.id);
-  m.round = ++round_;
-  Post(best->member.address(), std::move(m), false);
+  Message message = MakeMessage(MessageType::kTimeoutNow, best->member.id);
+  message.round = ++round_;
+  Send(best->member.address(), std::move(message), SendWhen::kNow);
 }
 
-// A leader that was heard after it handed over did not go.
-void RaftNode::OnTimeoutNow(base::Millis now, const Message& m) {
-  if (role_ != Role::kFollower || leaving_ || !IsVoter(self_.id) || m.round < last_leader_round_)
-    return;
+// A leader that was heard after it handed over has not stepped down.
+void RaftNode::OnTimeoutNow(base::Millis now, const Message& message) {
+  if (role_ != Role::kFollower || leaving_ || !IsVoter(self_.id)) return;
+  if (message.round < last_leader_round_) return;
   StartElection(now);
 }
 
+base::Millis RaftNode::LastMajorityContact() const {
+  std::vector<base::Millis> contacts;
+  for (const Member& voter : voters_) {
+    auto peer = progress_.find(voter.id);
+    base::Millis known = peer == progress_.end() ? 0 : peer->second.last_contact;
+    contacts.push_back(voter.id == self_.id ? now_ : known);
+  }
+  return contacts.empty() ? 0 : ReachedByMajority(std::move(contacts));
+}
+
 }  // namespace elderkeel::consensus
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -1,10 +1,10 @@
 #include "consensus/raft_node.h"
 
 #include <algorithm>
-
-#include "wire/frame.h"
+#include <utility>
 
 namespace elderkeel::consensus {
+
 const char* RoleName(Role role) {
   switch (role) {
     case Role::kFollower:
@@ -20,290 +20,274 @@
 }
 
 RaftNode::RaftNode(Options options, RestoredState restored, base::Millis now)
-    : self_(std::move(options.self)),
+    : self_(options.self),
       timing_(options.timing),
       tolerance_(options.tolerance),
-      regions_(std::move(options.regions)),
+      regions_(options.regions),
       random_(options.seed),
-      founders_(std::move(options.founders)),
       now_(now),
-      round_(base::Random(~options.seed).Next() >> 16) {  // no reply to a former life fits
+      // No reply to an earlier incarnation of this process fits.
+      round_(base::Random(~options.seed).Next() >> 16) {
   if (restored.empty) {
-    hard_state_.cluster = options.cluster;
-    hard_state_.self = self_.id;
-    WriteRequest& write = Write();
-    write.hard_state_changed = true;
-    write.hard_state = hard_state_;
-    if (!founders_.empty()) {
-      // The founders begin from the same snapshot, so that the first voters are part of the log's
-      // history on every one of them.
-      snapshot_.index = 1;
-      snapshot_.term = 1;
-      snapshot_.voters = founders_;
-      write.snapshot = {snapshot_};
-      hard_state_.term = 1;
-      write.hard_state = hard_state_;
-    }
+    BeginEmpty(std::move(options));
   } else {
     hard_state_ = restored.hard_state;
     self_.id = hard_state_.self;
-    snapshot_ = std::move(restored.snapshot);
-    log_ = std::move(restored.entries);
+    log_ = RaftLog(std::move(restored.snapshot), std::move(restored.entries));
   }
-  term_ = hard_state_.term;
-  commit_ = applied_ = snapshot_.index;
-  durable_index_ = last_index();
+  commit_index_ = applied_index_ = log_.snapshot().index;
+  pending_writes_.OnReplaced(log_.last_index());
   ReloadVoters();
-  if (snapshot_.index > 0) out_.installed.push_back(snapshot_);
+  if (log_.snapshot().index > 0) effects_.installed.push_back(log_.snapshot());
   // What was known to be committed is so still, and can be used before there is a leader.
-  commit_ = std::max(commit_, std::min(restored.commit, last_index()));
-  recorded_commit_ = commit_;
+  commit_index_ = std::max(commit_index_, std::min(restored.commit, log_.last_index()));
+  recorded_commit_ = commit_index_;
   ApplyCommitted();
-  ResetElection(now);
-}
-
-Index RaftNode::last_index() const { return log_.empty() ? snapshot_.index : log_.back().index; }
-
-const Entry* RaftNode::At(Index index) const {
-  if (log_.empty() || index < log_.front().index || index > log_.back().index) return nullptr;
-  return &log_[index - log_.front().index];
-}
-
-Term RaftNode::TermAt(Index index) const {
-  if (const Entry* entry = At(index)) return entry->term;
-  return index == snapshot_.index ? snapshot_.term : 0;
+  ResetElectionTimer(now);
 }
 
-std::optional<Member> RaftNode::leader() const {
-  if (is_leader()) return self_;
-  if (!leader_id_) return std::nullopt;
-  for (const Member& m : voters_) {
-    if (m.id == leader_id_) return m;
+void RaftNode::BeginEmpty(Options options) {
+  hard_state_.cluster = options.cluster;
+  hard_state_.self = self_.id;
+  if (!options.founders.empty()) {
+    // The initial voters begin from the same snapshot, so that they are part of the log's history
+    // on every one of them.
+    Snapshot first;
+    first.index = 1;
+    first.term = 1;
+    first.voters = std::move(options.founders);
+    hard_state_.term = 1;
+    CurrentWrite().snapshot = {first};
+    log_ = RaftLog(std::move(first), {});
   }
-  // A member that is being caught up may not know the voters yet.
-  Member m;
-  m.id = leader_id_;
-  m.ip = leader_address_.ip;
-  m.port = leader_address_.port;
-  return m;
-}
-
-std::optional<Member> RaftNode::LeaderInContact(base::Millis now) const {
-  if (now - now_ > timing_.election_timeout) return std::nullopt;
-  base::Millis heard = is_leader() ? LastMajorityContact() : last_leader_contact_;
-  if (now - heard > timing_.election_timeout) return std::nullopt;
-  return leader();
-}
-
-base::Millis RaftNode::LastMajorityContact() const {
-  std::vector<base::Millis> heard;
-  for (const Member& v : voters_) {
-    auto at = progress_.find(v.id);
-    heard.push_back(v.id == self_.id ? now_ : at == progress_.end() ? 0 : at->second.heard);
-  }
-  if (heard.size() < Majority()) return 0;
-  std::sort(heard.rbegin(), heard.rend());
-  return heard[Majority() - 1];
+  WriteHardState();
 }
 
 void RaftNode::AdvanceClock(base::Millis now) {
   base::Millis gap = now - now_;
   now_ = std::max(now_, now);
   if (gap <= (is_leader() ? timing_.election_timeout * 2 : timing_.election_timeout)) return;
-  // What was heard before says nothing about now, and neither does what waited meanwhile. Give a
+  // What was received before says nothing about now, and neither does what waited meanwhile. Give a
   // leader time to be heard.
-  BecomeFollower(now, term_, 0);
-}
-
-base::Millis RaftNode::LastContact(MemberId id) const {
-  if (id == self_.id) return now_;
-  auto at = progress_.find(id);
-  return at == progress_.end() ? -1 : at->second.heard;
+  BecomeFollower(now, term(), 0);
 }
 
-bool RaftNode::ContactedWithin(base::Millis now, MemberId id, base::Millis span) const {
-  if (id == self_.id) return true;
-  auto at = progress_.find(id);
-  return at != progress_.end() && !at->second.state_lost && now - at->second.heard < span;
-}
-
-bool RaftNode::IsDiskStalled(base::Millis now) const {
-  return storage_failed_ || (!write_started_at_.empty() &&
-                             now - write_started_at_.begin()->second > timing_.disk_stall_timeout);
-}
-
-RaftNode::Effects RaftNode::Take() {
-  Effects taken = std::move(out_);
-  out_ = Effects();
-  return taken;
-}
-
-// Writes made in one turn are merged until they are taken.
-WriteRequest& RaftNode::Write() {
-  if (out_.writes.empty()) {
-    WriteRequest write;
-    write.sequence = ++write_sequence_;
-    out_.writes.push_back(std::move(write));
-    write_started_at_[write_sequence_] = now_;
+void RaftNode::Tick(base::Millis now) {
+  AdvanceClock(now);
+  RecordCommitIndex();
+  if (is_leader()) {
+    TickLeader(now);
+  } else {
+    TickFollower(now);
   }
-  return out_.writes.back();
 }
 
-void RaftNode::SetHardState(Term term, MemberId voted_for) {
-  if (hard_state_.term == term && hard_state_.voted_for == voted_for) return;
-  hard_state_.term = term;
-  hard_state_.voted_for = voted_for;
-  WriteRequest& write = Write();
-  write.hard_state_changed = true;
-  write.hard_state = hard_state_;
-}
-
-Message RaftNode::Make(MessageType type, MemberId to) const {
-  Message m;
-  m.type = type;
-  m.cluster = hard_state_.cluster;
-  m.from = self_.id;
-  m.to = to;
-  m.term = term_;
-  return m;
+void RaftNode::RecordCommitIndex() {
+  if (commit_index_ <= recorded_commit_ || storage_failed_) return;
+  recorded_commit_ = commit_index_;
+  CurrentWrite().commit = commit_index_;
 }
 
-void RaftNode::Post(const base::Address& to, Message message, bool after_writes) {
-  if (after_writes && finished_write_ < write_sequence_) {
-    // What rests on a write is told once it is on disk.
-    if (deferred_messages_.size() > 256) deferred_messages_.erase(deferred_messages_.begin());
-    deferred_messages_.push_back({write_sequence_, {to, std::move(message)}});
+void RaftNode::TickLeader(base::Millis now) {
+  // Check-quorum: by the longest election timeout, others lead where it hears no majority.
+  if (now - LastMajorityContact() > timing_.election_timeout * 2) {
+    BecomeFollower(now, term(), 0);
     return;
   }
-  out_.messages.push_back({to, std::move(message)});
-}
-
-void RaftNode::OnWriteFinished(base::Millis now, uint64_t sequence, bool ok) {
-  AdvanceClock(now);
-  if (!ok) {
-    // A refused write ends this member's part: what it told before stands, nothing new is told.
-    storage_failed_ = true;
-    deferred_messages_.clear();
-    if (role_ != Role::kFollower) BecomeFollower(now, term_, 0);
+  if (IsDiskStalled(now)) {
+    TransferLeadership(now);
+    BecomeFollower(now, term(), 0);
+    // It may vote again when its disk answers; until then others are better placed.
+    election_at_ = now + timing_.election_timeout * 4;
     return;
   }
-  finished_write_ = std::max(finished_write_, sequence);
-  write_started_at_.erase(write_started_at_.begin(), write_started_at_.upper_bound(sequence));
-  for (auto at = write_covers_.begin(); at != write_covers_.end() && at->first <= sequence;) {
-    durable_index_ = std::max(durable_index_, std::min(at->second, last_index()));
-    at = write_covers_.erase(at);
-  }
-  std::vector<DeferredMessage> rest;
-  for (DeferredMessage& held : deferred_messages_) {
-    if (held.after <= finished_write_) {
-      out_.messages.push_back(std::move(held.out));
-    } else {
-      rest.push_back(std::move(held));
-    }
+  // The message that hands over may be lost, or arrive after a heartbeat that revokes it.
+  if (leaving_ && now >= leave_retry_at_) {
+    leave_retry_at_ = now + timing_.election_timeout / 2;
+    TransferLeadership(now);
   }
-  deferred_messages_.swap(rest);
-  if (is_leader()) AdvanceCommit(now);
+  ReviewVoters(now);  // not only with heartbeats: while changes go out none is due
+  if (now < heartbeat_at_) return;
+  Broadcast(now);
+  auto in_contact = [&](const auto& peer) {
+    return now - peer.second.last_contact < timing_.election_timeout;
+  };
+  bool alone = std::none_of(progress_.begin(), progress_.end(), in_contact);
+  if (leaving_ && alone) may_stop_ = true;  // nobody is left to hand over to
 }
 
-void RaftNode::Tick(base::Millis now) {
-  AdvanceClock(now);
-  if (commit_ > recorded_commit_ && !storage_failed_) {
-    recorded_commit_ = commit_;
-    Write().commit = commit_;
-  }
-  if (is_leader()) {
-    // Check-quorum: by the longest election time-out, others lead where it hears no majority.
-    if (now - LastMajorityContact() > timing_.election_timeout * 2) {
-      BecomeFollower(now, term_, 0);
-      return;
-    }
-    if (IsDiskStalled(now)) {
-      TransferLeadership(now);
-      BecomeFollower(now, term_, 0);
-      // It may vote again when its disk answers; until then others are better placed.
-      election_at_ = now + timing_.election_timeout * 4;
-      return;
-    }
-    // The word that hands over may be lost, or come after a heartbeat that unsays it.
-    if (leaving_ && now >= leave_retry_at_) {
-      leave_retry_at_ = now + timing_.election_timeout / 2;
-      TransferLeadership(now);
-    }
-    ReviewVoters(now);  // not only with heartbeats: while changes go out none is due
-    if (now >= heartbeat_at_) {
-      Broadcast(now);
-      // Nobody is left to hand over to.
-      may_stop_ |= leaving_ && std::none_of(progress_.begin(), progress_.end(), [&](const auto& p) {
-                     return now - p.second.heard < timing_.election_timeout;
-                   });
-    }
-    return;
-  }
+void RaftNode::TickFollower(base::Millis now) {
   if (leaving_ && !may_stop_ && leader_id_ && now >= leave_retry_at_) {
     leave_retry_at_ = now + timing_.heartbeat_interval;
-    Post(leader_address_, Make(MessageType::kLeave, leader_id_), false);
+    Send(leader_address_, MakeMessage(MessageType::kLeave, leader_id_), SendWhen::kNow);
   }
   if (leader_id_ && now - last_leader_contact_ > timing_.election_timeout * 2) {
     leader_id_ = 0;
-    out_.role_changed = true;
+    effects_.role_changed = true;
   }
-  if (now >= election_at_ && IsVoter(self_.id) && !storage_failed_ && !IsDiskStalled(now))
-    StartPreVote(now);
+  if (now >= election_at_ && IsVoter(self_.id) && !IsDiskStalled(now)) StartPreVote(now);
 }
 
-void RaftNode::Receive(base::Millis now, const Message& m, const base::Address& from) {
+void RaftNode::Receive(base::Millis now, const Message& message, const base::Address& from) {
   AdvanceClock(now);
-  if (m.to != self_.id || storage_failed_) return;
-  if (hard_state_.cluster == 0 && m.cluster != 0 &&
-      (m.type == MessageType::kAppendEntries || m.type == MessageType::kInstallSnapshot)) {
-    // A joiner learns which cluster it joined from the leader that took it.
-    hard_state_.cluster = m.cluster;
-    WriteRequest& write = Write();
-    write.hard_state_changed = true;
-    write.hard_state = hard_state_;
-  }
-  if (m.cluster != hard_state_.cluster) return;
-  if (m.type == MessageType::kPreVote) return OnPreVote(now, m, from);
-  if (m.type == MessageType::kPreVoteReply) return OnPreVoteReply(now, m);
-  if (m.term > term_) {
-    bool from_leader =
-        m.type == MessageType::kAppendEntries || m.type == MessageType::kInstallSnapshot;
-    // A vote asked for while a leader is heard is a disturbance, unless that leader handed over.
-    BecomeFollower(now, m.term, from_leader ? m.from : 0);
-  }
-  if (m.term < term_) {
-    if (m.type == MessageType::kAppendEntries || m.type == MessageType::kInstallSnapshot) {
-      Message reply = Make(MessageType::kAppendEntriesReply, m.from);
-      reply.round = 0;
-      Post(from, std::move(reply), true);
-    }
+  if (message.to != self_.id || storage_failed_) return;
+  AdoptCluster(message);
+  if (message.cluster != hard_state_.cluster) return;
+  if (message.type == MessageType::kPreVote) return OnPreVote(now, message, from);
+  if (message.type == MessageType::kPreVoteReply) return OnPreVoteReply(now, message);
+  bool from_leader =
+      message.type == MessageType::kAppendEntries || message.type == MessageType::kInstallSnapshot;
+  // A vote asked for while a leader is heard is a disturbance, unless that leader handed over.
+  if (message.term > term()) BecomeFollower(now, message.term, from_leader ? message.from : 0);
+  if (message.term < term()) {
+    if (from_leader) AnswerStaleLeader(message, from);
     return;
   }
-  switch (m.type) {
+  Dispatch(now, message, from);
+}
+
+// A joiner learns which cluster it joined from the leader that took it.
+void RaftNode::AdoptCluster(const Message& message) {
+  bool from_leader =
+      message.type == MessageType::kAppendEntries || message.type == MessageType::kInstallSnapshot;
+  if (hard_state_.cluster != 0 || message.cluster == 0 || !from_leader) return;
+  hard_state_.cluster = message.cluster;
+  WriteHardState();
+}
+
+// By the term of the reply the leader learns that it is one no more.
+void RaftNode::AnswerStaleLeader(const Message& message, const base::Address& from) {
+  Send(from, MakeMessage(MessageType::kAppendEntriesReply, message.from),
+       SendWhen::kWritesFinished);
+}
+
+void RaftNode::Dispatch(base::Millis now, const Message& message, const base::Address& from) {
+  switch (message.type) {
     case MessageType::kRequestVote:
-      return OnRequestVote(now, m, from);
+      return OnRequestVote(now, message, from);
     case MessageType::kRequestVoteReply:
-      return OnRequestVoteReply(now, m);
+      return OnRequestVoteReply(now, message);
     case MessageType::kAppendEntries:
-      return OnAppendEntries(now, m, from);
+      return OnAppendEntries(now, message, from);
     case MessageType::kAppendEntriesReply:
-      return OnAppendEntriesReply(now, m);
+      return OnAppendEntriesReply(now, message);
     case MessageType::kInstallSnapshot:
-      return OnInstallSnapshot(now, m, from);
+      return OnInstallSnapshot(now, message, from);
     case MessageType::kInstallSnapshotReply:
-      return OnInstallSnapshotReply(now, m);
+      return OnInstallSnapshotReply(now, message);
     case MessageType::kTimeoutNow:
-      return OnTimeoutNow(now, m);
+      return OnTimeoutNow(now, message);
     case MessageType::kLeave:
-      return OnLeave(now, m, from);
+      return OnLeave(now, message, from);
     case MessageType::kLeaveReply:
-      may_stop_ |= leaving_ && m.granted;
+      may_stop_ |= leaving_ && message.granted;
       return;
     case MessageType::kStateLost:
       return OnStateLost();
-    default:
-      return;
+    case MessageType::kPreVote:
+    case MessageType::kPreVoteReply:
+      return;  // handled whatever their term
+  }
+}
+
+void RaftNode::OnWriteFinished(base::Millis now, uint64_t sequence, bool ok) {
+  AdvanceClock(now);
+  if (!ok) {
+    // A refused write ends this member's part: what it acknowledged before stands, nothing new is.
+    storage_failed_ = true;
+    pending_writes_.DropDeferred();
+    if (role_ != Role::kFollower) BecomeFollower(now, term(), 0);
+    return;
+  }
+  pending_writes_.OnFinished(sequence, log_.last_index());
+  for (OutgoingMessage& ready : pending_writes_.TakeReady()) {
+    effects_.messages.push_back(std::move(ready));
   }
+  if (is_leader()) AdvanceCommit(now);
+}
+
+RaftNode::Effects RaftNode::TakeEffects() { return std::exchange(effects_, Effects()); }
+
+std::optional<Member> RaftNode::leader() const {
+  if (is_leader()) return self_;
+  if (!leader_id_) return std::nullopt;
+  for (const Member& voter : voters_) {
+    if (voter.id == leader_id_) return voter;
+  }
+  // A member that is being caught up may not know the voters yet.
+  Member leader;
+  leader.id = leader_id_;
+  leader.ip = leader_address_.ip;
+  leader.port = leader_address_.port;
+  return leader;
+}
+
+std::optional<Member> RaftNode::LeaderInContact(base::Millis now) const {
+  if (now - now_ > timing_.election_timeout) return std::nullopt;
+  base::Millis last_contact = is_leader() ? LastMajorityContact() : last_leader_contact_;
+  if (now - last_contact > timing_.election_timeout) return std::nullopt;
+  return leader();
+}
+
+base::Millis RaftNode::LastContact(MemberId id) const {
+  if (id == self_.id) return now_;
+  auto peer = progress_.find(id);
+  return peer == progress_.end() ? -1 : peer->second.last_contact;
+}
+
+bool RaftNode::IsDiskStalled(base::Millis now) const {
+  return storage_failed_ || pending_writes_.IsStalled(now, timing_.disk_stall_timeout);
+}
+
+WriteRequest& RaftNode::CurrentWrite() {
+  if (effects_.writes.empty()) {
+    WriteRequest write;
+    write.sequence = pending_writes_.Start(now_);
+    effects_.writes.push_back(std::move(write));
+  }
+  return effects_.writes.back();
+}
+
+void RaftNode::SetHardState(Term term, MemberId voted_for) {
+  if (hard_state_.term == term && hard_state_.voted_for == voted_for) return;
+  hard_state_.term = term;
+  hard_state_.voted_for = voted_for;
+  WriteHardState();
+}
+
+void RaftNode::WriteHardState() {
+  WriteRequest& write = CurrentWrite();
+  write.hard_state_changed = true;
+  write.hard_state = hard_state_;
+}
+
+Message RaftNode::MakeMessage(MessageType type, MemberId to) const {
+  Message message;
+  message.type = type;
+  message.cluster = hard_state_.cluster;
+  message.from = self_.id;
+  message.to = to;
+  message.term = term();
+  return message;
+}
+
+void RaftNode::Send(const base::Address& to, Message message, SendWhen when) {
+  if (when == SendWhen::kWritesFinished && !pending_writes_.AllFinished()) {
+    pending_writes_.Defer({to, std::move(message)});
+  } else {
+    effects_.messages.push_back({to, std::move(message)});
+  }
+}
+
+std::string RaftNode::ZoneOf(const Member& member) const {
+  auto zone = zones_.find(member.ip);
+  return zone == zones_.end() ? member.zone : zone->second;
+}
+
+// A zone that the settings don't name is a region of its own.
+const std::string& RaftNode::RegionOf(const std::string& zone) const {
+  auto region = regions_.find(zone);
+  return region == regions_.end() ? zone : region->second;
 }
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -1,15 +1,27 @@
 #include "consensus/replica.h"
 
 #include <algorithm>
-#include <filesystem>
+#include <utility>
 
 #include "base/log.h"
 #include "base/random.h"
+#include "consensus/disk_store.h"
 
 namespace elderkeel::consensus {
 namespace {
+
 constexpr base::Millis kTickMs = 30;
 constexpr base::Millis kReopenMs = 500;
+
+std::string StoreDirectory(const std::string& data_dir) { return data_dir + "/log"; }
+
+// An error without digits: the numbers of LevelDB's files change with each opening.
+std::string WithoutDigits(std::string text) {
+  auto is_digit = [](char c) { return c >= '0' && c <= '9'; };
+  text.erase(std::remove_if(text.begin(), text.end(), is_digit), text.end());
+  return text;
+}
+
 }  // namespace
 
 const char* StoreStateName(Replica::StoreState state) {
@@ -24,199 +36,204 @@
   return "unknown";
 }
 
-Replica::Replica(base::Loop* loop, Hooks hooks) : loop_(loop), hooks_(std::move(hooks)) {}
+Replica::Replica(base::Loop* loop, Callbacks callbacks)
+    : loop_(loop), callbacks_(std::move(callbacks)) {}
 
 bool Replica::HasStore(const std::string& data_dir) {
-  std::error_code ignored;
-  return !data_dir.empty() && std::filesystem::exists(data_dir + "/log/CURRENT", ignored);
+  return !data_dir.empty() && HasDiskStore(StoreDirectory(data_dir));
 }
 
-void Replica::Start() {
-  begun_ = true;
+void Replica::Start(Options options) {
+  options_ = std::move(options);
+  started_ = true;
   Open();
-  tick_.Repeat(loop_, kTickMs, [this] {
-    if (machine_) machine_->Tick(base::SteadyMillis());
+  tick_timer_.Repeat(loop_, kTickMs, [this] {
+    if (raft_) raft_->Tick(base::SteadyMillis());
     Pump();
   });
 }
 
 void Replica::SetZone(const std::string& ip, const std::string& zone) {
   zones_[ip] = zone;
-  if (machine_) machine_->SetZone(ip, zone);
+  if (raft_) raft_->SetZone(ip, zone);
 }
 
 // A store that can be written, and what it held.
 base::Result<std::unique_ptr<Store>> Replica::OpenStore(RestoredState* restored) {
   if (options_.data_dir.empty()) return MakeMemoryStore();
-  std::string directory = options_.data_dir + "/log";
+  std::string directory = StoreDirectory(options_.data_dir);
   if (discard_store_) {
-    auto moved = Quarantine(directory);
+    base::Status moved = Quarantine(directory);
     if (!moved) return base::Failure(moved.error());
     discard_store_ = false;
   }
-  auto open = [&]() -> base::Result<std::unique_ptr<Store>> {
-    auto opened = OpenDiskStore(directory);
-    if (!opened) return opened;
-    auto loaded = (*opened)->Load();
-    if (!loaded) return base::Failure(loaded.error());
-    // The disk may be full still: it must take something before this member has a part again.
-    WriteRequest again;
-    again.hard_state_changed = true;
-    again.hard_state = loaded->hard_state;
-    if (!loaded->empty) {
-      auto written = (*opened)->Write(again);
-      if (!written) return base::Failure(written.error());
-    }
-    *restored = std::move(*loaded);
-    return opened;
-  };
-  auto opened = open();
+  auto opened = OpenAndLoad(directory, restored);
   if (opened || !IsCorruption(opened.error())) return opened;
   // This member comes back under a new identity, as after a lost disk: its old votes can't be given
   // twice.
-  base::Warn("store.unreadable", opened.error());
-  hooks_.store_changed("store.unreadable", opened.error().reason);
-  auto moved = Quarantine(directory);
+  base::Warn("store.corrupt", opened.error());
+  callbacks_.store_changed("store.corrupt", opened.error().reason);
+  base::Status moved = Quarantine(directory);
   if (!moved) return base::Failure(moved.error());
   options_.bootstrap = false;
-  return open();
+  return OpenAndLoad(directory, restored);
+}
+
+base::Result<std::unique_ptr<Store>> Replica::OpenAndLoad(const std::string& directory,
+                                                          RestoredState* restored) {
+  auto store = OpenDiskStore(directory);
+  if (!store) return store;
+  auto loaded = (*store)->Load();
+  if (!loaded) return base::Failure(loaded.error());
+  if (!loaded->empty) {
+    // The disk may be full still: it must take something before this member has a part again.
+    WriteRequest again;
+    again.hard_state_changed = true;
+    again.hard_state = loaded->hard_state;
+    base::Status written = (*store)->Write(again);
+    if (!written) return base::Failure(written.error());
+  }
+  *restored = std::move(*loaded);
+  return store;
 }
 
 void Replica::CloseStore(const std::string& event, const std::string& reason) {
   ++opening_;
-  thread_.reset();
+  store_thread_.reset();
   store_state_ = StoreState::kUnopened;
-  // The numbers of LevelDB's files change with each opening.
-  auto plain = [](std::string text) {
-    text.erase(
-        std::remove_if(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; }),
-        text.end());
-    return text;
-  };
-  if (plain(reason) != plain(store_reason_)) {
+  if (WithoutDigits(reason) != WithoutDigits(store_error_)) {
     base::Warn(event, {{"reason", reason}});
-    hooks_.store_changed(event, reason);
+    callbacks_.store_changed(event, reason);
+  }
+  store_error_ = reason;
+  reopen_timer_.Start(loop_, kReopenMs, [this] { Open(); });
+}
+
+RaftNode::Options Replica::RaftOptions(bool store_empty) const {
+  RaftNode::Options raft;
+  raft.self = options_.self;
+  raft.timing = options_.timing;
+  raft.tolerance = options_.tolerance;
+  raft.regions = options_.regions;
+  raft.seed = base::RandomSeed();
+  auto is_self = [this](const Member& member) { return member.id == options_.self.id; };
+  bool initial_voter = options_.bootstrap && store_empty &&
+                       std::any_of(options_.founders.begin(), options_.founders.end(), is_self);
+  if (initial_voter) {
+    raft.founders = options_.founders;
+    raft.cluster = options_.cluster;
+  } else if (store_empty) {
+    raft.self.id = base::RandomSeed() | 1;
   }
-  store_reason_ = reason;
-  reopen_.Start(loop_, kReopenMs, [this] { Open(); });
+  return raft;
 }
 
 void Replica::Open() {
   RestoredState restored;
-  auto opened = OpenStore(&restored);
-  if (!opened) return CloseStore("store.unopened", opened.error().reason);
+  auto store = OpenStore(&restored);
+  if (!store) return CloseStore("store.unopened", store.error().reason);
   store_state_ = options_.data_dir.empty() ? StoreState::kMemory : StoreState::kDisk;
-  if (!store_reason_.empty()) hooks_.store_changed("store.opened", "");
-  store_reason_.clear();
-  bool founder = options_.bootstrap && restored.empty &&
-                 std::any_of(options_.founders.begin(), options_.founders.end(),
-                             [&](const Member& m) { return m.id == options_.self.id; });
-  RaftNode::Options machine;
-  machine.self = options_.self;
-  machine.timing = options_.timing;
-  machine.tolerance = options_.tolerance;
-  machine.regions = options_.regions;
-  machine.seed = base::RandomSeed();
-  if (founder) {
-    machine.founders = options_.founders;
-    machine.cluster = options_.cluster;
-  } else if (restored.empty) {
-    machine.self.id = base::RandomSeed() | 1;
-  }
+  if (!store_error_.empty()) callbacks_.store_changed("store.opened", "");
+  store_error_.clear();
   bool empty = restored.empty;
-  machine_ =
-      std::make_unique<RaftNode>(std::move(machine), std::move(restored), base::SteadyMillis());
-  for (const auto& [ip, zone] : zones_) machine_->SetZone(ip, zone);
+  RaftNode::Options raft = RaftOptions(empty);
+  bool initial_voter = !raft.founders.empty();
+  raft_ = std::make_unique<RaftNode>(std::move(raft), std::move(restored), base::SteadyMillis());
+  for (const auto& [ip, zone] : zones_) raft_->SetZone(ip, zone);
   uint64_t opening = ++opening_;
-  thread_ = std::make_unique<StoreThread>(
-      std::move(*opened), [this, opening](uint64_t sequence, base::Status result) {
-        loop_->Post([this, opening, sequence, result] {
-          if (opening != opening_) return;
-          machine_->OnWriteFinished(base::SteadyMillis(), sequence, result.has_value());
-          Pump();
-          // Nothing of this opening may be trusted: what the disk holds is read anew.
-          if (!result) CloseStore("store.refused", result.error().reason);
+  store_thread_ = std::make_unique<StoreThread>(
+      std::move(*store), [this, opening](uint64_t sequence, base::Status result) {
+        loop_->Post([this, opening, sequence, result = std::move(result)] {
+          OnWriteFinished(opening, sequence, result);
         });
       });
-  base::Info("log.opened", {{"member", machine_->self().id},
-                            {"founder", founder},
+  base::Info("log.opened", {{"member", raft_->self().id},
+                            {"founder", initial_voter},
                             {"empty", empty},
-                            {"term", machine_->term()},
-                            {"last", machine_->last_index()},
-                            {"voters", machine_->voters().size()}});
+                            {"term", raft_->term()},
+                            {"last", raft_->last_index()},
+                            {"voters", raft_->voters().size()}});
+  Pump();
+}
+
+void Replica::OnWriteFinished(uint64_t opening, uint64_t sequence, const base::Status& result) {
+  if (opening != opening_) return;
+  raft_->OnWriteFinished(base::SteadyMillis(), sequence, result.has_value());
   Pump();
+  // Nothing of this opening may be trusted: what the disk holds is read anew.
+  if (!result) CloseStore("store.write_failed", result.error().reason);
 }
 
 void Replica::Pump() {
-  if (pumping_ || !machine_) return;  // hooks may call in; the outer loop takes what they caused
+  if (pumping_ || !raft_) return;  // callbacks may call in; the outer loop takes what they caused
   pumping_ = true;
   for (;;) {
-    RaftNode::Effects effects = machine_->Take();
-    bool any = !effects.messages.empty() || !effects.writes.empty() || !effects.committed.empty() ||
-               !effects.installed.empty() || !effects.confirmed_reads.empty() ||
-               !effects.failed_reads.empty() || !effects.state_lost.empty() ||
-               effects.discard_store || effects.role_changed;
-    if (!any) break;
-    for (WriteRequest& write : effects.writes) {
-      if (thread_) thread_->Write(std::move(write));
-    }
-    for (const auto& out : effects.messages) hooks_.send(out.to, out.message);
-    for (const Snapshot& snapshot : effects.installed) hooks_.install(snapshot);
-    for (const Entry& entry : effects.committed) {
-      if (entry.kind == EntryKind::kCommand) hooks_.apply(entry);
-      if (entry.index == machine_->commit()) hooks_.caught_up();
-    }
-    for (const Member& member : effects.state_lost) {
-      base::Warn("voter.lost_state", {{"member", member.id},
-                                      {"peer", member.address().ToString()},
-                                      {"voter", machine_->IsVoter(member.id)}});
-    }
-    if (effects.discard_store) {
-      // The next opening begins empty, under a new identity, and asks to be taken in.
-      discard_store_ = true;
-      options_.bootstrap = false;
-      CloseStore("store.lost_state", "the log lacks what this member had acknowledged");
-    }
-    if (effects.role_changed) hooks_.role_changed();
-    for (uint64_t token : effects.failed_reads) hooks_.read_done(token, false);
-    for (uint64_t token : effects.confirmed_reads) hooks_.read_done(token, true);
-    if (!effects.committed.empty() && machine_->CompactionDue()) {
-      machine_->Compact(machine_->commit(), hooks_.snapshot_state());
-    }
+    RaftNode::Effects effects = raft_->TakeEffects();
+    if (effects.empty()) break;
+    CarryOut(std::move(effects));
   }
   pumping_ = false;
 }
 
+void Replica::CarryOut(RaftNode::Effects effects) {
+  for (WriteRequest& write : effects.writes) {
+    if (store_thread_) store_thread_->Write(std::move(write));
+  }
+  for (const OutgoingMessage& out : effects.messages) callbacks_.send(out.to, out.message);
+  for (const Snapshot& snapshot : effects.installed) callbacks_.install(snapshot);
+  for (const Entry& entry : effects.committed) {
+    if (entry.kind == EntryKind::kCommand) callbacks_.apply(entry);
+    if (entry.index == raft_->commit()) callbacks_.all_applied();
+  }
+  for (const Member& member : effects.state_lost) {
+    base::Warn("voter.state_lost", {{"member", member.id},
+                                    {"peer", member.address().ToString()},
+                                    {"voter", raft_->IsVoter(member.id)}});
+  }
+  if (effects.discard_store) {
+    // The next opening begins empty, under a new identity, and asks to be taken in.
+    discard_store_ = true;
+    options_.bootstrap = false;
+    CloseStore("store.state_lost", "the log lacks what this member had acknowledged");
+  }
+  if (effects.role_changed) callbacks_.role_changed();
+  for (uint64_t token : effects.failed_reads) callbacks_.read_finished(token, false);
+  for (uint64_t token : effects.confirmed_reads) callbacks_.read_finished(token, true);
+  if (!effects.committed.empty() && raft_->CompactionDue()) {
+    raft_->Compact(raft_->commit(), callbacks_.encode_state());
+  }
+}
+
 void Replica::Receive(const Message& message, const base::Address& from) {
-  machine_->Receive(base::SteadyMillis(), message, from);
+  raft_->Receive(base::SteadyMillis(), message, from);
   Pump();
 }
 
 std::optional<Index> Replica::Propose(std::string command) {
-  auto index = machine_->Propose(base::SteadyMillis(), std::move(command));
+  auto index = raft_->Propose(base::SteadyMillis(), std::move(command));
   Pump();
   return index;
 }
 
-bool Replica::Read(uint64_t token) {
-  bool taken = machine_->Read(base::SteadyMillis(), token);
+bool Replica::ConfirmRead(uint64_t token) {
+  bool taken = raft_->ConfirmRead(base::SteadyMillis(), token);
   Pump();
   return taken;
 }
 
-bool Replica::ReadByHeartbeat(uint64_t token) {
-  bool taken = machine_->ReadByHeartbeat(base::SteadyMillis(), token);
+bool Replica::ConfirmReadByHeartbeat(uint64_t token) {
+  bool taken = raft_->ConfirmReadByHeartbeat(base::SteadyMillis(), token);
   Pump();
   return taken;
 }
 
-void Replica::Join(const Member& member) {
-  machine_->Join(base::SteadyMillis(), member);
+void Replica::AddLearner(const Member& member) {
+  raft_->AddLearner(base::SteadyMillis(), member);
   Pump();
 }
 
 void Replica::TransferLeadership() {
-  machine_->TransferLeadership(base::SteadyMillis());
+  raft_->TransferLeadership(base::SteadyMillis());
   Pump();
 }
 
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -1,75 +1,48 @@
 #pragma once
 
-#include <leveldb/env.h>
-
-#include <condition_variable>
-#include <deque>
-#include <functional>
 #include <memory>
-#include <mutex>
-#include <thread>
+#include <vector>
 
 #include "base/error.h"
 #include "consensus/types.h"
 
 namespace elderkeel::consensus {
 
-// Where a member keeps what it must not forget.
+// One atomic write to the store. Writes take effect in the order of their sequence.
+struct WriteRequest {
+  uint64_t sequence = 0;
+  bool hard_state_changed = false;
+  HardState hard_state;
+  Index commit = 0;  // a hint, not synced: what is known to be committed stays so; 0 for none
+  Index truncate_from = 0;  // removes this entry and all after it; 0 for none
+  std::vector<Entry> entries;
+  std::vector<Snapshot> snapshot;  // none or one; entries up to `drop_to` go with it
+  Index drop_to = 0;
+};
+
+// What a store holds when it is opened.
+struct RestoredState {
+  bool empty = true;  // nothing was ever written
+  HardState hard_state;
+  Index commit = 0;  // known to be committed; 0 for unknown
+  Snapshot snapshot;
+  std::vector<Entry> entries;  // without a gap; may begin before the snapshot's end
+};
+
+// Where a member keeps what it must not forget. Not thread-safe: used by one StoreThread.
 class Store {
  public:
   virtual ~Store() = default;
+  // kCorruption: damaged for good. kIoError: may be read later.
   virtual base::Result<RestoredState> Load() = 0;
-  // On disk, synced, when it returns success. After an error every later write is refused too: the
+  // On success the write is on disk, synced. After an error every later write is refused too: the
   // store must be opened anew.
   virtual base::Status Write(const WriteRequest& write) = 0;
   // Gives back the room of what was dropped, if enough was written since; called between writes.
   virtual void Reclaim() {}
 };
 
-// The file system below a store. What `env` makes, renames or removes in a folder outlives a loss
-// of power once the folder was synced, which leveldb::Env has no call for.
-struct FileSystem {
-  leveldb::Env* env;
-  // NotSupported: the folder may not be opened for reading, so it can't be synced.
-  std::function<leveldb::Status(const std::string& folder)> sync_folder;
-};
-const FileSystem& RealFileSystem();
-
-// LevelDB in `directory`, which is made if need be, and so is the folder that holds it. A store
-// that can't be read is no store: the caller begins anew with another identity, which is safe since
-// the old one then never votes again.
-base::Result<std::unique_ptr<Store>> OpenDiskStore(const std::string& directory,
-                                                   const FileSystem& files = RealFileSystem());
-// Whether a store, or what Load found in it, is damaged for good. Such a store is no store: the
-// caller moves it aside and begins anew with another identity, which is safe since the old one then
-// never votes again.
-bool IsCorruption(const base::Error& error);
-// Renames the folder of a store to `directory`.unreadable; one that is there gives way.
-base::Status Quarantine(const std::string& directory, const FileSystem& files = RealFileSystem());
 // For machines without a disk: everything goes with the process.
 std::unique_ptr<Store> MakeMemoryStore();
 
-// Runs the writes of a store on a thread of its own: one that syncs is held by the disk, and
-// heartbeats must not be.
-class StoreThread {
- public:
-  // `done` is called on this thread.
-  using Done = std::function<void(uint64_t sequence, base::Status result)>;
-  StoreThread(std::unique_ptr<Store> store, Done done);
-  ~StoreThread();
-  void Write(WriteRequest write);
-  size_t queued();
-
- private:
-  void Run();
-
-  std::unique_ptr<Store> store_;
-  Done done_;
-  std::mutex mutex_;
-  std::condition_variable wake_;
-  std::deque<WriteRequest> queue_;
-  bool ending_ = false;
-  std::thread thread_;
-};
-
 }  // namespace elderkeel::consensus
--- a/src/controller/catalog_reader.cc
+++ b/src/controller/catalog_reader.cc
@@ -12,12 +12,12 @@
 }  // namespace
 
 bool Controller::HoldsDuty() const {
-  return replica_->started() && state_.duty.holder != 0 &&
+  return replica_->running() && state_.duty.holder != 0 &&
          state_.duty.holder == replica_->self().id;
 }
 
 std::vector<duty::Candidate> Controller::Candidates(base::Millis now) const {
-  const consensus::RaftNode& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->raft();
   std::vector<duty::Candidate> candidates;
   for (const consensus::Member& v : m.voters()) {
     base::Millis heard = m.LastContact(v.id);
@@ -47,7 +47,7 @@
     if (auto named = assignment_.Resigned(now, state_.duty, Candidates(now), resignation)) {
       replica_->Propose(MakeCommand(Command::Kind::kDuty, *named));
     }
-  } else if (auto leader = replica_->machine().leader()) {
+  } else if (auto leader = replica_->raft().leader()) {
     peers_->mesh().Send(leader->address(), wire::Kind::kResign, resignation);
   }
 }
@@ -82,7 +82,7 @@
     read_ok_at_ = now;
   }
   if (now - read_ok_at_ > kPlatformPatienceMs && now - resigned_at_ > kResignGapMs &&
-      replica_->machine().voters().size() > 1) {
+      replica_->raft().voters().size() > 1) {
     Resign(now, "the platform can't be read");
   }
   if (now < poll_at_) return;
@@ -112,7 +112,7 @@
 // Where the freshness of the whole fleet comes from: the leader knows by a majority that nothing
 // was committed without it, the reader of the list that it is still the one.
 void Controller::Vouch(base::Millis now) {
-  const consensus::RaftNode& machine = replica_->machine();
+  const consensus::RaftNode& machine = replica_->raft();
   std::optional<base::Address> leader, reader;
   if (auto member = machine.leader(); member && !is_leader()) leader = member->address();
   for (const consensus::Member& voter : machine.voters()) {
@@ -124,7 +124,7 @@
   if (HasCommittedInTerm() && vouch_token_ == 0) {
     vouch_token_ = next_token_++;
     vouch_asked_at_ = now;
-    if (!replica_->ReadByHeartbeat(vouch_token_)) vouch_token_ = 0;
+    if (!replica_->ConfirmReadByHeartbeat(vouch_token_)) vouch_token_ = 0;
   }
   base::Millis log_age = peers_->disseminator().log_age(now);
   bool published = sequence_ > 0 && watched_epoch_ == state_.duty.epoch;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -71,7 +71,7 @@
 // power forgets is no vote. All seeds are up at the first start, and whether a machine has a disk
 // does not change, so every founder comes to the same list. Any other process joins.
 bool Controller::Begin() {
-  if (replica_->begun()) return true;
+  if (replica_->started()) return true;
   bool seed = std::find(settings_.seeds.begin(), settings_.seeds.end(), settings_.control) !=
               settings_.seeds.end();
   if (settings_.bootstrap && seed && !consensus::Replica::HasStore(settings_.data_dir)) {
@@ -81,11 +81,10 @@
       if (!node) return false;
       if (node->durable) durable.push_back(address);
     }
-    replica_->SetOptions(ReplicaOptions(durable.empty() ? all : durable));
+    replica_->Start(ReplicaOptions(durable.empty() ? all : durable));
   } else {
-    replica_->SetOptions(ReplicaOptions({}));
+    replica_->Start(ReplicaOptions({}));
   }
-  replica_->Start();
   for (const auto& [id, node] : peers_->members().nodes()) replica_->SetZone(node.ip, node.zone);
   return true;
 }
@@ -127,12 +126,12 @@
   peers_ =
       std::make_unique<dissemination::Peers>(loop_, settings_, ring::Program::kController, hooks);
 
-  consensus::Replica::Hooks log;
+  consensus::Replica::Callbacks log;
   log.send = [this](const base::Address& to, const consensus::Message& message) {
     peers_->mesh().Send(to, wire::Kind::kConsensus, message);
   };
   log.apply = [this](const consensus::Entry& entry) { Applied(entry); };
-  log.caught_up = [this] {
+  log.all_applied = [this] {
     if (!state_.configuration.empty()) peers_->Commit(state_.configuration);
     peers_->Commit(state_.orders);
     AdoptRollouts(base::SteadyMillis());
@@ -151,8 +150,8 @@
     peers_->Commit(state_.orders);
     AdoptRollouts(base::SteadyMillis());
   };
-  log.snapshot_state = [this] { return wire::Encode(state_); };
-  log.read_done = [this](uint64_t token, bool ok) { ReadDone(token, ok); };
+  log.encode_state = [this] { return wire::Encode(state_); };
+  log.read_finished = [this](uint64_t token, bool ok) { ReadDone(token, ok); };
   log.role_changed = [this] { RoleChanged(); };
   log.store_changed = [this](const std::string& event, const std::string& reason) {
     Note(event, reason);
@@ -224,7 +223,7 @@
 }
 
 std::optional<std::string> Controller::leader_control() const {
-  auto leader = replica_->machine().LeaderInContact(base::SteadyMillis());
+  auto leader = replica_->raft().LeaderInContact(base::SteadyMillis());
   if (!leader || leader->control.empty()) return std::nullopt;
   return leader->control;
 }
@@ -232,11 +231,11 @@
 void Controller::OnRequest(wire::HttpServer::Ticket ticket, wire::Message&& request) {
   base::Millis now = base::SteadyMillis();
   if (configuration::OperatorApi::Owns(request.Path())) {
-    if (Idle() || !replica_->store_reason().empty()) {
+    if (Idle() || !replica_->store_error().empty()) {
       SendOn(ticket, request.target);
       return;
     }
-    if (!replica_->started()) {
+    if (!replica_->running()) {
       control_->Answer(ticket, wire::OwnAnswer(503, "this controller has only just started"));
       return;
     }
@@ -265,7 +264,7 @@
 
 void Controller::OnMessage(const base::Address& from, wire::Kind kind, std::string_view payload) {
   base::Millis now = base::SteadyMillis();
-  if (!replica_->started() && kind != wire::Kind::kQueryReply) return;
+  if (!replica_->running() && kind != wire::Kind::kQueryReply) return;
   switch (kind) {
     case wire::Kind::kConsensus:
       if (auto m = wire::Decode<consensus::Message>(payload)) replica_->Receive(*m, from);
@@ -277,8 +276,8 @@
       const ring::Node* node = peers_->members().Find(member->address());
       if (!settings_.data_dir.empty() && (!node || !node->durable)) break;
       if (is_leader()) {
-        replica_->Join(*member);
-      } else if (auto leader = replica_->machine().leader();
+        replica_->AddLearner(*member);
+      } else if (auto leader = replica_->raft().leader();
                  leader && leader->address() != from && leader->address() != member->address()) {
         peers_->mesh().Send(leader->address(), wire::Kind::kJoin, *member);
       }
@@ -316,12 +315,12 @@
   if (HasCommittedInTerm() && confirms_.size() < 1024) {
     uint64_t token = next_token_++;
     confirms_[token] = {from, confirm.nonce};
-    if (replica_->Read(token)) return;
+    if (replica_->ConfirmRead(token)) return;
     confirms_.erase(token);
   }
   dissemination::ConfirmReply reply;
   reply.nonce = confirm.nonce;
-  if (auto leader = replica_->machine().LeaderInContact(base::SteadyMillis());
+  if (auto leader = replica_->raft().LeaderInContact(base::SteadyMillis());
       leader && !is_leader()) {
     reply.leader_ip = leader->ip;
     reply.leader_port = leader->port;
@@ -391,7 +390,7 @@
 }
 
 void Controller::RoleChanged() {
-  const consensus::RaftNode& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->raft();
   auto leader = m.leader();
   base::Info("role.changed", {{"role", consensus::RoleName(m.role())},
                               {"term", m.term()},
@@ -404,7 +403,7 @@
 void Controller::Tick() {
   base::Millis now = base::SteadyMillis();
   FinishInquiries(now);
-  if (!replica_->started()) return;
+  if (!replica_->running()) return;
   operator_->Tick(now);
   SeekMembership(now);
   if (is_leader() && !leaving_) {
@@ -421,7 +420,7 @@
 }
 
 bool Controller::HearsLeader(base::Millis now) const {
-  const consensus::RaftNode& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->raft();
   return is_leader() ? HasCommittedInTerm() && m.LeaderInContact(now)
                      : m.last_leader_contact() != 0 &&
                            now - m.last_leader_contact() < settings_.election_ms * 2;
@@ -430,7 +429,7 @@
 // A controller that no leader speaks to asks to be taken in, wherever it can.
 void Controller::SeekMembership(base::Millis now) {
   if (leaving_ || is_leader() || now < join_at_ || Idle()) return;
-  if (!replica_->store_reason().empty()) return;
+  if (!replica_->store_error().empty()) return;
   if (HearsLeader(now)) return;
   join_at_ = now + kJoinEveryMs;
   for (const base::Address& address : peers_->Controllers()) {
@@ -447,7 +446,7 @@
   if (directory_server_) directory_server_->SetLeaving(true);
   // The duty's entry goes out before leadership does.
   leave_.Start(loop_, HoldsDuty() && is_leader() ? 150 : 0, [this, now] {
-    if (replica_->started()) {
+    if (replica_->running()) {
       replica_->Leave();
       replica_->TransferLeadership();
     }
@@ -461,7 +460,7 @@
 // would kill it, and its disk may well come back.
 void Controller::End(base::Millis since) {
   base::Millis waited = base::SteadyMillis() - since;
-  bool may_stop = !replica_->started() || Idle() || replica_->machine().may_stop();
+  bool may_stop = !replica_->running() || Idle() || replica_->raft().may_stop();
   if (!may_stop && waited < settings_.grace_s * 1000 - kLeaveMs) {
     leave_.Start(loop_, kTickMs, [this, since] { End(since); });
     return;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -45,12 +45,12 @@
 
   // configuration::Log
   bool HasCommittedInTerm() const override {
-    return replica_->started() && replica_->machine().HasCommittedInTerm();
+    return replica_->running() && replica_->raft().HasCommittedInTerm();
   }
-  bool is_leader() const override { return replica_->started() && replica_->machine().is_leader(); }
-  uint64_t term() const override { return replica_->machine().term(); }
+  bool is_leader() const override { return replica_->running() && replica_->raft().is_leader(); }
+  uint64_t term() const override { return replica_->raft().term(); }
   std::optional<std::string> leader_control() const override;
-  bool Read(uint64_t token) override { return replica_->Read(token); }
+  bool Read(uint64_t token) override { return replica_->ConfirmRead(token); }
   std::optional<uint64_t> Propose(const configuration::Change& change) override {
     return replica_->Propose(MakeCommand(Command::Kind::kConfiguration, change));
   }
--- a/src/controller/controller_rollouts.cc
+++ b/src/controller/controller_rollouts.cc
@@ -85,7 +85,7 @@
   for (const rollout::Vote& vote : watcher_->Tick(now, proxies)) {
     if (is_leader()) {
       conductor_.OnVote(now, vote);
-    } else if (auto leader = replica_->machine().leader()) {
+    } else if (auto leader = replica_->raft().leader()) {
       peers_->mesh().Send(leader->address(), wire::Kind::kVote, vote);
     }
   }
@@ -98,8 +98,8 @@
     control_->Answer(ticket, wire::OwnAnswer(405, "GET only"));
     return;
   }
-  if (Idle() || !replica_->store_reason().empty()) return SendOn(ticket, request.target);
-  auto leader = replica_->started() ? leader_control() : std::nullopt;
+  if (Idle() || !replica_->store_error().empty()) return SendOn(ticket, request.target);
+  auto leader = replica_->running() ? leader_control() : std::nullopt;
   if (!is_leader() && leader) {
     wire::Message answer = wire::OwnAnswer(307, "the leader is elsewhere");
     answer.headers.push_back({"Location", "http://" + *leader + request.target});
--- a/src/controller/controller_status.cc
+++ b/src/controller/controller_status.cc
@@ -21,7 +21,7 @@
 }
 
 void Controller::Ask(wire::HttpServer::Ticket ticket, const diagnosis::Question& question) {
-  if (!replica_->begun()) {
+  if (!replica_->started()) {
     control_->Answer(ticket, wire::OwnAnswer(503, "this controller has only just started"));
     return;
   }
@@ -167,7 +167,7 @@
 // What the log's machine knows.
 void Controller::WriteLog(JsonText* json) const {
   base::Millis now = base::SteadyMillis();
-  const consensus::RaftNode& m = replica_->machine();
+  const consensus::RaftNode& m = replica_->raft();
   JsonText::Writer& w = json->writer;
   auto text = [&](const char* key, const std::string& value) { json->Text(key, value); };
   auto number = [&](const char* key, int64_t value) { json->Number(key, value); };
@@ -208,9 +208,9 @@
   w.Key("store");
   w.StartObject();
   text("state", consensus::StoreStateName(replica_->store_state()));
-  text("reason", replica_->store_reason());
+  text("reason", replica_->store_error());
   w.EndObject();
-  if (replica_->started()) WriteLog(&json);
+  if (replica_->running()) WriteLog(&json);
   number("revision", state_.configuration.revision());
   w.Key("evacuation");
   w.StartObject();
@@ -237,7 +237,7 @@
   w.Key("holder");
   std::string holder;
   std::vector<consensus::Member> voters;
-  if (replica_->started()) voters = replica_->machine().voters();
+  if (replica_->running()) voters = replica_->raft().voters();
   for (const consensus::Member& v : voters) {
     if (v.id == state_.duty.holder) holder = v.address().ToString();
   }
--- a/tests/consensus_store_test.cc
+++ b/tests/consensus_store_test.cc
@@ -12,8 +12,9 @@
 #include <thread>
 
 #include "base/random.h"
+#include "consensus/disk_store.h"
 #include "consensus/raft_node.h"
-#include "consensus/store.h"
+#include "consensus/store_thread.h"
 
 namespace elderkeel::consensus {
 namespace {
@@ -260,35 +261,35 @@
   options.self.id = 1;
   options.founders = {options.self};
   options.cluster = 7;
-  RaftNode machine(options, RestoredState(), 0);
+  RaftNode raft(options, RestoredState(), 0);
   size_t log_bytes = 0, log_size = 0;
   base::Millis longest = 0;
   std::string state(2 * kState, 's');  // the configuration in force, and the newest change
   auto work = [&] {
     for (bool any = true; any;) {
-      RaftNode::Effects effects = machine.Take();
+      RaftNode::Effects effects = raft.TakeEffects();
       any = !effects.writes.empty();
       for (const WriteRequest& write : effects.writes) {
         auto written = (*store)->Write(write);
-        machine.OnWriteFinished(0, write.sequence, written.has_value());
+        raft.OnWriteFinished(0, write.sequence, written.has_value());
         base::Millis begun = base::SteadyMillis();
         (*store)->Reclaim();
         longest = std::max(longest, base::SteadyMillis() - begun);
       }
-      if (!effects.committed.empty() && machine.CompactionDue()) {
-        machine.Compact(machine.commit(), state);
+      if (!effects.committed.empty() && raft.CompactionDue()) {
+        raft.Compact(raft.commit(), state);
       }
-      log_bytes = std::max(log_bytes, machine.log_bytes());
-      log_size = std::max(log_size, machine.log_size());
+      log_bytes = std::max(log_bytes, raft.log_bytes());
+      log_size = std::max(log_size, raft.log_size());
     }
   };
-  for (base::Millis now = 0; !machine.HasCommittedInTerm() && now < 5000; now += 30) {
-    machine.Tick(now);
+  for (base::Millis now = 0; !raft.HasCommittedInTerm() && now < 5000; now += 30) {
+    raft.Tick(now);
     work();
   }
   for (size_t i = 0; i < kChanges; ++i) {
     size_t bytes = i % 2 == 0 ? kState : 400;
-    ASSERT_TRUE(machine.Propose(0, std::string(bytes, static_cast<char>('a' + i % 26))));
+    ASSERT_TRUE(raft.Propose(0, std::string(bytes, static_cast<char>('a' + i % 26))));
     work();
   }
   ending = true;
@@ -300,9 +301,9 @@
   EXPECT_LE(log_size, 97u);
   store->reset();
   RestoredState restored = Reload();
-  EXPECT_EQ(restored.snapshot.index, machine.snapshot_index());
+  EXPECT_EQ(restored.snapshot.index, raft.snapshot_index());
   ASSERT_FALSE(restored.entries.empty());
-  EXPECT_EQ(restored.entries.back().index, machine.last_index());
+  EXPECT_EQ(restored.entries.back().index, raft.last_index());
 }
 
 }  // namespace
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -59,14 +59,14 @@
       for (MemberId k = 1; k <= 3; ++k) options.founders.push_back(Founder(k));
     }
     options.seed = id;
-    machine = std::make_unique<RaftNode>(options, disk, now);
+    raft = std::make_unique<RaftNode>(options, disk, now);
     Take(now);
   }
   // Syncs what is to be written; all messages up to now.
   std::vector<Message> Take(Millis now) {
     std::vector<Message> messages;
     for (;;) {
-      RaftNode::Effects e = machine->Take();
+      RaftNode::Effects e = raft->TakeEffects();
       discard_store |= e.discard_store;
       for (const Member& m : e.state_lost) lost.push_back(m.id);
       reads.insert(reads.end(), e.confirmed_reads.begin(), e.confirmed_reads.end());
@@ -82,22 +82,22 @@
       for (const auto& write : e.writes) {
         if (hangs) continue;
         Store(&disk, write);
-        machine->OnWriteFinished(now, write.sequence, true);
+        raft->OnWriteFinished(now, write.sequence, true);
       }
     }
     return messages;
   }
   std::vector<Message> Receive(Millis now, const Message& m) {
-    machine->Receive(now, m, Founder(m.from).address());
+    raft->Receive(now, m, Founder(m.from).address());
     return Take(now);
   }
   std::vector<Message> Tick(Millis now) {
-    machine->Tick(now);
+    raft->Tick(now);
     return Take(now);
   }
 
   RestoredState disk;
-  std::unique_ptr<RaftNode> machine;
+  std::unique_ptr<RaftNode> raft;
   std::vector<Snapshot> installed;
   Index applied = 0;
   std::vector<MemberId> lost;  // as it named them
@@ -170,13 +170,13 @@
     ASSERT_EQ(replies.size(), 1u);
     EXPECT_TRUE(replies[0].granted);
     EXPECT_EQ(replies[0].index, c.index);
-    EXPECT_EQ(node.machine->last_index(), c.last);
+    EXPECT_EQ(node.raft->last_index(), c.last);
     EXPECT_EQ(LastOf(node.disk), c.last);
-    EXPECT_EQ(node.machine->commit(), c.index);
+    EXPECT_EQ(node.raft->commit(), c.index);
     EXPECT_EQ(node.applied, c.index);
     EXPECT_EQ(!node.installed.empty() && node.installed.back().index == c.index, c.installed);
     Node again(2, node.disk, 30);
-    EXPECT_EQ(again.machine->last_index(), c.last);
+    EXPECT_EQ(again.raft->last_index(), c.last);
   }
 }
 
@@ -222,18 +222,18 @@
         EXPECT_EQ(reply.type, MessageType::kAppendEntriesReply);
       }
     }
-    EXPECT_EQ(node.machine->role(), Role::kFollower);
-    EXPECT_EQ(node.machine->term(), 2u);
-    EXPECT_EQ(node.machine->last_index(), 9u);
-    EXPECT_EQ(node.machine->commit(), 5u);
-    EXPECT_EQ(node.machine->last_leader_contact(), 30);
+    EXPECT_EQ(node.raft->role(), Role::kFollower);
+    EXPECT_EQ(node.raft->term(), 2u);
+    EXPECT_EQ(node.raft->last_index(), 9u);
+    EXPECT_EQ(node.raft->commit(), 5u);
+    EXPECT_EQ(node.raft->last_leader_contact(), 30);
     EXPECT_EQ(node.disk.hard_state.term, 2u);
     EXPECT_EQ(LastOf(node.disk), LastOf(disk));
     // Its election is due when it would have been without them.
     Millis due = 0;
     for (Millis now = 410; now < 2000 && !due; now += 10) {
       node.Tick(now);
-      if (node.machine->role() != Role::kFollower) due = now;
+      if (node.raft->role() != Role::kFollower) due = now;
     }
     EXPECT_GT(due, 0);
     EXPECT_LE(due, 30 + 1200 + 10);
@@ -265,20 +265,20 @@
   next();
   ASSERT_EQ(asked.size(), 2u);
   answer(first);
-  EXPECT_EQ(node.machine->role(), Role::kPreCandidate);
-  EXPECT_EQ(node.machine->term(), 2u);
+  EXPECT_EQ(node.raft->role(), Role::kPreCandidate);
+  EXPECT_EQ(node.raft->term(), 2u);
   answer(asked[0]);
-  EXPECT_EQ(node.machine->role(), Role::kCandidate);
-  EXPECT_EQ(node.machine->term(), 3u);
+  EXPECT_EQ(node.raft->role(), Role::kCandidate);
+  EXPECT_EQ(node.raft->term(), 3u);
 }
 
 // A leader, 1 of three, with members whose answers the test gives.
 struct Leader : Node {
   Leader() : Node(1) {
-    for (; now < 5000 && !machine->HasCommittedInTerm(); now += 10) {
+    for (; now < 5000 && !raft->HasCommittedInTerm(); now += 10) {
       for (const Message& m : Node::Tick(now)) Grant(m);
     }
-    EXPECT_TRUE(machine->HasCommittedInTerm());
+    EXPECT_TRUE(raft->HasCommittedInTerm());
   }
   // As a member that is as it should be answers.
   void Grant(const Message& m) {
@@ -291,7 +291,7 @@
     for (const Message& more : Receive(now, reply)) Grant(more);
   }
   std::vector<Message> Propose(const std::string& text) {
-    EXPECT_TRUE(machine->Propose(now, text).has_value());
+    EXPECT_TRUE(raft->Propose(now, text).has_value());
     return Take(now);
   }
   // The messages of the next round of heartbeats, by member.
@@ -311,19 +311,19 @@
   Leader leader;
   Member learner = Founder(9);
   learner.ip = "10.0.0.2";  // where the voter 2 was
-  leader.machine->Join(leader.now, learner);
+  leader.raft->AddLearner(leader.now, learner);
   std::vector<Message> sent = leader.Take(leader.now);
   ASSERT_EQ(sent.size(), 1u);
   leader.Grant(sent[0]);  // caught up; then it is gone
-  ASSERT_EQ(leader.machine->learners().size(), 1u);
+  ASSERT_EQ(leader.raft->learners().size(), 1u);
   leader.now += 700;
   for (int k = 0; k < 8; ++k) {
-    leader.machine->Join(leader.now, learner);
+    leader.raft->AddLearner(leader.now, learner);
     for (const auto& [to, m] : leader.Heartbeat()) {
       if (to != 9) leader.Grant(m);
     }
-    ASSERT_TRUE(leader.machine->is_leader());
-    for (const Member& v : leader.machine->voters()) EXPECT_NE(v.id, 9u);
+    ASSERT_TRUE(leader.raft->is_leader());
+    for (const Member& v : leader.raft->voters()) EXPECT_NE(v.id, 9u);
   }
 }
 
@@ -364,13 +364,13 @@
     Index index = entries.entries.back().index;
     Message after = leader.Heartbeat()[2];
     leader.Receive(leader.now, Reply(entries, true, index));
-    EXPECT_EQ(leader.machine->commit(), index);
+    EXPECT_EQ(leader.raft->commit(), index);
     Message late = Reply(c.probe ? after : before, false, 0);
     for (int k = 0; k <= c.twice; ++k) {
       EXPECT_TRUE(leader.Receive(leader.now, late).empty());
     }
     EXPECT_EQ(leader.Heartbeat()[2].index, index);
-    EXPECT_EQ(leader.machine->commit(), index);
+    EXPECT_EQ(leader.raft->commit(), index);
     EXPECT_TRUE(leader.lost.empty());
   }
 }
@@ -380,7 +380,7 @@
 TEST(Leader, AnswersOneLossOnce) {
   Leader leader;
   std::vector<Message> rejected;
-  Index before = leader.machine->last_index();
+  Index before = leader.raft->last_index();
   for (const char* text : {"x", "y", "z"}) {
     rejected.push_back(*To(leader.Propose(text), 2));
     EXPECT_EQ(rejected.back().entries.size(), 1u);
@@ -391,7 +391,7 @@
   EXPECT_EQ(again[0].entries.size(), 3u);
   EXPECT_TRUE(leader.Receive(leader.now, Reply(rejected[2], false, before)).empty());
   leader.Receive(leader.now, Reply(again[0], true, before + 3));
-  EXPECT_EQ(leader.machine->commit(), before + 3);
+  EXPECT_EQ(leader.raft->commit(), before + 3);
 }
 
 // A voter whose log went back behind what it had acknowledged is named, told, and counts neither
@@ -401,7 +401,7 @@
   std::vector<Message> sent = leader.Propose("x");
   Index index = To(sent, 2)->entries.back().index;
   for (const Message& m : sent) leader.Grant(m);
-  ASSERT_EQ(leader.machine->commit(), index);
+  ASSERT_EQ(leader.raft->commit(), index);
   Message probe = leader.Heartbeat()[2];
   ASSERT_EQ(probe.index, index);
   sent = leader.Receive(leader.now, Reply(probe, false, index - 1));
@@ -413,8 +413,8 @@
   Message later = probe;
   later.round = sent[0].round;
   leader.Receive(leader.now, Reply(later, true, index + 1));
-  EXPECT_EQ(leader.machine->commit(), index);
-  leader.machine->Read(leader.now, 5);
+  EXPECT_EQ(leader.raft->commit(), index);
+  leader.raft->ConfirmRead(leader.now, 5);
   for (const Message& m : leader.Take(leader.now)) {
     if (m.to == 2) leader.Receive(leader.now, Reply(m, true, index + 1));
   }
@@ -422,12 +422,12 @@
   // Nor is its voice one of a majority: the leader hears nobody else, and gives up.
   for (int k = 0; k < 30; ++k) {
     for (const auto& [to, m] : leader.Heartbeat()) {
-      if (to != 2 || !leader.machine->is_leader()) continue;
+      if (to != 2 || !leader.raft->is_leader()) continue;
       EXPECT_EQ(m.type, MessageType::kStateLost);
       leader.Receive(leader.now, Reply(m, true, index + 1));
     }
   }
-  EXPECT_FALSE(leader.machine->is_leader());
+  EXPECT_FALSE(leader.raft->is_leader());
   EXPECT_EQ(leader.lost.size(), 1u);
 }
 
@@ -435,8 +435,8 @@
 TEST(Leader, CountsNoAcknowledgementThatWasLostBeforeTheCommit) {
   Leader leader;
   leader.hangs = true;
-  ASSERT_TRUE(leader.machine->Propose(leader.now, "x").has_value());
-  RaftNode::Effects e = leader.machine->Take();
+  ASSERT_TRUE(leader.raft->Propose(leader.now, "x").has_value());
+  RaftNode::Effects e = leader.raft->TakeEffects();
   ASSERT_EQ(e.writes.size(), 1u);
   Message entries;
   for (const auto& out : e.messages) {
@@ -447,8 +447,8 @@
   Message probe = leader.Heartbeat()[2];
   leader.Receive(leader.now, Reply(probe, false, index - 1));
   EXPECT_EQ(leader.lost, std::vector<MemberId>{2});
-  leader.machine->OnWriteFinished(leader.now, e.writes[0].sequence, true);
-  EXPECT_EQ(leader.machine->commit(), index - 1);
+  leader.raft->OnWriteFinished(leader.now, e.writes[0].sequence, true);
+  EXPECT_EQ(leader.raft->commit(), index - 1);
 }
 
 // The member that is told so ends its part and asks for a new identity.
@@ -459,9 +459,9 @@
   node.Receive(20, old);
   Message other = From(1, 3, MessageType::kStateLost, 2);
   node.Receive(20, other);
-  EXPECT_FALSE(node.machine->storage_failed());
+  EXPECT_FALSE(node.raft->storage_failed());
   node.Receive(30, From(1, 2, MessageType::kStateLost, 2));
-  EXPECT_TRUE(node.machine->storage_failed());
+  EXPECT_TRUE(node.raft->storage_failed());
   EXPECT_TRUE(node.discard_store);
   EXPECT_TRUE(node.Receive(40, Entries(2, 2, 6, 6, 1, 3)).empty());
   for (Millis now = 50; now < 3000; now += 10) EXPECT_TRUE(node.Tick(now).empty());
@@ -475,13 +475,13 @@
   }
   Node* Of(MemberId id) {
     for (auto& node : nodes) {
-      if (node && node->machine->self().id == id) return node.get();
+      if (node && node->raft->self().id == id) return node.get();
     }
     return nullptr;
   }
   Node* leader() {
     for (auto& node : nodes) {
-      if (node && node->machine->HasCommittedInTerm()) return node.get();
+      if (node && node->raft->HasCommittedInTerm()) return node.get();
     }
     return nullptr;
   }
@@ -547,12 +547,12 @@
   cluster.Run(2000);
   Node* leader = cluster.leader();
   ASSERT_NE(leader, nullptr);
-  size_t slot = leader->machine->self().id == 2 ? 2 : 1;
+  size_t slot = leader->raft->self().id == 2 ? 2 : 1;
   MemberId id = slot + 1;
   RestoredState before = cluster.nodes[slot]->disk;
-  ASSERT_TRUE(leader->machine->Propose(cluster.now, "x").has_value());
+  ASSERT_TRUE(leader->raft->Propose(cluster.now, "x").has_value());
   cluster.Run(500);
-  Index acknowledged = leader->machine->commit();
+  Index acknowledged = leader->raft->commit();
   ASSERT_EQ(LastOf(cluster.nodes[slot]->disk), acknowledged);
   ASSERT_LT(LastOf(before), acknowledged);
   EXPECT_TRUE(leader->lost.empty());
@@ -561,12 +561,12 @@
   EXPECT_EQ(leader->lost, std::vector<MemberId>{id});
   EXPECT_TRUE(cluster.nodes[slot]->discard_store);
   cluster.nodes[slot] = std::make_unique<Node>(id, RestoredState(), cluster.now, 77);
-  leader->machine->Join(cluster.now, cluster.nodes[slot]->machine->self());
+  leader->raft->AddLearner(cluster.now, cluster.nodes[slot]->raft->self());
   cluster.Run(2000);
   EXPECT_EQ(cluster.leader(), leader);
-  EXPECT_TRUE(leader->machine->IsVoter(77));
-  EXPECT_FALSE(leader->machine->IsVoter(id));
-  EXPECT_EQ(leader->machine->voters().size(), 3u);
+  EXPECT_TRUE(leader->raft->IsVoter(77));
+  EXPECT_FALSE(leader->raft->IsVoter(id));
+  EXPECT_EQ(leader->raft->voters().size(), 3u);
   EXPECT_GE(LastOf(cluster.nodes[slot]->disk), acknowledged);
 }
 
@@ -579,7 +579,7 @@
   explicit SlowMember(size_t state_bytes = kState) : state(state_bytes, 's') {
     Run(2000);
     lead = leader();
-    slow = lead->machine->self().id == 3 ? 2 : 3;
+    slow = lead->raft->self().id == 3 ? 2 : 3;
     for (MemberId id = 1; id <= 3; ++id) links[{id, slow}].bytes_per_ms = kRate;
     loses = [this](const Message& m) { return away && (m.to == slow || m.from == slow); };
     heard = [this](const Message& m) {
@@ -587,7 +587,7 @@
       if (m.to != slow || away || !leads) return;
       gap = std::max(gap, now - heard_at);
       heard_at = now;
-      stood |= Of(slow)->machine->role() != Role::kFollower;
+      stood |= Of(slow)->raft->role() != Role::kFollower;
     };
   }
   void Away(bool gone) {
@@ -598,24 +598,24 @@
   void Change(size_t bytes) {
     lead = leader();
     if (!lead) return;
-    lead->machine->Propose(now, std::string(bytes, 'c'));
+    lead->raft->Propose(now, std::string(bytes, 'c'));
     Send(lead->Take(now));
     for (auto& node : nodes) {
-      if (node && node->machine->self().id != slow && node->machine->log_size() > 96) Cut(*node);
+      if (node && node->raft->self().id != slow && node->raft->log_size() > 96) Cut(*node);
     }
   }
   void Cut(Node& node) {
-    node.machine->Compact(node.machine->commit(), state);
+    node.raft->Compact(node.raft->commit(), state);
     Send(node.Take(now));
   }
-  bool CaughtUp() { return Of(slow)->machine->commit() == leader()->machine->commit(); }
+  bool CaughtUp() { return Of(slow)->raft->commit() == leader()->raft->commit(); }
   // How long that takes, with a change every so often.
   Millis Catch(Millis patience, Millis every = 0) {
     Millis begun = now;
     for (Millis k = 0; now - begun < patience; k += 10) {
       if (every && k % every == 0) Change(100);
       Run(10);
-      if (leader() && CaughtUp() && Of(slow)->machine->commit() > 2) break;
+      if (leader() && CaughtUp() && Of(slow)->raft->commit() > 2) break;
     }
     return now - begun;
   }
@@ -655,7 +655,7 @@
     if (c.breaks) {
       took += world.Catch(8000, c.changes);
       EXPECT_EQ(took, 8000);
-      world.links[{world.lead->machine->self().id, world.slow}].Break();
+      world.links[{world.lead->raft->self().id, world.slow}].Break();
       world.away = true;
       world.Run(300);
       world.away = false;
@@ -665,7 +665,7 @@
     EXPECT_LT(world.gap, 600) << "between two messages of the leader";
     EXPECT_FALSE(world.stood);
     EXPECT_LT(world.Sent() - before, world.kState + world.kState / 20 + (128u << 10));
-    EXPECT_LT(world.links[std::make_pair(world.lead->machine->self().id, world.slow)].most_queued,
+    EXPECT_LT(world.links[std::make_pair(world.lead->raft->self().id, world.slow)].most_queued,
               160u << 10);
     EXPECT_EQ(world.leader(), world.lead);
     ASSERT_GE(world.Of(world.slow)->installed.size(), 2u);  // the founders', and one more
@@ -683,11 +683,11 @@
   }
   world.Run(1000);
   for (auto& node : world.nodes) {
-    if (node->machine->self().id != world.slow) world.Cut(*node);
+    if (node->raft->self().id != world.slow) world.Cut(*node);
   }
   world.Away(false);
   EXPECT_EQ(world.Catch(2000), 2000);
-  world.nodes[world.lead->machine->self().id - 1].reset();
+  world.nodes[world.lead->raft->self().id - 1].reset();
   // It settles once the slow one, of whom it needs a majority, has the snapshot: 4.2 s for the
   // bytes.
   Millis killed = world.now;
@@ -713,7 +713,7 @@
   EXPECT_LT(world.gap, 600);
   EXPECT_FALSE(world.stood);
   EXPECT_LT(world.Sent() - before, 60 * 20000 * 11 / 10 + (64u << 10));
-  EXPECT_LT(world.links[std::make_pair(world.lead->machine->self().id, world.slow)].most_queued,
+  EXPECT_LT(world.links[std::make_pair(world.lead->raft->self().id, world.slow)].most_queued,
             160u << 10);
   EXPECT_TRUE(world.lead->lost.empty());
 }
@@ -753,7 +753,7 @@
     EXPECT_EQ(replies[0].type, MessageType::kInstallSnapshotReply);
     EXPECT_EQ(replies[0].granted, c.granted == 1);
     EXPECT_EQ(replies[0].offset, c.offset);
-    EXPECT_EQ(node.machine->commit(), 1u);
+    EXPECT_EQ(node.raft->commit(), 1u);
   }
   std::vector<Message> replies = node.Receive(20, part(60, 4, "EF", ++round));
   ASSERT_EQ(replies.size(), 1u);
@@ -771,12 +771,12 @@
     cluster.Run(2000);
     Node* leader = cluster.leader();
     ASSERT_NE(leader, nullptr);
-    size_t slot = leader->machine->self().id == 2 ? 2 : 1;
+    size_t slot = leader->raft->self().id == 2 ? 2 : 1;
     cluster.nodes[slot] = std::make_unique<Node>(slot + 1, RestoredState(), cluster.now, 77);
-    leader->machine->Join(cluster.now, cluster.nodes[slot]->machine->self());
+    leader->raft->AddLearner(cluster.now, cluster.nodes[slot]->raft->self());
     Millis begun = cluster.now;
-    while (cluster.now - begun < 3000 && !leader->machine->IsVoter(77)) {
-      if ((cluster.now - begun) % every == 0) leader->machine->Propose(cluster.now, "c");
+    while (cluster.now - begun < 3000 && !leader->raft->IsVoter(77)) {
+      if ((cluster.now - begun) % every == 0) leader->raft->Propose(cluster.now, "c");
       cluster.Send(leader->Take(cluster.now));
       cluster.Run(10);
     }
--- a/tests/cut_test.cc
+++ b/tests/cut_test.cc
@@ -98,9 +98,9 @@
     }
     options_.self = options_.founders[0];
     options_.cluster = 7;
-    machine_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
+    raft_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
   }
-  consensus::RaftNode& machine() { return *machine_; }
+  consensus::RaftNode& raft() { return *raft_; }
   // What a member would answer.
   static consensus::Message ReplyTo(const consensus::Message& m) {
     consensus::Message reply = m;
@@ -121,21 +121,21 @@
   // 10 ms in which the others answer all, or none of them anything.
   void Turn(bool answered) {
     now += 10;
-    machine_->Tick(now);
+    raft_->Tick(now);
     for (int k = 0; k < 3; ++k) {
-      auto effects = machine_->Take();
+      auto effects = raft_->TakeEffects();
       Note(effects);
-      for (const auto& write : effects.writes) machine_->OnWriteFinished(now, write.sequence, true);
+      for (const auto& write : effects.writes) raft_->OnWriteFinished(now, write.sequence, true);
       for (const auto& out : effects.messages) {
-        if (answered) machine_->Receive(now, ReplyTo(out.message), out.to);
+        if (answered) raft_->Receive(now, ReplyTo(out.message), out.to);
       }
     }
-    Note(machine_->Take());
+    Note(raft_->TakeEffects());
   }
   void Lead() {
-    for (int k = 0; k < 300 && !machine_->HasCommittedInTerm(); ++k) Turn(true);
+    for (int k = 0; k < 300 && !raft_->HasCommittedInTerm(); ++k) Turn(true);
     for (int k = 0; k < 20; ++k) Turn(true);
-    ASSERT_TRUE(machine_->HasCommittedInTerm());
+    ASSERT_TRUE(raft_->HasCommittedInTerm());
   }
   // Member 2 leads, and is heard.
   void Follow(consensus::Term term) {
@@ -146,8 +146,8 @@
     m.to = 1;
     m.term = term;
     m.index = m.log_term = 1;
-    machine_->Receive(now, m, {"10.0.0.2", 7200});
-    Note(machine_->Take());
+    raft_->Receive(now, m, {"10.0.0.2", 7200});
+    Note(raft_->TakeEffects());
   }
   void Note(const consensus::RaftNode::Effects& effects) {
     for (uint64_t token : effects.confirmed_reads) ready.push_back(token);
@@ -159,7 +159,7 @@
 
  private:
   consensus::RaftNode::Options options_;
-  std::unique_ptr<consensus::RaftNode> machine_;
+  std::unique_ptr<consensus::RaftNode> raft_;
 };
 
 // A leader sleeps for ten seconds. Whatever it is given first when it wakes, replies from before
@@ -170,36 +170,36 @@
     const char* name;
     First first;
   } cases[] = {
-      {"a tick", [](Founders& f, const auto&) { f.machine().Tick(f.now); }},
+      {"a tick", [](Founders& f, const auto&) { f.raft().Tick(f.now); }},
       {"a reply that waited",
        [](Founders& f, const auto& m) {
-         f.machine().Receive(f.now, m, {"10.0.0.2", 7200});
+         f.raft().Receive(f.now, m, {"10.0.0.2", 7200});
        }},
-      {"a read", [](Founders& f, const auto&) { EXPECT_FALSE(f.machine().Read(f.now, 9)); }},
-      {"a change", [](Founders& f, const auto&) { EXPECT_FALSE(f.machine().Propose(f.now, "x")); }},
+      {"a read", [](Founders& f, const auto&) { EXPECT_FALSE(f.raft().ConfirmRead(f.now, 9)); }},
+      {"a change", [](Founders& f, const auto&) { EXPECT_FALSE(f.raft().Propose(f.now, "x")); }},
       {"a finished write",
-       [](Founders& f, const auto&) { f.machine().OnWriteFinished(f.now, 1, true); }},
+       [](Founders& f, const auto&) { f.raft().OnWriteFinished(f.now, 1, true); }},
       {"a joiner",
        [](Founders& f, const auto&) {
          consensus::Member m;
          m.id = 77;
-         f.machine().Join(f.now, m);
+         f.raft().AddLearner(f.now, m);
        }},
   };
   for (const Case& c : cases) {
     Founders f;
     f.Lead();
-    EXPECT_EQ(f.machine().LeaderInContact(f.now)->id, 1u);
-    ASSERT_TRUE(f.machine().Read(f.now, 5));
-    auto effects = f.machine().Take();
+    EXPECT_EQ(f.raft().LeaderInContact(f.now)->id, 1u);
+    ASSERT_TRUE(f.raft().ConfirmRead(f.now, 5));
+    auto effects = f.raft().TakeEffects();
     ASSERT_FALSE(effects.messages.empty());
     consensus::Message waited = Founders::ReplyTo(effects.messages[0].message);
     f.now += 10000;
-    EXPECT_FALSE(f.machine().LeaderInContact(f.now)) << c.name;
+    EXPECT_FALSE(f.raft().LeaderInContact(f.now)) << c.name;
     c.first(f, waited);
-    f.Note(f.machine().Take());
-    EXPECT_FALSE(f.machine().is_leader()) << c.name;
-    EXPECT_FALSE(f.machine().LeaderInContact(f.now)) << c.name;
+    f.Note(f.raft().TakeEffects());
+    EXPECT_FALSE(f.raft().is_leader()) << c.name;
+    EXPECT_FALSE(f.raft().LeaderInContact(f.now)) << c.name;
     EXPECT_TRUE(f.ready.empty()) << c.name;
     EXPECT_EQ(f.failed, std::vector<uint64_t>{5}) << c.name;
   }
@@ -211,10 +211,10 @@
   Founders follower;
   follower.Follow(2);
   Millis heard = follower.now;
-  ASSERT_EQ(follower.machine().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
+  ASSERT_EQ(follower.raft().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
   while (follower.now < heard + 1000) {
     follower.Turn(false);
-    bool named = follower.machine().LeaderInContact(follower.now).has_value();
+    bool named = follower.raft().LeaderInContact(follower.now).has_value();
     // It may ask for votes before, and then names nobody; it never names the silent one later.
     if (follower.now - heard > timing.election_timeout) EXPECT_FALSE(named) << follower.now;
     if (follower.now - heard < timing.heartbeat_interval * 3) EXPECT_TRUE(named) << follower.now;
@@ -226,11 +226,11 @@
     leader.Turn(false);
     Millis silent = leader.now - answered;
     if (silent > timing.election_timeout) {
-      EXPECT_FALSE(leader.machine().LeaderInContact(leader.now)) << silent;
+      EXPECT_FALSE(leader.raft().LeaderInContact(leader.now)) << silent;
     }
     // The last answer came within a heartbeat before the silence.
-    if (silent > timing.election_timeout * 2) EXPECT_FALSE(leader.machine().is_leader()) << silent;
-    if (silent < timing.election_timeout) EXPECT_TRUE(leader.machine().is_leader()) << silent;
+    if (silent > timing.election_timeout * 2) EXPECT_FALSE(leader.raft().is_leader()) << silent;
+    if (silent < timing.election_timeout) EXPECT_TRUE(leader.raft().is_leader()) << silent;
   }
   // One that was told to take over names nobody, least of all the one that handed over.
   Founders successor;
@@ -241,8 +241,8 @@
   take.from = 2;
   take.to = 1;
   take.term = 2;
-  successor.machine().Receive(successor.now, take, {"10.0.0.2", 7200});
-  EXPECT_FALSE(successor.machine().LeaderInContact(successor.now));
+  successor.raft().Receive(successor.now, take, {"10.0.0.2", 7200});
+  EXPECT_FALSE(successor.raft().LeaderInContact(successor.now));
 }
 
 // A proxy's lease on the new version is renewed by a watcher that knows at least as much, of the
@@ -362,18 +362,18 @@
     Desk(Desks* all, size_t i) : all(all), i(i) {}
     World::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
-    bool HasCommittedInTerm() const override { return node().machine->HasCommittedInTerm(); }
-    bool is_leader() const override { return node().machine->is_leader(); }
-    uint64_t term() const override { return node().machine->term(); }
+    bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
+    bool is_leader() const override { return node().raft->is_leader(); }
+    uint64_t term() const override { return node().raft->term(); }
     std::optional<std::string> leader_control() const override {
-      auto leader = node().machine->LeaderInContact(now());
+      auto leader = node().raft->LeaderInContact(now());
       if (!leader) return std::nullopt;
       return leader->ip;
     }
-    bool Read(uint64_t token) override { return node().machine->Read(now(), token); }
+    bool Read(uint64_t token) override { return node().raft->ConfirmRead(now(), token); }
     template <class T>
     std::optional<uint64_t> Put(controller::Command::Kind kind, const T& what) {
-      return node().machine->Propose(now(), controller::MakeCommand(kind, what));
+      return node().raft->Propose(now(), controller::MakeCommand(kind, what));
     }
     std::optional<uint64_t> Propose(const configuration::Change& change) override {
       return Put(controller::Command::Kind::kConfiguration, change);
@@ -401,7 +401,7 @@
       d.open.clear();
       d.api.reset();
     }
-    if (!n.up || n.frozen || !n.machine) return nullptr;
+    if (!n.up || n.frozen || !n.raft) return nullptr;
     if (!d.api) {
       d.life = n.life;
       d.api = std::make_unique<configuration::OperatorApi>(
@@ -503,13 +503,13 @@
       }
     }
     int led = world_.leader();
-    if (led >= 0) term = world_.node(static_cast<size_t>(led)).machine->term();
+    if (led >= 0) term = world_.node(static_cast<size_t>(led)).raft->term();
     world_.HealAll();
     Pass(5000);
     // Nobody unseated the leader that was not broken, and the member has all.
     EXPECT_EQ(world_.leader(), led) << Name();
     if (led >= 0) {
-      EXPECT_EQ(world_.node(static_cast<size_t>(led)).machine->term(), term) << Name();
+      EXPECT_EQ(world_.node(static_cast<size_t>(led)).raft->term(), term) << Name();
       EXPECT_EQ(world_.node(member_).state.configuration.revision(),
                 world_.node(static_cast<size_t>(led)).state.configuration.revision())
           << Name();
@@ -590,7 +590,7 @@
       }
       for (size_t i = 0; i < kControllers; ++i) {
         const World::Node& n = world_.node(i);
-        if (n.up && n.machine && n.machine->is_leader()) led_at_[i] = world_.now;
+        if (n.up && n.raft && n.raft->is_leader()) led_at_[i] = world_.now;
       }
       if (world_.now % 50 == 0) desks_.Tick();
       for (Caller& c : callers_) {
--- a/tests/golden_test.cc
+++ b/tests/golden_test.cc
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "base/settings.h"
-#include "consensus/types.h"
+#include "consensus/messages.h"
 #include "controller/control_state.h"
 #include "diagnosis/console.h"
 #include "diagnosis/diagnosis.h"
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -9,7 +9,7 @@
 namespace elderkeel::simulation {
 namespace {
 
-constexpr Millis kSync = 4000;  // how long a machine that is back or new counts as lost
+constexpr Millis kSync = 4000;  // how long a raft that is back or new counts as lost
 
 // Some voters besides `without`, the leader among them if it may be.
 std::vector<size_t> Victims(World* world, size_t controllers, size_t without, size_t count) {
@@ -64,7 +64,7 @@
   ASSERT_TRUE(Commits(&world, 3000));
   int leader = world.leader();
   ASSERT_GE(leader, 0);
-  ASSERT_EQ(world.node(static_cast<size_t>(leader)).machine->voters().size(), voters);
+  ASSERT_EQ(world.node(static_cast<size_t>(leader)).raft->voters().size(), voters);
   size_t first =
       of_leader ? static_cast<size_t>(leader) : (static_cast<size_t>(leader) + 1) % voters;
   size_t spare = voters;
@@ -153,7 +153,7 @@
     world.Leave(static_cast<size_t>(leader));
     world.Run(2500);
     EXPECT_FALSE(world.node(static_cast<size_t>(leader)).up &&
-                 world.node(static_cast<size_t>(leader)).machine->is_leader());
+                 world.node(static_cast<size_t>(leader)).raft->is_leader());
     EXPECT_EQ(world.fault, "");
   }
 }
--- a/tests/model_checker.h
+++ b/tests/model_checker.h
@@ -99,7 +99,7 @@
 // What the checker reads of a machine and nobody else may.
 struct RaftNodeProbe {
   static const HardState& hard_state(const RaftNode& m) { return m.hard_state_; }
-  static const Snapshot& snapshot(const RaftNode& m) { return m.snapshot_; }
+  static const Snapshot& snapshot(const RaftNode& m) { return m.log_.snapshot(); }
   static base::Millis election_at(const RaftNode& m) { return m.election_at_; }
   static base::Millis heartbeat_at(const RaftNode& m) { return m.heartbeat_at_; }
 
@@ -108,51 +108,61 @@
   // stuck or not); the state of the random generator isn't told apart, since a tick goes to the
   // time-out whatever was drawn; numbers of writes are counted from the last finished one. Rounds
   // are taken as they are, though only their order matters. Reads aren't walked.
-  static uint64_t DigestOf(const RaftNode& m, base::Millis now) {
+  static uint64_t DigestOf(const RaftNode& raft, base::Millis now) {
+    const PendingWrites& writes = raft.pending_writes_;
     model::Digest d;
-    d.Add(m.self_.id, m.role_, m.term_, m.commit_, m.applied_, m.recorded_commit_, m.durable_index_,
-          m.storage_failed_, m.no_leader_seen_, m.leader_id_, m.write_sequence_ - m.finished_write_,
-          m.IsDiskStalled(now), m.round_, m.last_leader_round_, m.pre_vote_round_, m.leaving_,
-          m.may_stop_, m.leaving_ && now >= m.leave_retry_at_, m.incoming_.has_value());
-    if (m.incoming_) {
-      model::AddTo(&d, m.incoming_->snapshot);
-      d.Add(m.incoming_->leader_term);
+    d.Add(raft.self_.id, raft.role_, raft.term(), raft.commit_index_, raft.applied_index_,
+          raft.recorded_commit_, writes.durable_index(), raft.storage_failed_, raft.no_leader_seen_,
+          raft.leader_id_, writes.unfinished(), raft.IsDiskStalled(now), raft.round_,
+          raft.last_leader_round_, raft.pre_vote_round_, raft.leaving_, raft.may_stop_,
+          raft.leaving_ && now >= raft.leave_retry_at_, raft.incoming_.has_value());
+    if (raft.incoming_) {
+      model::AddTo(&d, raft.incoming_->snapshot);
+      d.Add(raft.incoming_->leader_term);
     }
-    model::AddTo(&d, m.hard_state_);
-    model::AddTo(&d, m.snapshot_);
-    model::AddTo(&d, m.log_);
-    model::AddTo(&d, m.voters_);
-    d.Add(m.write_covers_.size());
-    for (const auto& [sequence, last] : m.write_covers_) d.Add(sequence - m.finished_write_, last);
-    d.Add(m.deferred_messages_.size());
-    for (const auto& held : m.deferred_messages_) {
-      d.Add(held.after - m.finished_write_, model::DigestOf(held.out.message));
+    model::AddTo(&d, raft.hard_state_);
+    model::AddTo(&d, raft.log_.snapshot());
+    model::AddTo(&d, raft.log_.entries());
+    model::AddTo(&d, raft.voters_);
+    d.Add(writes.covers().size());
+    for (const auto& [sequence, last] : writes.covers()) d.Add(sequence - writes.finished(), last);
+    d.Add(writes.deferred().size());
+    for (const auto& deferred : writes.deferred()) {
+      d.Add(deferred.after - writes.finished(), model::DigestOf(deferred.message.message));
     }
-    d.Add(m.leader_id_ != 0 && now - m.last_leader_contact_ < m.timing_.election_timeout);
-    d.Add(m.leader_id_ != 0 && now - m.last_leader_contact_ > m.timing_.election_timeout * 2);
-    if (m.role_ == Role::kPreCandidate || m.role_ == Role::kCandidate) {
-      d.Add(m.votes_.size());
-      for (MemberId id : m.votes_) d.Add(id);
+    const consensus::Timing& timing = raft.timing_;
+    base::Millis leader_silence = now - raft.last_leader_contact_;
+    d.Add(raft.leader_id_ != 0 && leader_silence < timing.election_timeout);
+    d.Add(raft.leader_id_ != 0 && leader_silence > timing.election_timeout * 2);
+    if (raft.role_ == Role::kPreCandidate || raft.role_ == Role::kCandidate) {
+      d.Add(raft.votes_.size());
+      for (MemberId id : raft.votes_) d.Add(id);
     }
-    if (m.role_ == Role::kLeader) {
-      d.Add((now - m.LastMajorityContact()) / m.timing_.heartbeat_interval, m.progress_.size());
-      for (const auto& [id, p] : m.progress_) {
-        base::Millis silent = now - p.heard;
-        d.Add(id, p.match, p.next, p.round, p.voter, p.acknowledged_round, p.rewound_round,
-              p.state_lost, p.window, p.offset, p.sending ? p.sending->index : 0);
-        d.Add(p.in_flight.size());
-        for (const auto& flight : p.in_flight) d.Add(flight.round, flight.bytes);
-        const consensus::Timing& t = m.timing_;
-        for (base::Millis span :
-             {t.heartbeat_interval * 4, t.election_timeout, t.election_timeout * 2,
-              t.replace_silent_after, t.replace_silent_after * 2, t.remove_silent_after}) {
-          d.Add(silent > span, silent == span);
-        }
-        d.Add(p.leave_requested_at >= 0 && p.heard - p.leave_requested_at < t.election_timeout);
-      }
+    if (raft.role_ == Role::kLeader) {
+      d.Add((now - raft.LastMajorityContact()) / timing.heartbeat_interval, raft.progress_.size());
+      for (const auto& [id, peer] : raft.progress_) AddTo(&d, peer, timing, now);
     }
     return d.value();
   }
+
+ private:
+  static void AddTo(model::Digest* digest, const PeerProgress& peer, const Timing& timing,
+                    base::Millis now) {
+    base::Millis silence = now - peer.last_contact;
+    digest->Add(peer.member.id, peer.match_index, peer.next_index, peer.last_reply_round,
+                peer.is_voter, peer.acknowledged_round, peer.rewound_round, peer.state_lost,
+                peer.window.size_bytes(), peer.snapshot_offset,
+                peer.snapshot ? peer.snapshot->index : 0);
+    digest->Add(peer.window.in_flight().size());
+    for (const auto& message : peer.window.in_flight()) digest->Add(message.round, message.bytes);
+    for (base::Millis span : {timing.heartbeat_interval * 4, timing.election_timeout,
+                              timing.election_timeout * 2, timing.replace_silent_after,
+                              timing.replace_silent_after * 2, timing.remove_silent_after}) {
+      digest->Add(silence > span, silence == span);
+    }
+    digest->Add(peer.leave_requested_at >= 0 &&
+                peer.last_contact - peer.leave_requested_at < timing.election_timeout);
+  }
 };
 
 }  // namespace elderkeel::consensus
@@ -225,7 +235,7 @@
   Millis now = 1000;
   RestoredState disk;                // what is synced
   std::vector<WriteRequest> writes;  // outstanding, oldest first
-  std::optional<RaftNode> machine;
+  std::optional<RaftNode> raft;
   uint64_t chain = 0;  // digest of all that was applied
   // The furthest that it told the leader of a term it holds.
   Term promised_in = 0;
@@ -233,7 +243,7 @@
   Term promised_term = 0;  // of the entry there
   uint64_t digest = 0;
 
-  bool is_leader() const { return up && machine->is_leader(); }
+  bool is_leader() const { return up && raft->is_leader(); }
 };
 
 struct Sent {
@@ -377,14 +387,14 @@
         add(StepKind::kCrash, 0, kept);
       }
       add(StepKind::kWipe);
-      if (n.machine->HasCommittedInTerm()) add(StepKind::kPropose);
-      if (n.machine->is_leader()) add(StepKind::kTransfer);
-      if (n.machine->commit() > n.machine->snapshot_index() && !n.machine->storage_failed()) {
+      if (n.raft->HasCommittedInTerm()) add(StepKind::kPropose);
+      if (n.raft->is_leader()) add(StepKind::kTransfer);
+      if (n.raft->commit() > n.raft->snapshot_index() && !n.raft->storage_failed()) {
         add(StepKind::kCompact);
       }
       for (int k = 1; k <= size; ++k) {
         const Node& other = *s.nodes[static_cast<size_t>(k - 1)];
-        if (k != i && other.is_leader() && !n.machine->IsVoter(n.machine->self().id)) {
+        if (k != i && other.is_leader() && !n.raft->IsVoter(n.raft->self().id)) {
           add(StepKind::kJoin, k);
         }
         if (k <= i) continue;
@@ -432,23 +442,23 @@
     switch (step.kind) {
       case StepKind::kDeliver:
       case StepKind::kDuplicate:
-        n.machine->Receive(n.now, *message, AddressOf(step.node - 1));
+        n.raft->Receive(n.now, *message, AddressOf(step.node - 1));
         break;
       case StepKind::kTick: {
-        bool is_leader = n.machine->is_leader();
-        Millis until = is_leader ? RaftNodeProbe::heartbeat_at(*n.machine)
-                                 : RaftNodeProbe::election_at(*n.machine);
+        bool is_leader = n.raft->is_leader();
+        Millis until =
+            is_leader ? RaftNodeProbe::heartbeat_at(*n.raft) : RaftNodeProbe::election_at(*n.raft);
         // In strides that aren't taken for a sleep.
         do {
           n.now = std::min(std::max(n.now, until), n.now + options_.timing.election_timeout / 2);
-          n.machine->Tick(n.now);
+          n.raft->Tick(n.now);
           Pump(s, i, &n);
-        } while (n.now < until && n.machine->is_leader() == is_leader);
+        } while (n.now < until && n.raft->is_leader() == is_leader);
         break;
       }
       case StepKind::kSleep:
         n.now += 10000;
-        n.machine->Tick(n.now);
+        n.raft->Tick(n.now);
         break;
       case StepKind::kPersist:
       case StepKind::kRefuse: {
@@ -458,7 +468,7 @@
         bool ok = step.kind == StepKind::kPersist;
         if (ok) Store(&n.disk, write);
         if (!ok && !options_.writes_past_refusal) n.writes.clear();
-        n.machine->OnWriteFinished(n.now, write.sequence, ok);
+        n.raft->OnWriteFinished(n.now, write.sequence, ok);
         break;
       }
       case StepKind::kCrash:
@@ -484,28 +494,27 @@
         s->nodes[at] = before;
         size_t leader = static_cast<size_t>(step.other - 1);
         if (leader >= s->nodes.size() || !s->nodes[leader]->is_leader()) return false;
-        Member member = before->machine->self();
+        Member member = before->raft->self();
         before = s->nodes[leader];
         auto joined = std::make_shared<Node>(*before);
         s->nodes[leader] = joined;
-        joined->machine->Join(joined->now, member);
+        joined->raft->AddLearner(joined->now, member);
         Pump(s, step.other, joined.get());
         Seal(joined.get());
         Check(*s, step.other, *before, *joined);
         return true;
       }
       case StepKind::kTransfer:
-        if (!n.machine->is_leader()) return false;
-        n.machine->TransferLeadership(n.now);
+        if (!n.raft->is_leader()) return false;
+        n.raft->TransferLeadership(n.now);
         break;
       case StepKind::kPropose:
-        if (!n.machine->Propose(n.now, "c" + std::to_string(s->proposals + 1))) return false;
+        if (!n.raft->Propose(n.now, "c" + std::to_string(s->proposals + 1))) return false;
         ++s->proposals;
         break;
       case StepKind::kCompact:
-        if (n.machine->storage_failed() || n.machine->commit() <= n.machine->snapshot_index())
-          return false;
-        n.machine->Compact(n.machine->commit(), std::to_string(n.chain));
+        if (n.raft->storage_failed() || n.raft->commit() <= n.raft->snapshot_index()) return false;
+        n.raft->Compact(n.raft->commit(), std::to_string(n.chain));
         break;
       default:
         return false;
@@ -587,22 +596,22 @@
     n->up = true;
     ++n->lives;
     n->chain = 0;
-    n->machine.emplace(o, n->disk, n->now);
+    n->raft.emplace(o, n->disk, n->now);
     for (int k = 0; k < options_.founders + options_.spares; ++k) {
-      n->machine->SetZone(AddressOf(k).ip, ZoneOf(k));
+      n->raft->SetZone(AddressOf(k).ip, ZoneOf(k));
     }
     Pump(s, i + 1, n);
   }
   void End(Node* n) {
     n->up = false;
     n->writes.clear();
-    n->machine.reset();
+    n->raft.reset();
     n->chain = 0;
   }
 
   void Pump(State* s, int i, Node* n) {
     for (;;) {
-      RaftNode::Effects effects = n->machine->Take();
+      RaftNode::Effects effects = n->raft->TakeEffects();
       bool any = !effects.messages.empty() || !effects.writes.empty() ||
                  !effects.committed.empty() || !effects.installed.empty() || effects.role_changed;
       if (!any) {
@@ -610,7 +619,7 @@
         WriteRequest write = std::move(n->writes.front());
         n->writes.erase(n->writes.begin());
         Store(&n->disk, write);
-        n->machine->OnWriteFinished(n->now, write.sequence, true);
+        n->raft->OnWriteFinished(n->now, write.sequence, true);
         continue;
       }
       for (WriteRequest& write : effects.writes) n->writes.push_back(std::move(write));
@@ -640,7 +649,7 @@
     s->history = history;
   }
 
-  void Send(State* s, int i, Node* n, RaftNode::Outgoing out) {
+  void Send(State* s, int i, Node* n, consensus::OutgoingMessage out) {
     const Message& m = out.message;
     const consensus::HardState& hard_state = n->disk.hard_state;
     // Persistent promises: what others will count on is on the disk when it is told.
@@ -657,10 +666,10 @@
         Fault("persistent promise", i, "answered in a term that isn't on its disk");
       }
       // A reply held back may speak of a term that has passed; then nobody counts on it any more.
-      if (m.term == n->machine->term() && m.index > 0) {
-        const Entry* e = EntryAt(n->machine->log(), m.index);
+      if (m.term == n->raft->term() && m.index > 0) {
+        const Entry* e = EntryAt(n->raft->log(), m.index);
         Term term = e ? e->term : 0;
-        bool known = e || m.index <= n->machine->snapshot_index();
+        bool known = e || m.index <= n->raft->snapshot_index();
         if (!known || !Holds(n->disk, m.index, term)) {
           Fault("persistent promise", i,
                 "told that it holds " + std::to_string(m.index) + ", which isn't on its disk");
@@ -691,7 +700,7 @@
     AddTo(&d, n->disk.entries);
     d.Add(n->writes.size());
     for (const WriteRequest& write : n->writes) AddTo(&d, write);
-    if (n->up) d.Add(RaftNodeProbe::DigestOf(*n->machine, n->now));
+    if (n->up) d.Add(RaftNodeProbe::DigestOf(*n->raft, n->now));
     n->digest = d.value();
   }
 
@@ -711,23 +720,23 @@
 
   // What a step added to what must never be taken back.
   void Remember(State* s, int i, const Node& before, const Node& n) {
-    bool led = before.is_leader() && n.up && before.machine->term() == n.machine->term();
+    bool led = before.is_leader() && n.up && before.raft->term() == n.raft->term();
     if (!n.is_leader() && !led) return;
-    Term term = n.machine->term();
+    Term term = n.raft->term();
     auto history = std::make_shared<History>(*s->history);
     if (n.is_leader()) {
-      auto [at, first] = history->leaders.try_emplace(term, n.machine->self().id);
-      if (!first && at->second != n.machine->self().id) {
+      auto [at, first] = history->leaders.try_emplace(term, n.raft->self().id);
+      if (!first && at->second != n.raft->self().id) {
         Fault("election safety", i,
               "leads term " + std::to_string(term) + ", which " + std::to_string(at->second) +
                   " led");
       }
     }
-    Index from = before.up ? before.machine->commit() : n.machine->commit();
-    for (Index index = from + 1; index <= n.machine->commit(); ++index) {
-      const Entry* e = EntryAt(n.machine->log(), index);
+    Index from = before.up ? before.raft->commit() : n.raft->commit();
+    for (Index index = from + 1; index <= n.raft->commit(); ++index) {
+      const Entry* e = EntryAt(n.raft->log(), index);
       if (!e) continue;
-      const auto& voters = n.machine->voters();
+      const auto& voters = n.raft->voters();
       size_t copies = Copies(*s, index, e->term, &voters);
       size_t wanted =
           std::max(voters.size() / 2 + 1, std::min(options_.tolerance.machines + 1, voters.size()));
@@ -760,23 +769,23 @@
       }
     }
     if (!n.up) return;
-    const auto& log = n.machine->log();
-    if (before.is_leader() && n.is_leader() && before.machine->term() == n.machine->term()) {
-      for (const Entry& e : before.machine->log()) {
+    const auto& log = n.raft->log();
+    if (before.is_leader() && n.is_leader() && before.raft->term() == n.raft->term()) {
+      for (const Entry& e : before.raft->log()) {
         const Entry* now = EntryAt(log, e.index);
-        if (e.index > n.machine->last_index() || (now && DigestOf(*now) != DigestOf(e)) ||
-            (!now && e.index > n.machine->snapshot_index())) {
+        if (e.index > n.raft->last_index() || (now && DigestOf(*now) != DigestOf(e)) ||
+            (!now && e.index > n.raft->snapshot_index())) {
           Fault("leader append-only", i, "as leader changed " + std::to_string(e.index));
         }
       }
     }
     for (size_t k = 0; k < s.nodes.size(); ++k) {
       const Node& o = *s.nodes[k];
-      if (!o.up || static_cast<int>(k) == i - 1 || log.empty() || o.machine->log().empty()) {
+      if (!o.up || static_cast<int>(k) == i - 1 || log.empty() || o.raft->log().empty()) {
         continue;
       }
       bool matched = false;
-      const auto& theirs = o.machine->log();
+      const auto& theirs = o.raft->log();
       for (Index at = std::min(log.back().index, theirs.back().index);
            at >= std::max(log.front().index, theirs.front().index) && at > 0; --at) {
         const Entry& a = *EntryAt(log, at);
@@ -790,12 +799,12 @@
     }
     if (!n.is_leader()) return;
     for (const auto& [index, a] : s.history->acknowledged) {
-      if (a.in > n.machine->term() || index <= n.machine->snapshot_index()) continue;
+      if (a.in > n.raft->term() || index <= n.raft->snapshot_index()) continue;
       const Entry* e = EntryAt(log, index);
       if (e && DigestOf(*e) == a.digest) continue;
-      Fault(a.in < n.machine->term() ? "leader completeness" : "no acknowledged entry missing", i,
-            "leads term " + std::to_string(n.machine->term()) + " without " +
-                std::to_string(index) + ", acknowledged in term " + std::to_string(a.in));
+      Fault(a.in < n.raft->term() ? "leader completeness" : "no acknowledged entry missing", i,
+            "leads term " + std::to_string(n.raft->term()) + " without " + std::to_string(index) +
+                ", acknowledged in term " + std::to_string(a.in));
     }
     CheckVoters(s, i, n);
   }
@@ -804,12 +813,12 @@
     // Of the voter sets in a leader's log, from the last committed one on, any may be the one that
     // somebody goes by.
     Index committed = s.history->acknowledged.empty() ? 1 : s.history->acknowledged.rbegin()->first;
-    std::vector<std::vector<Member>> sets{RaftNodeProbe::snapshot(*n.machine).voters};
-    for (const Entry& e : n.machine->log()) {
+    std::vector<std::vector<Member>> sets{RaftNodeProbe::snapshot(*n.raft).voters};
+    for (const Entry& e : n.raft->log()) {
       if (e.kind != consensus::EntryKind::kVoters) continue;
       auto voters = wire::Decode<std::vector<Member>>(e.data);
       if (!voters) continue;
-      if (e.index <= committed || e.index <= n.machine->snapshot_index()) sets.clear();
+      if (e.index <= committed || e.index <= n.raft->snapshot_index()) sets.clear();
       sets.push_back(*voters);
     }
     for (size_t a = 0; a < sets.size(); ++a) {
@@ -823,15 +832,14 @@
     auto in_force = [&](const Node& leader) {
       size_t with = 0;
       for (const auto& o : s.nodes) {
-        Term term = o->up ? o->machine->term() : o->disk.hard_state.term;
-        if (leader.machine->IsVoter(o->disk.hard_state.self) && term <= leader.machine->term())
-          ++with;
+        Term term = o->up ? o->raft->term() : o->disk.hard_state.term;
+        if (leader.raft->IsVoter(o->disk.hard_state.self) && term <= leader.raft->term()) ++with;
       }
-      return with >= leader.machine->voters().size() / 2 + 1;
+      return with >= leader.raft->voters().size() / 2 + 1;
     };
     for (const auto& o : s.nodes) {
       if (o.get() == &n || !o->is_leader() || !in_force(*o) || !in_force(n)) continue;
-      if (!MajoritiesMeet(o->machine->voters(), n.machine->voters())) {
+      if (!MajoritiesMeet(o->raft->voters(), n.raft->voters())) {
         Fault("voter sets meet", i, "leads beside another one by voters that need not meet");
       }
     }
--- a/tests/model_checker_test.cc
+++ b/tests/model_checker_test.cc
@@ -54,13 +54,13 @@
   scenario.begin(&script);
   ASSERT_EQ(script.fault, "");
   std::vector<Step> steps = script.steps;
-  ASSERT_EQ(script.at(3).machine->last_index(), 42u);
+  ASSERT_EQ(script.at(3).raft->last_index(), 42u);
   ASSERT_TRUE(script.Do({StepKind::kCompact, 1, 0, 0}));
   ASSERT_TRUE(script.Do({StepKind::kDeliver, 3, 1, 0}));
   for (int k = 0; k < 4 && script.Under(1, 3) > 0; ++k) script.Deliver(1, 3);
   script.PersistAll(3);
   EXPECT_EQ(script.fault, "");
-  EXPECT_EQ(script.at(3).machine->last_index(), 42u);
+  EXPECT_EQ(script.at(3).raft->last_index(), 42u);
   EXPECT_EQ(Replay(scenario.options, script.steps), "");
 }
 
--- a/tests/operators.h
+++ b/tests/operators.h
@@ -106,15 +106,15 @@
   class NodeLog : public configuration::Log {
    public:
     NodeLog(World* world, size_t i) : world_(world), i_(i) {}
-    bool HasCommittedInTerm() const override { return node().machine->HasCommittedInTerm(); }
-    bool is_leader() const override { return node().machine->is_leader(); }
-    uint64_t term() const override { return node().machine->term(); }
+    bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
+    bool is_leader() const override { return node().raft->is_leader(); }
+    uint64_t term() const override { return node().raft->term(); }
     std::optional<std::string> leader_control() const override {
-      auto leader = node().machine->leader();
+      auto leader = node().raft->leader();
       if (!leader) return std::nullopt;
       return leader->ip + ":8080";
     }
-    bool Read(uint64_t token) override { return node().machine->Read(world_->now, token); }
+    bool Read(uint64_t token) override { return node().raft->ConfirmRead(world_->now, token); }
     std::optional<uint64_t> Propose(const configuration::Change& change) override {
       return Put(controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
     }
@@ -138,7 +138,7 @@
    private:
     World::Node& node() const { return world_->node(i_); }
     std::optional<uint64_t> Put(std::string command) {
-      return node().machine->Propose(world_->now, std::move(command));
+      return node().raft->Propose(world_->now, std::move(command));
     }
     World* world_;
     size_t i_;
@@ -443,10 +443,10 @@
   void ReadZone(size_t i, uint64_t ticket, const std::string& zone) {
     World::Node& n = world_->node(i);
     uint64_t token = ++next_token_;
-    if (!n.machine->is_leader() || !n.machine->Read(world_->now, token)) {
+    if (!n.raft->is_leader() || !n.raft->ConfirmRead(world_->now, token)) {
       wire::Message answer;
       answer.status = 503;
-      if (auto leader = n.machine->leader(); leader && !n.machine->is_leader()) {
+      if (auto leader = n.raft->leader(); leader && !n.raft->is_leader()) {
         answer.status = 307;
         answer.headers.push_back({"Location", "http://" + leader->ip + ":8080/"});
       }
--- a/tests/power_env.h
+++ b/tests/power_env.h
@@ -14,7 +14,7 @@
 #include <thread>
 #include <vector>
 
-#include "consensus/store.h"
+#include "consensus/disk_store.h"
 
 namespace elderkeel {
 
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -80,7 +80,7 @@
     Millis leave_by = 0;  // when an orderly end is cut short; 0 for none under way
     // A life.
     uint64_t life = 0;
-    std::unique_ptr<consensus::RaftNode> machine;
+    std::unique_ptr<consensus::RaftNode> raft;
     controller::ControlState state;
     std::unique_ptr<duty::Assignment> assignment;
     uint64_t watched_epoch = 0, sequence = 0;
@@ -202,22 +202,22 @@
     n.assignment = std::make_unique<duty::Assignment>(1000);
     n.watched_epoch = n.sequence = 0;
     n.poll_at = n.claim_at = n.join_at = 0;
-    consensus::RaftNode::Options machine;
-    machine.self.ip = n.address.ip;
-    machine.self.port = n.address.port;
-    machine.self.zone = n.zone;
-    machine.seed = random_.Next();
-    machine.tolerance = options_.tolerance;
-    machine.regions = options_.regions;
+    consensus::RaftNode::Options raft;
+    raft.self.ip = n.address.ip;
+    raft.self.port = n.address.port;
+    raft.self.zone = n.zone;
+    raft.seed = random_.Next();
+    raft.tolerance = options_.tolerance;
+    raft.regions = options_.regions;
     if (first && i < founders_.size()) {
-      machine.self.id = founders_[i].id;
-      machine.founders = founders_;
-      machine.cluster = 77;
+      raft.self.id = founders_[i].id;
+      raft.founders = founders_;
+      raft.cluster = 77;
     } else {
-      machine.self.id = random_.Next() | 1;
+      raft.self.id = random_.Next() | 1;
     }
-    n.machine = std::make_unique<consensus::RaftNode>(machine, n.disk, now);
-    for (auto& other : nodes_) n.machine->SetZone(other->address.ip, other->zone);
+    n.raft = std::make_unique<consensus::RaftNode>(raft, n.disk, now);
+    for (auto& other : nodes_) n.raft->SetZone(other->address.ip, other->zone);
     if (follower_) follower_->Started(i);
   }
   void Crash(size_t i) {
@@ -225,7 +225,7 @@
     if (n.up && follower_) follower_->Crashed(i);
     n.up = false;
     n.writing.clear();  // what was not synced is gone
-    n.machine.reset();
+    n.raft.reset();
     n.disseminator.reset();
     n.members.reset();
   }
@@ -234,13 +234,13 @@
     Node& n = *nodes_[i];
     if (!n.up || n.frozen || n.leave_by) return;
     n.members->Leave(now);
-    if (n.machine) {
-      n.machine->Leave();
-      n.machine->TransferLeadership(now);
+    if (n.raft) {
+      n.raft->Leave();
+      n.raft->TransferLeadership(now);
       n.leave_by = now + 5000;
     }
     Pump(i);
-    if (!n.machine) Crash(i);
+    if (!n.raft) Crash(i);
   }
   // Like a crash, but of the writes that were never synced the disk may have kept some: those that
   // its log holds from the oldest on. A write that is torn counts as missing, and all after it.
@@ -308,15 +308,14 @@
   // Sends the next change to a leader, if one is settled. Acknowledged once applied there.
   bool Change() {
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i]->machine && nodes_[i]->machine->HasCommittedInTerm() && ChangeAt(i))
-        return true;
+      if (nodes_[i]->raft && nodes_[i]->raft->HasCommittedInTerm() && ChangeAt(i)) return true;
     }
     return false;
   }
   // The same at one node, which may be a leader of before that does not know it yet.
   bool ChangeAt(size_t i) {
     Node* n = nodes_[i].get();
-    if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) return false;
+    if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) return false;
     int64_t current = n->state.configuration.revision();
     int64_t revision =
         std::max(current, next_revision_) + 1 + static_cast<int64_t>(random_.Below(3));
@@ -326,7 +325,7 @@
     change.patch = options_.routes > 0 && current > 0;
     change.body = ChangeBody(revision, change.patch);
     last_change_ = change;
-    auto index = n->machine->Propose(
+    auto index = n->raft->Propose(
         now, controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
     if (index) pending_[{n, n->life, *index}] = {revision, current};
     return index.has_value();
@@ -334,8 +333,8 @@
   // Puts any change before the leader, as it is: the log's state judges it.
   bool Submit(const configuration::Change& change) {
     for (auto& n : nodes_) {
-      if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) continue;
-      return n->machine
+      if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) continue;
+      return n->raft
           ->Propose(now, controller::MakeCommand(controller::Command::Kind::kConfiguration, change))
           .has_value();
     }
@@ -345,10 +344,10 @@
   std::optional<configuration::Change> last_change() const { return last_change_; }
   bool Evacuate(const std::string& zone, bool evacuate) {
     for (auto& n : nodes_) {
-      if (!n->up || n->frozen || !n->machine || !n->machine->HasCommittedInTerm()) continue;
+      if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) continue;
       auto index =
-          n->machine->Propose(now, controller::MakeCommand(controller::Command::Kind::kEvacuation,
-                                                           evacuation::Order{zone, evacuate}));
+          n->raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kEvacuation,
+                                                        evacuation::Order{zone, evacuate}));
       if (index) ordered_[{n.get(), n->life, *index}] = {zone, evacuate};
       evacuated_.erase(zone);  // until this is acknowledged, either may be in force
       return index.has_value();
@@ -359,7 +358,7 @@
   bool Order(int64_t over_ms) {
     for (size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = *nodes_[i];
-      if (!n.up || n.frozen || !n.machine || !n.machine->HasCommittedInTerm()) continue;
+      if (!n.up || n.frozen || !n.raft || !n.raft->HasCommittedInTerm()) continue;
       rollout::Step step;
       step.kind = rollout::Step::Kind::kOrder;
       step.order = {"s", "v2", over_ms};
@@ -379,7 +378,7 @@
   // --- what must hold in the end, once all is well again ---
   std::string Converged() {
     int leaders = 0;
-    for (auto& n : nodes_) leaders += n->up && n->machine && n->machine->HasCommittedInTerm();
+    for (auto& n : nodes_) leaders += n->up && n->raft && n->raft->HasCommittedInTerm();
     if (leaders != 1) return std::to_string(leaders) + " settled leaders";
     for (auto& n : nodes_) {
       if (!n->up) return n->address.ip + " is down";
@@ -399,7 +398,7 @@
       if (servers.size() != 1 || servers[0].id != "list-" + std::to_string(list_)) {
         return n->address.ip + " has an old list";
       }
-      if (n->controller && !n->machine->IsVoter(n->machine->self().id))
+      if (n->controller && !n->raft->IsVoter(n->raft->self().id))
         return n->address.ip + " has no vote";
       if (n->members->Others().size() + 1 != nodes_.size()) return n->address.ip + " misses a node";
     }
@@ -410,7 +409,7 @@
   size_t size() const { return nodes_.size(); }
   int leader() const {
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i]->up && nodes_[i]->machine && nodes_[i]->machine->HasCommittedInTerm())
+      if (nodes_[i]->up && nodes_[i]->raft && nodes_[i]->raft->HasCommittedInTerm())
         return static_cast<int>(i);
     }
     return -1;
@@ -550,20 +549,19 @@
         n.disseminator->Tick(now);
       }
       if (n.controller) {
-        n.machine->Tick(now);
+        n.raft->Tick(now);
         if (now % 50 == 0) TickController(i);
       }
       if (!n.controller && options_.requests > 0) Serve(i);
       if (!n.controller && options_.confirm) AskConfirmation(i);
       Pump(i);
-      if (n.leave_by && (n.machine->may_stop() || now >= n.leave_by)) Crash(i);
+      if (n.leave_by && (n.raft->may_stop() || now >= n.leave_by)) Crash(i);
     }
     if (follower_) follower_->Stepped();
   }
 
   bool Propose(Node& n, const rollout::Step& step) {
-    return n.machine
-        ->Propose(now, controller::MakeCommand(controller::Command::Kind::kRollout, step))
+    return n.raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kRollout, step))
         .has_value();
   }
   std::vector<rollout::Candidate> Watchers(const Node& n) const {
@@ -597,7 +595,7 @@
     Node& n = *nodes_[i];
     uint64_t token = ++order_;
     n.confirms[token] = {from, confirm.nonce};
-    if (n.machine->Read(now, token)) return;
+    if (n.raft->ConfirmRead(now, token)) return;
     AnswerConfirm(i, token, false);
   }
 
@@ -611,7 +609,7 @@
     if (confirmed) {
       reply.versions = {n.state.configuration.revision(), n.state.orders.version(),
                         n.state.rollouts.version()};
-    } else if (auto leader = n.machine->LeaderInContact(now); leader && !n.machine->is_leader()) {
+    } else if (auto leader = n.raft->LeaderInContact(now); leader && !n.raft->is_leader()) {
       reply.leader_ip = leader->ip;
       reply.leader_port = leader->port;
     }
@@ -671,7 +669,7 @@
     n.watcher->Adopt(n.state.rollouts);
     n.disseminator->Commit(n.state.rollouts);
     const rollout::Rollout* rollout = n.state.rollouts.Of("s");
-    if (!rollout || !n.machine->HasCommittedInTerm()) return;
+    if (!rollout || !n.raft->HasCommittedInTerm()) return;
     if (traffic.ordered_at < 0) traffic.ordered_at = now;
     if (traffic.ended_at >= 0 && rollout->stage != traffic.stage) {
       Fail("a roll-out that had ended went on");
@@ -693,7 +691,7 @@
 
   void TickRollouts(size_t i) {
     Node& n = *nodes_[i];
-    if (n.machine->HasCommittedInTerm()) {
+    if (n.raft->HasCommittedInTerm()) {
       for (const auto& step : n.conductor->Review(now, n.state.rollouts, Watchers(n))) {
         Propose(n, step);
       }
@@ -711,9 +709,9 @@
       }
     }
     for (const auto& vote : n.watcher->Tick(now, proxies)) {
-      if (n.machine->is_leader()) {
+      if (n.raft->is_leader()) {
         n.conductor->OnVote(now, vote);
-      } else if (auto leader = n.machine->leader()) {
+      } else if (auto leader = n.raft->leader()) {
         Send(i, leader->address(), vote);
       }
     }
@@ -725,7 +723,7 @@
       consensus::WriteRequest write = std::move(n.writing.front().second);
       n.writing.erase(n.writing.begin());
       Store(&n, write);
-      n.machine->OnWriteFinished(now, write.sequence, true);
+      n.raft->OnWriteFinished(now, write.sequence, true);
       Pump(i);
     }
   }
@@ -785,19 +783,18 @@
     if (!n.controller) return;
     if (auto* m = std::get_if<dissemination::Confirm>(&body)) OnConfirm(i, from, *m);
     if (auto* m = std::get_if<rollout::Tally>(&body)) {
-      bool heard =
-          n.machine->HasCommittedInTerm() ||
-          (n.machine->last_leader_contact() && now - n.machine->last_leader_contact() < 1200);
+      bool heard = n.raft->HasCommittedInTerm() ||
+                   (n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200);
       if (n.watcher->OnTally(now, *m) && m->asks && heard) {
         Send(i, from, rollout::Touch{m->number, n.state.rollouts.version()});
       }
     }
     if (auto* m = std::get_if<rollout::Vote>(&body)) n.conductor->OnVote(now, *m);
-    if (auto* m = std::get_if<consensus::Message>(&body)) n.machine->Receive(now, *m, from);
+    if (auto* m = std::get_if<consensus::Message>(&body)) n.raft->Receive(now, *m, from);
     if (auto* m = std::get_if<consensus::Member>(&body)) {
-      if (n.machine->is_leader()) {
-        n.machine->Join(now, *m);
-      } else if (auto leader = n.machine->leader(); leader && leader->address() != from) {
+      if (n.raft->is_leader()) {
+        n.raft->AddLearner(now, *m);
+      } else if (auto leader = n.raft->leader(); leader && leader->address() != from) {
         Send(i, leader->address(), *m);
       }
     }
@@ -806,37 +803,36 @@
 
   std::vector<duty::Candidate> Candidates(const Node& n) {
     std::vector<duty::Candidate> candidates;
-    for (const auto& v : n.machine->voters()) {
-      Millis heard = n.machine->LastContact(v.id);
-      candidates.push_back(
-          {v.id, heard < 0 ? INT64_MAX : now - heard, v.id == n.machine->self().id});
+    for (const auto& v : n.raft->voters()) {
+      Millis heard = n.raft->LastContact(v.id);
+      candidates.push_back({v.id, heard < 0 ? INT64_MAX : now - heard, v.id == n.raft->self().id});
     }
     return candidates;
   }
   void Name(Node& n, const std::optional<duty::Duty>& named) {
     if (named)
-      n.machine->Propose(now, controller::MakeCommand(controller::Command::Kind::kDuty, *named));
+      n.raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kDuty, *named));
   }
   void Resigned(size_t i, const duty::Resignation& r) {
     Node& n = *nodes_[i];
-    if (n.machine->HasCommittedInTerm())
+    if (n.raft->HasCommittedInTerm())
       Name(n, n.assignment->Resigned(now, n.state.duty, Candidates(n), r));
   }
 
   void Vouch(Node& n) {
     std::optional<Address> leader, reader;
-    if (auto member = n.machine->leader(); member && !n.machine->is_leader()) {
+    if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
       leader = member->address();
     }
-    bool reads = n.state.duty.holder == n.machine->self().id;
-    for (const auto& voter : n.machine->voters()) {
+    bool reads = n.state.duty.holder == n.raft->self().id;
+    for (const auto& voter : n.raft->voters()) {
       if (voter.id == n.state.duty.holder && !reads) reader = voter.address();
     }
     n.disseminator->SetVouchers(leader, reader);
-    if (!n.machine->HasCommittedInTerm()) n.vouchers.clear();
-    if (n.machine->HasCommittedInTerm() && n.vouchers.empty()) {
+    if (!n.raft->HasCommittedInTerm()) n.vouchers.clear();
+    if (n.raft->HasCommittedInTerm() && n.vouchers.empty()) {
       n.vouchers[++order_] = now;
-      if (!n.machine->ReadByHeartbeat(now, order_)) n.vouchers.clear();
+      if (!n.raft->ConfirmReadByHeartbeat(now, order_)) n.vouchers.clear();
     }
     Millis log_age = n.disseminator->log_age(now);
     bool published = n.sequence > 0 && n.watched_epoch == n.state.duty.epoch;
@@ -848,24 +844,24 @@
   void TickController(size_t i) {
     Node& n = *nodes_[i];
     TickRollouts(i);
-    if (n.machine->HasCommittedInTerm())
+    if (n.raft->HasCommittedInTerm())
       Name(n, n.assignment->Review(now, n.state.duty, Candidates(n)));
     Vouch(n);
-    bool heard = n.machine->last_leader_contact() && now - n.machine->last_leader_contact() < 1200;
-    if (!n.machine->is_leader() && !heard && now >= n.join_at) {
+    bool heard = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
+    if (!n.raft->is_leader() && !heard && now >= n.join_at) {
       n.join_at = now + 400;
       for (int k = 0; k < options_.controllers; ++k) {
-        if (nodes_[k].get() != &n) Send(i, nodes_[k]->address, n.machine->self());
+        if (nodes_[k].get() != &n) Send(i, nodes_[k]->address, n.raft->self());
       }
     }
-    if (n.state.duty.holder != n.machine->self().id) return;
+    if (n.state.duty.holder != n.raft->self().id) return;
     if (n.state.duty.life != n.life) {
       if (now < n.claim_at) return;
       n.claim_at = now + 200;
-      duty::Resignation claim{n.state.duty.epoch, n.machine->self().id, n.life};
-      if (n.machine->is_leader()) {
+      duty::Resignation claim{n.state.duty.epoch, n.raft->self().id, n.life};
+      if (n.raft->is_leader()) {
         Resigned(i, claim);
-      } else if (auto leader = n.machine->leader()) {
+      } else if (auto leader = n.raft->leader()) {
         Send(i, leader->address(), claim);
       }
       return;
@@ -965,12 +961,12 @@
     for (uint64_t token : e.failed_reads) Trace(i, 107, std::to_string(token));
     if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
   }
-  consensus::Role RoleOf(size_t i) const { return nodes_[i]->machine->role(); }
+  consensus::Role RoleOf(size_t i) const { return nodes_[i]->raft->role(); }
 
   void PumpMachine(size_t i) {
     Node& n = *nodes_[i];
     for (;;) {
-      consensus::RaftNode::Effects e = n.machine->Take();
+      consensus::RaftNode::Effects e = n.raft->TakeEffects();
       // No disk here goes back behind what was synced, so nobody may be accused of it.
       if (!e.state_lost.empty() || e.discard_store) Fail(n.address.ip + " tells of lost state");
       if (e.messages.empty() && e.writes.empty() && e.committed.empty() && e.installed.empty() &&
@@ -999,7 +995,7 @@
         }
         auto sent = pending_.find({&n, n.life, entry.index});
         if (sent != pending_.end()) {
-          if (n.machine->is_leader() && n.state.configuration.revision() == sent->second.first) {
+          if (n.raft->is_leader() && n.state.configuration.revision() == sent->second.first) {
             acknowledged_ = std::max(acknowledged_, sent->second.first);
             acknowledged_at_[now] = acknowledged_;
             auto [at, added] = built_on_.emplace(sent->second.second, sent->second.first);
@@ -1012,7 +1008,7 @@
         }
         auto ordered = ordered_.find({&n, n.life, entry.index});
         if (ordered != ordered_.end()) {
-          if (n.machine->is_leader()) evacuated_[ordered->second.first] = ordered->second.second;
+          if (n.raft->is_leader()) evacuated_[ordered->second.first] = ordered->second.second;
           ordered_.erase(ordered);
         }
       }
@@ -1037,13 +1033,12 @@
         }
       }
       if (follower_) follower_->Pumped(i, e);
-      if (n.machine->log_size() > 24)
-        n.machine->Compact(n.machine->commit(), wire::Encode(n.state));
+      if (n.raft->log_size() > 24) n.raft->Compact(n.raft->commit(), wire::Encode(n.state));
     }
-    if (n.machine->is_leader()) {
-      auto [at, added] = leaders_.emplace(n.machine->term(), n.machine->self().id);
-      if (!added && at->second != n.machine->self().id)
-        Fail("two leaders in term " + std::to_string(n.machine->term()));
+    if (n.raft->is_leader()) {
+      auto [at, added] = leaders_.emplace(n.raft->term(), n.raft->self().id);
+      if (!added && at->second != n.raft->self().id)
+        Fail("two leaders in term " + std::to_string(n.raft->term()));
     }
   }
 
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -123,13 +123,13 @@
   world.Run(2000);
   ASSERT_TRUE(world.Change());
   Settle(&world, 3000, "start");
-  consensus::MemberId old = world.node(2).machine->self().id;
+  consensus::MemberId old = world.node(2).raft->self().id;
   world.Wipe(2);
   world.Run(400);
   world.Start(2);
   Settle(&world, 8000, "after the wipe");
-  EXPECT_NE(world.node(2).machine->self().id, old);
-  EXPECT_EQ(world.node(0).machine->voters().size(), 3u);
+  EXPECT_NE(world.node(2).raft->self().id, old);
+  EXPECT_EQ(world.node(0).raft->voters().size(), 3u);
 }
 
 TEST(Simulation, TheHolderLostWithTheLeaderIsReplaced) {
@@ -182,7 +182,7 @@
   world.Run(400);
   EXPECT_EQ(world.acknowledged(), before);
   world.Run(3000);
-  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).machine->is_leader());  // check-quorum
+  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).raft->is_leader());  // check-quorum
   for (size_t k = 0; k < 3; ++k) world.Cut(static_cast<size_t>(leader), k, false);
   world.Change();
   Settle(&world, 6000, "after the cut");
@@ -212,18 +212,18 @@
   world.Run(4000);
   world.Change();
   Settle(&world, 5000, "start");
-  EXPECT_EQ(world.node(0).machine->voters().size(), 4u);
+  EXPECT_EQ(world.node(0).raft->voters().size(), 4u);
   size_t gone = static_cast<size_t>((world.leader() + 1) % 4);
   world.Crash(gone);
   world.Run(30000);
-  size_t voters = world.node(static_cast<size_t>(world.leader())).machine->voters().size();
+  size_t voters = world.node(static_cast<size_t>(world.leader())).raft->voters().size();
   // Node 3 stands in the zone of node 0, so either of them is no loss; others are waited for.
   EXPECT_EQ(voters, gone == 0 || gone == 3 ? 3u : 4u);
   world.Run(35000);
-  EXPECT_EQ(world.node(static_cast<size_t>(world.leader())).machine->voters().size(), 3u);
+  EXPECT_EQ(world.node(static_cast<size_t>(world.leader())).raft->voters().size(), 3u);
   world.Start(gone);
   Settle(&world, 8000, "after its return");
-  EXPECT_EQ(world.node(gone).machine->voters().size(), 4u);
+  EXPECT_EQ(world.node(gone).raft->voters().size(), 4u);
 }
 
 TEST(Simulation, WhatTheLeaderHasNotSyncedCountsForNothing) {
@@ -250,23 +250,23 @@
   world.Change();
   Settle(&world, 3000, "start");
   size_t leader = static_cast<size_t>(world.leader());
-  consensus::RaftNode& machine = *world.node(leader).machine;
-  machine.OnWriteFinished(world.now, 1u << 30, false);
-  EXPECT_TRUE(machine.storage_failed());
-  EXPECT_FALSE(machine.is_leader());
+  consensus::RaftNode& raft = *world.node(leader).raft;
+  raft.OnWriteFinished(world.now, 1u << 30, false);
+  EXPECT_TRUE(raft.storage_failed());
+  EXPECT_FALSE(raft.is_leader());
   world.Run(100);
-  machine.Take();
+  raft.TakeEffects();
   // Asked for its vote it says nothing.
   consensus::Message ask;
   ask.type = consensus::MessageType::kRequestVote;
-  ask.cluster = machine.cluster();
-  ask.to = machine.self().id;
-  ask.from = machine.voters()[0].id == ask.to ? machine.voters()[1].id : machine.voters()[0].id;
-  ask.term = machine.term() + 5;
+  ask.cluster = raft.cluster();
+  ask.to = raft.self().id;
+  ask.from = raft.voters()[0].id == ask.to ? raft.voters()[1].id : raft.voters()[0].id;
+  ask.term = raft.term() + 5;
   ask.index = 1000;
   ask.log_term = 1000;
-  machine.Receive(world.now, ask, {"10.0.0.9", 1});
-  EXPECT_TRUE(machine.Take().messages.empty());
+  raft.Receive(world.now, ask, {"10.0.0.9", 1});
+  EXPECT_TRUE(raft.TakeEffects().messages.empty());
   world.Run(4000);
   EXPECT_NE(world.leader(), static_cast<int>(leader));
   ASSERT_TRUE(world.Change());
@@ -372,15 +372,15 @@
     options.cluster = 7;
     options.tolerance = c.tolerance;
     options.regions = {{"a", "x"}, {"b", "x"}, {"c", "y"}};
-    consensus::RaftNode machine(options, {}, 0);
+    consensus::RaftNode raft(options, {}, 0);
     Millis now = 0;
     // Grants it every vote; of its appends only those told to are answered.
     auto turn = [&](bool sync_all) {
       now += 10;
-      machine.Tick(now);
-      auto effects = machine.Take();
-      for (const auto& write : effects.writes) machine.OnWriteFinished(now, write.sequence, true);
-      for (const auto& out : machine.Take().messages) effects.messages.push_back(out);
+      raft.Tick(now);
+      auto effects = raft.TakeEffects();
+      for (const auto& write : effects.writes) raft.OnWriteFinished(now, write.sequence, true);
+      for (const auto& out : raft.TakeEffects().messages) effects.messages.push_back(out);
       for (const auto& out : effects.messages) {
         consensus::Message reply = out.message;
         reply.from = out.message.to;
@@ -397,14 +397,14 @@
           if (!out.message.entries.empty()) reply.index = out.message.entries.back().index;
           reply.entries.clear();
         }
-        machine.Receive(now, reply, out.to);
+        raft.Receive(now, reply, out.to);
       }
     };
-    for (int k = 0; k < 200 && !machine.HasCommittedInTerm(); ++k) turn(true);
-    ASSERT_TRUE(machine.HasCommittedInTerm()) << c.name;
-    consensus::Index index = *machine.Propose(now, "change");
+    for (int k = 0; k < 200 && !raft.HasCommittedInTerm(); ++k) turn(true);
+    ASSERT_TRUE(raft.HasCommittedInTerm()) << c.name;
+    consensus::Index index = *raft.Propose(now, "change");
     for (int k = 0; k < 30; ++k) turn(false);
-    EXPECT_EQ(machine.commit() >= index, c.committed) << c.name;
+    EXPECT_EQ(raft.commit() >= index, c.committed) << c.name;
   }
 }
 
@@ -515,7 +515,7 @@
     uint64_t holder_id = world.node(0).state.duty.holder;
     std::vector<size_t> killed;
     for (size_t i = 0; i < 4; ++i) {
-      bool holder = world.node(i).machine->self().id == holder_id;
+      bool holder = world.node(i).raft->self().id == holder_id;
       bool leader = static_cast<int>(i) == world.leader();
       if ((seed % 4 == 0 && i == 0) || (seed % 4 == 1 && holder) || (seed % 4 == 2 && leader) ||
           (seed % 4 == 3 && (leader || holder))) {
@@ -608,8 +608,8 @@
         for (Millis end = world.now + span; world.now < end && world.fault.empty();) {
           world.Change();
           world.Run(every);
-          consensus::RaftNode* machine = world.node(victim).machine.get();
-          if (machine && !world.node(victim).frozen && machine->HasCommittedInTerm() &&
+          consensus::RaftNode* raft = world.node(victim).raft.get();
+          if (raft && !world.node(victim).frozen && raft->HasCommittedInTerm() &&
               world.node(victim).state.configuration.revision() < world.acknowledged()) {
             world.fault = "it leads with an older state";
           }
@@ -629,8 +629,8 @@
         int leader = world.leader();
         const World::Node& node = world.node(victim);
         return leader >= 0 && node.state.configuration.revision() >= wanted &&
-               world.node(static_cast<size_t>(leader)).machine->IsVoter(node.machine->self().id) &&
-               node.machine->IsVoter(node.machine->self().id);
+               world.node(static_cast<size_t>(leader)).raft->IsVoter(node.raft->self().id) &&
+               node.raft->IsVoter(node.raft->self().id);
       };
       while (!back() && world.now - begun < 20000 && world.fault.empty()) run(30, 30);
       ASSERT_EQ(world.fault, "");
--- a/tests/store_power_test.cc
+++ b/tests/store_power_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "base/random.h"
-#include "consensus/store.h"
+#include "consensus/disk_store.h"
 #include "power_env.h"
 
 // Losses of power at all points of a run of the log's writes: what was acknowledged is there again.
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -7,8 +7,8 @@
 
 #include "base/random.h"
 #include "base/settings.h"
+#include "consensus/disk_store.h"
 #include "consensus/raft_node.h"
-#include "consensus/store.h"
 #include "controller/control_state.h"
 
 namespace elderkeel::controller {
@@ -69,12 +69,12 @@
   consensus::RestoredState restored = Load();
   consensus::RaftNode::Options options;
   options.self.id = 1;  // the store knows better
-  consensus::RaftNode machine(options, restored, 0);
-  EXPECT_EQ(machine.self().id, restored.hard_state.self);
-  EXPECT_EQ(machine.term(), restored.hard_state.term);
-  EXPECT_EQ(machine.voters().size(), 3u);
-  EXPECT_EQ(machine.last_index(), restored.entries.back().index);
-  EXPECT_GE(machine.commit(), restored.snapshot.index);
+  consensus::RaftNode raft(options, restored, 0);
+  EXPECT_EQ(raft.self().id, restored.hard_state.self);
+  EXPECT_EQ(raft.term(), restored.hard_state.term);
+  EXPECT_EQ(raft.voters().size(), 3u);
+  EXPECT_EQ(raft.last_index(), restored.entries.back().index);
+  EXPECT_GE(raft.commit(), restored.snapshot.index);
 }
 
 }  // namespace
