--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -74,10 +74,10 @@
 }
 
 bool OperatorApi::Understand(const wire::Message& request, Job* job) {
-  if (request.Path().rfind(kEvacuation, 0) == 0) {
+  if (request.Path().rfind(kZoneDrain, 0) == 0) {
     job->kind = Job::Kind::kOrder;
-    job->order.zone = request.Path().substr(kEvacuation.size());
-    job->order.evacuate = request.method == "POST";
+    job->order.zone = request.Path().substr(kZoneDrain.size());
+    job->order.drain = request.method == "POST";
     if (request.method != "POST" && request.method != "DELETE") {
       Reply(job->ticket, 405, "POST, DELETE");
       return false;
@@ -137,11 +137,11 @@
     }
     return {verdict.status, verdict.reason};
   }
-  bool evacuated = orders_->Evacuated(job.order.zone);
-  if (evacuated && job.order.evacuate) return {200, ""};
+  bool drained = drained_zones_->IsDrained(job.order.zone);
+  if (drained && job.order.drain) return {200, ""};
   // A zone whose last server is gone can still be taken back.
-  if (!evacuated && !log_->HasZone(job.order.zone)) return {404, "no such zone"};
-  return {evacuated == job.order.evacuate ? 200 : 0, ""};
+  if (!drained && !log_->HasZone(job.order.zone)) return {404, "no such zone"};
+  return {drained == job.order.drain ? 200 : 0, ""};
 }
 
 uint64_t OperatorApi::NewestRollout(const std::string& service) const {
@@ -172,7 +172,7 @@
     Reply(ticket, 503, "too many bytes at once");
     return;
   }
-  job.evacuated = orders_->Evacuated(job.order.zone);
+  job.drained = drained_zones_->IsDrained(job.order.zone);
   job.newest = NewestRollout(job.rollout.service);
   job.deadline = now + patience_;
   uint64_t token = next_token_++;
@@ -264,7 +264,7 @@
     }
     Register::Verdict verdict = Judge(job);
     // Which zones there are may be news; one that is evacuated is known whatever became of it.
-    if (job.kind == Job::Kind::kOrder && !orders_->Evacuated(job.order.zone) &&
+    if (job.kind == Job::Kind::kOrder && !drained_zones_->IsDrained(job.order.zone) &&
         !log_->HasZone(job.order.zone)) {
       verdict = {404, "no such zone"};
     }
@@ -289,9 +289,9 @@
 void OperatorApi::Applied(base::Millis now, uint64_t index) {
   for (auto& [token, job] : jobs_) {
     if (job.kind != Job::Kind::kOrder) continue;
-    bool evacuated = orders_->Evacuated(job.order.zone);
-    if (evacuated != job.evacuated && evacuated != job.order.evacuate) job.opposed = true;
-    job.evacuated = evacuated;
+    bool drained = drained_zones_->IsDrained(job.order.zone);
+    if (drained != job.drained && drained != job.order.drain) job.opposed = true;
+    job.drained = drained;
   }
   if (!in_flight_ || index < in_flight_->index) return;
   uint64_t token = in_flight_->token;
@@ -300,8 +300,8 @@
   auto at = jobs_.find(token);
   if (at != jobs_.end()) {
     const Job& job = at->second;
-    bool in_force =
-        job.kind == Job::Kind::kOrder && orders_->Evacuated(job.order.zone) == job.order.evacuate;
+    bool in_force = job.kind == Job::Kind::kOrder &&
+                    drained_zones_->IsDrained(job.order.zone) == job.order.drain;
     Register::Verdict verdict = in_force ? Register::Verdict{200, ""} : Judge(job);
     uint64_t ticket = job.ticket;
     jobs_.erase(at);
--- a/src/configuration/operator_api.h
+++ b/src/configuration/operator_api.h
@@ -8,9 +8,9 @@
 
 #include "base/clock.h"
 #include "configuration/register.h"
-#include "evacuation/orders.h"
 #include "rollout/rollouts.h"
 #include "wire/http.h"
+#include "zone_drain/drained_zones.h"
 
 namespace elderkeel::configuration {
 
@@ -29,7 +29,7 @@
   virtual bool Read(uint64_t token) = 0;
   // The index of the entry; Applied(index) follows if it is committed.
   virtual std::optional<uint64_t> Propose(const Change& change) = 0;
-  virtual std::optional<uint64_t> Propose(const evacuation::Order& order) = 0;
+  virtual std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) = 0;
   virtual std::optional<uint64_t> Propose(const rollout::Order& order) = 0;
   // Whether there is such a zone.
   virtual bool HasZone(const std::string& zone) const = 0;
@@ -46,21 +46,21 @@
  public:
   using Answer = std::function<void(uint64_t ticket, const wire::Message&)>;
 
-  OperatorApi(Log* log, const Register* state, const evacuation::Orders* orders,
+  OperatorApi(Log* log, const Register* state, const zone_drain::DrainedZones* drained_zones,
               const rollout::Rollouts* rollouts, Answer answer, base::Millis patience = 850)
       : log_(log),
         state_(state),
-        orders_(orders),
+        drained_zones_(drained_zones),
         rollouts_(rollouts),
         answer_(std::move(answer)),
         patience_(patience) {}
 
   static bool Owns(std::string_view path) {
-    return path == "/elderkeel/config" || path.rfind(kEvacuation, 0) == 0 ||
+    return path == "/elderkeel/config" || path.rfind(kZoneDrain, 0) == 0 ||
            path == kRollouts.substr(0, kRollouts.size() - 1) || path.rfind(kRollouts, 0) == 0;
   }
   static constexpr std::string_view kRollouts = "/elderkeel/rollouts/";
-  static constexpr std::string_view kEvacuation = "/elderkeel/evacuation/";
+  static constexpr std::string_view kZoneDrain = "/elderkeel/evacuation/";
 
   void OnRequest(base::Millis now, uint64_t ticket, const wire::Message& request);
   // The caller closed its connection: what was not proposed yet will not be.
@@ -81,9 +81,9 @@
     bool asked = false;  // a majority is asked for confirmation
     bool confirmed = false;
     Change change;
-    evacuation::Order order;
-    bool opposed = false;    // the zone went the other way while this waited
-    bool evacuated = false;  // how the zone was when last seen
+    zone_drain::DrainOrder order;
+    bool opposed = false;  // the zone went the other way while this waited
+    bool drained = false;  // how the zone was when last seen
     rollout::Order rollout;
     uint64_t newest = 0;  // the number of the service's newest roll-out on arrival; 0 for none
     base::Millis deadline = 0;
@@ -106,7 +106,7 @@
 
   Log* log_;
   const Register* state_;
-  const evacuation::Orders* orders_;
+  const zone_drain::DrainedZones* drained_zones_;
   const rollout::Rollouts* rollouts_;
   Answer answer_;
   base::Millis patience_;
--- a/src/controller/control_state.h
+++ b/src/controller/control_state.h
@@ -4,16 +4,16 @@
 #include <string>
 
 #include "configuration/register.h"
-#include "duty/duty.h"
-#include "evacuation/orders.h"
 #include "rollout/rollouts.h"
+#include "singleton/assigner.h"
 #include "wire/frame.h"
+#include "zone_drain/drained_zones.h"
 
 namespace elderkeel::controller {
 
 // What an entry of the log changes.
 struct Command {
-  enum class Kind : uint8_t { kConfiguration, kDuty, kEvacuation, kRollout };
+  enum class Kind : uint8_t { kConfiguration, kCatalogReader, kZoneDrain, kRollout };
   Kind kind = Kind::kConfiguration;
   std::string payload;
   template <class A>
@@ -25,11 +25,11 @@
 // All that the controllers agree on, folded from the log.
 struct ControlState {
   configuration::Register configuration;
-  duty::Duty duty;
-  evacuation::Orders orders;
+  singleton::Assignment catalog_reader;
+  zone_drain::DrainedZones drained_zones;
   rollout::Rollouts rollouts;
 
-  enum class Effect { kNone, kConfiguration, kDuty, kEvacuation, kRollout };
+  enum class Effect { kNone, kConfiguration, kCatalogReader, kZoneDrain, kRollout };
   Effect Apply(const std::string& data) {
     auto command = wire::Decode<Command>(data);
     if (!command) return Effect::kNone;
@@ -37,23 +37,23 @@
       auto change = wire::Decode<configuration::Change>(command->payload);
       return change && configuration.Apply(*change) ? Effect::kConfiguration : Effect::kNone;
     }
-    if (command->kind == Command::Kind::kEvacuation) {
-      auto order = wire::Decode<evacuation::Order>(command->payload);
-      return order && orders.Apply(*order) ? Effect::kEvacuation : Effect::kNone;
+    if (command->kind == Command::Kind::kZoneDrain) {
+      auto order = wire::Decode<zone_drain::DrainOrder>(command->payload);
+      return order && drained_zones.Apply(*order) ? Effect::kZoneDrain : Effect::kNone;
     }
     if (command->kind == Command::Kind::kRollout) {
       auto step = wire::Decode<rollout::Step>(command->payload);
       return step && rollouts.Apply(*step) ? Effect::kRollout : Effect::kNone;
     }
-    auto named = wire::Decode<duty::Duty>(command->payload);
-    if (!named || named->epoch <= duty.epoch) return Effect::kNone;
-    duty = *named;
-    return Effect::kDuty;
+    auto named = wire::Decode<singleton::Assignment>(command->payload);
+    if (!named || named->epoch <= catalog_reader.epoch) return Effect::kNone;
+    catalog_reader = *named;
+    return Effect::kCatalogReader;
   }
 
   template <class A>
   void serialize(A& a) {
-    a(configuration, duty, orders, rollouts);
+    a(configuration, catalog_reader, drained_zones, rollouts);
   }
 
   // From a snapshot; those of before there were roll-outs, or evacuations, end earlier.
@@ -62,13 +62,15 @@
     struct BeforeRollouts {
       ControlState state;
       void serialize(cereal::BinaryInputArchive& a) {
-        a(state.configuration, state.duty, state.orders);
+        a(state.configuration, state.catalog_reader, state.drained_zones);
       }
     };
     if (auto before = wire::Decode<BeforeRollouts>(bytes)) return std::move(before->state);
     struct BeforeEvacuations {
       ControlState state;
-      void serialize(cereal::BinaryInputArchive& a) { a(state.configuration, state.duty); }
+      void serialize(cereal::BinaryInputArchive& a) {
+        a(state.configuration, state.catalog_reader);
+      }
     };
     auto before = wire::Decode<BeforeEvacuations>(bytes);
     if (!before) return std::nullopt;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -30,7 +30,7 @@
       settings_(std::move(settings)),
       settings_path_(std::move(settings_path)),
       assignment_(kHolderPatienceMs),
-      life_(base::RandomSeed() | 1) {}
+      boot_id_(base::RandomSeed() | 1) {}
 
 consensus::Replica::Options Controller::ReplicaOptions(std::vector<base::Address> founders) const {
   consensus::Replica::Options options;
@@ -55,7 +55,8 @@
     member.port = settings_.ControllerPort();
     member.id = FounderId(member.address());
     member.control = founder.ToString();
-    if (const ring::Node* node = peers_->members().Find(member.address())) member.zone = node->zone;
+    if (const membership::Node* node = peers_->members().Find(member.address()))
+      member.zone = node->zone;
     options.founders.push_back(member);
   }
   std::sort(options.founders.begin(), options.founders.end(),
@@ -77,7 +78,8 @@
   if (settings_.bootstrap && seed && !consensus::Replica::HasStore(settings_.data_dir)) {
     std::vector<base::Address> durable, all = settings_.seeds;
     for (const base::Address& address : all) {
-      const ring::Node* node = peers_->members().Find({address.ip, settings_.ControllerPort()});
+      const membership::Node* node =
+          peers_->members().Find({address.ip, settings_.ControllerPort()});
       if (!node) return false;
       if (node->durable) durable.push_back(address);
     }
@@ -91,7 +93,7 @@
 
 bool Controller::HasZone(const std::string& zone) const {
   if (settings_.zones.count(zone)) return true;
-  for (const catalog::Server& server : peers_->disseminator().catalog().servers) {
+  for (const discovery::Server& server : peers_->disseminator().endpoints().servers) {
     if (server.zone == zone) return true;
   }
   return false;
@@ -119,12 +121,12 @@
   hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
     OnMessage(from, kind, payload);
   };
-  hooks.node_changed = [this](const ring::Node& node) {
+  hooks.node_changed = [this](const membership::Node& node) {
     if (replica_) replica_->SetZone(node.ip, node.zone);
-    Note("node." + std::string(ring::StateName(node.state)), node.address().ToString());
+    Note("node." + std::string(membership::StateName(node.state)), node.address().ToString());
   };
-  peers_ =
-      std::make_unique<dissemination::Peers>(loop_, settings_, ring::Program::kController, hooks);
+  peers_ = std::make_unique<dissemination::Peers>(loop_, settings_,
+                                                  membership::Program::kController, hooks);
 
   consensus::Replica::Callbacks log;
   log.send = [this](const base::Address& to, const consensus::Message& message) {
@@ -133,7 +135,7 @@
   log.apply = [this](const consensus::Entry& entry) { Applied(entry); };
   log.all_applied = [this] {
     if (!state_.configuration.empty()) peers_->Commit(state_.configuration);
-    peers_->Commit(state_.orders);
+    peers_->Commit(state_.drained_zones);
     AdoptRollouts(base::SteadyMillis());
   };
   log.install = [this](const consensus::Snapshot& snapshot) {
@@ -142,12 +144,12 @@
       if (auto decoded = ControlState::Read(snapshot.state)) {
         state = std::move(*decoded);
       } else {
-        base::Warn("snapshot.unread", {{"index", snapshot.index}});
+        base::Warn("snapshot.decode_failed", {{"index", snapshot.index}});
       }
     }
     state_ = std::move(state);
     if (!state_.configuration.empty()) peers_->Commit(state_.configuration);
-    peers_->Commit(state_.orders);
+    peers_->Commit(state_.drained_zones);
     AdoptRollouts(base::SteadyMillis());
   };
   log.encode_state = [this] { return wire::Encode(state_); };
@@ -157,7 +159,7 @@
     Note(event, reason);
   };
   operator_ = std::make_unique<configuration::OperatorApi>(
-      this, &state_.configuration, &state_.orders, &state_.rollouts,
+      this, &state_.configuration, &state_.drained_zones, &state_.rollouts,
       [this](uint64_t ticket, const wire::Message& answer) { control_->Answer(ticket, answer); });
   wire::HttpServer::Options server;
   server.limits = [] {
@@ -172,13 +174,13 @@
         OnRequest(ticket, std::move(request));
       });
   control_->OnGone([this](wire::HttpServer::Ticket ticket) { operator_->Gone(ticket); });
-  platform_ = std::make_unique<catalog::Platform>(loop_, settings_.platform);
+  platform_ = std::make_unique<discovery::PlatformClient>(loop_, settings_.platform);
   replica_ = std::make_unique<consensus::Replica>(loop_, std::move(log));
   auto started = peers_->Start();
   if (!started) return started;
   rollout::Watcher::Options watcher;
   watcher.self = peers_->members().self().id;
-  watcher.life = life_;
+  watcher.boot_id = boot_id_;
   watcher.canary_share = rollout::Gate({settings_.canary_share}).CanaryShare();
   watcher_ = std::make_unique<rollout::Watcher>(watcher);
   Begin();
@@ -204,7 +206,7 @@
   }
   auto listening = control_->Listen(settings_.control);
   if (!listening) return listening;
-  watch_ = std::make_unique<readiness::SettingsWatch>(
+  watch_ = std::make_unique<lifecycle::SettingsWatcher>(
       loop_, settings_path_, [this](const base::Settings& taken) {
         base::SetLogLevel(base::ParseLogLevel(taken.log_level, base::LogLevel::kInfo));
         settings_.poll_ms = taken.poll_ms;
@@ -273,7 +275,7 @@
       auto member = wire::Decode<consensus::Member>(payload);
       if (!member) break;
       // A log on disks takes in nobody who has none.
-      const ring::Node* node = peers_->members().Find(member->address());
+      const membership::Node* node = peers_->members().Find(member->address());
       if (!settings_.data_dir.empty() && (!node || !node->durable)) break;
       if (is_leader()) {
         replica_->AddLearner(*member);
@@ -293,10 +295,10 @@
       }
       break;
     case wire::Kind::kResign: {
-      auto m = wire::Decode<duty::Resignation>(payload);
+      auto m = wire::Decode<singleton::Resignation>(payload);
       if (!m || !is_leader()) break;
-      if (auto named = assignment_.Resigned(now, state_.duty, Candidates(now), *m)) {
-        replica_->Propose(MakeCommand(Command::Kind::kDuty, *named));
+      if (auto named = assignment_.OnResignation(now, state_.catalog_reader, Candidates(now), *m)) {
+        replica_->Propose(MakeCommand(Command::Kind::kCatalogReader, *named));
       }
       break;
     }
@@ -347,7 +349,7 @@
   reply.nonce = at->second.nonce;
   if (confirmed) {
     reply.confirmed = true;
-    reply.versions = {state_.configuration.revision(), state_.orders.version(),
+    reply.versions = {state_.configuration.revision(), state_.drained_zones.version(),
                       state_.rollouts.version()};
   }
   peers_->mesh().Send(at->second.from, wire::Kind::kConfirmReply, reply);
@@ -362,22 +364,23 @@
                                              {"term", entry.term}});
       Note("configuration.committed", std::to_string(state_.configuration.revision()));
       break;
-    case ControlState::Effect::kDuty:
-      base::Info(
-          "duty.named",
-          {{"holder", state_.duty.holder}, {"epoch", state_.duty.epoch}, {"here", HoldsDuty()}});
-      Note("duty.named", std::to_string(state_.duty.holder));
+    case ControlState::Effect::kCatalogReader:
+      base::Info("catalog_reader.assigned", {{"owner", state_.catalog_reader.owner},
+                                             {"epoch", state_.catalog_reader.epoch},
+                                             {"self", IsCatalogReader()}});
+      Note("catalog_reader.assigned", std::to_string(state_.catalog_reader.owner));
       assignment_.Clear();
       read_ok_at_ = base::SteadyMillis();
       poll_at_ = 0;
       WatchPlatform(base::SteadyMillis());
       break;
-    case ControlState::Effect::kEvacuation: {
+    case ControlState::Effect::kZoneDrain: {
       std::string zones;
-      for (const std::string& zone : state_.orders.zones())
+      for (const std::string& zone : state_.drained_zones.zones())
         zones += (zones.empty() ? "" : ",") + zone;
-      base::Info("evacuation.changed", {{"version", state_.orders.version()}, {"zones", zones}});
-      Note("evacuation.changed", zones.empty() ? "no zone" : zones);
+      base::Info("zone_drain.changed",
+                 {{"version", state_.drained_zones.version()}, {"zones", zones}});
+      Note("zone_drain.changed", zones.empty() ? "no zone" : zones);
       break;
     }
     case ControlState::Effect::kRollout:
@@ -407,7 +410,7 @@
   operator_->Tick(now);
   SeekMembership(now);
   if (is_leader() && !leaving_) {
-    ReviewDuty(now);
+    ReviewCatalogReader(now);
     ReviewRollouts(now);
   }
   if (watcher_->active()) TellVotes(now);
@@ -440,12 +443,12 @@
 void Controller::Terminate() {
   if (leaving_) return;
   base::Millis now = base::SteadyMillis();
-  base::Info("controller.leaving");
-  if (HoldsDuty()) Resign(now, "leaving");
+  base::Info("controller.stopping");
+  if (IsCatalogReader()) Resign(now, "leaving");
   leaving_ = true;
   if (directory_server_) directory_server_->SetLeaving(true);
   // The duty's entry goes out before leadership does.
-  leave_.Start(loop_, HoldsDuty() && is_leader() ? 150 : 0, [this, now] {
+  leave_.Start(loop_, IsCatalogReader() && is_leader() ? 150 : 0, [this, now] {
     if (replica_->running()) {
       replica_->Leave();
       replica_->TransferLeadership();
@@ -465,7 +468,7 @@
     leave_.Start(loop_, kTickMs, [this, since] { End(since); });
     return;
   }
-  base::Info("controller.left", {{"departed", may_stop}, {"waited_ms", waited}});
+  base::Info("controller.stopped", {{"departed", may_stop}, {"waited_ms", waited}});
   loop_->Stop();
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -5,19 +5,19 @@
 #include "base/journal.h"
 #include "base/loop.h"
 #include "base/settings.h"
-#include "catalog/platform.h"
 #include "configuration/operator_api.h"
 #include "consensus/replica.h"
 #include "controller/control_state.h"
 #include "diagnosis/diagnosis.h"
 #include "directory/directory.h"
+#include "discovery/platform_client.h"
 #include "dissemination/confirm.h"
 #include "dissemination/peers.h"
-#include "duty/duty.h"
-#include "readiness/settings_watch.h"
+#include "lifecycle/settings_watcher.h"
 #include "rollout/conductor.h"
 #include "rollout/gate.h"
 #include "rollout/watcher.h"
+#include "singleton/assigner.h"
 #include "wire/http_server.h"
 
 namespace elderkeel::controller {
@@ -55,8 +55,8 @@
     return replica_->Propose(MakeCommand(Command::Kind::kConfiguration, change));
   }
 
-  std::optional<uint64_t> Propose(const evacuation::Order& order) override {
-    return replica_->Propose(MakeCommand(Command::Kind::kEvacuation, order));
+  std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
+    return replica_->Propose(MakeCommand(Command::Kind::kZoneDrain, order));
   }
   std::optional<uint64_t> Propose(const rollout::Order& order) override;
   bool HasZone(const std::string& zone) const override;
@@ -76,7 +76,7 @@
   void RoleChanged();
   void Tick();
   void SeekMembership(base::Millis now);
-  void ReviewDuty(base::Millis now);
+  void ReviewCatalogReader(base::Millis now);
   // The state of the roll-outs changed, by the log or a snapshot.
   void AdoptRollouts(base::Millis now);
   void ReviewRollouts(base::Millis now);
@@ -87,9 +87,9 @@
   void WatchPlatform(base::Millis now);
   void Vouch(base::Millis now);
   void Resign(base::Millis now, const char* why);
-  std::vector<duty::Candidate> Candidates(base::Millis now) const;
-  bool HoldsDuty() const;  // by the log; this life may still have to claim it
-  void TellLeader(base::Millis now, const duty::Resignation& resignation);
+  std::vector<singleton::Candidate> Candidates(base::Millis now) const;
+  bool IsCatalogReader() const;  // by the log; this life may still have to claim it
+  void TellLeader(base::Millis now, const singleton::Resignation& resignation);
   void Diagnose(wire::HttpServer::Ticket ticket, const base::Result<diagnosis::Question>& question);
   void FinishInquiries(base::Millis now);
   void Ask(wire::HttpServer::Ticket ticket, const diagnosis::Question& question);
@@ -111,9 +111,9 @@
   std::unique_ptr<wire::HttpServer> control_;
   std::unique_ptr<directory::Directory> directory_;
   std::unique_ptr<wire::HttpServer> directory_server_;
-  std::unique_ptr<catalog::Platform> platform_;
-  std::unique_ptr<readiness::SettingsWatch> watch_;
-  duty::Assignment assignment_;
+  std::unique_ptr<discovery::PlatformClient> platform_;
+  std::unique_ptr<lifecycle::SettingsWatcher> watch_;
+  singleton::Assigner assignment_;
   rollout::Conductor conductor_{rollout::Conductor::Options()};
   std::unique_ptr<rollout::Watcher> watcher_;
   std::map<std::string, std::string> rollouts_told_;  // on the log, by service
@@ -141,10 +141,10 @@
   base::Millis resigned_at_ = 0;
   base::Millis claimed_at_ = 0;
   base::Millis versions_at_ = 0;  // when the versions in force were last proposed
-  const uint64_t life_;
+  const uint64_t boot_id_;
   uint64_t watched_epoch_ = 0;
   uint64_t sequence_ = 0;
-  std::vector<catalog::Server> servers_;
+  std::vector<discovery::Server> servers_;
   bool leaving_ = false;
 };
 
--- a/src/controller/controller_rollouts.cc
+++ b/src/controller/controller_rollouts.cc
@@ -18,8 +18,9 @@
 // Controllers that have a part in the log watch, since they hear the leader.
 std::vector<rollout::Candidate> Controller::Watchers() const {
   std::vector<rollout::Candidate> durable, all;
-  auto add = [&](const ring::Node& node) {
-    if (node.program != ring::Program::kController || node.state != ring::State::kAlive) return;
+  auto add = [&](const membership::Node& node) {
+    if (node.program != membership::Program::kController || node.state != membership::State::kAlive)
+      return;
     all.push_back({node.id, node.zone});
     if (node.durable) durable.push_back(all.back());
   };
@@ -61,11 +62,11 @@
     }
     replica_->Propose(MakeCommand(Command::Kind::kRollout, step));
   }
-  const catalog::Catalog& catalog = peers_->disseminator().catalog();
-  if (catalog.epoch == 0 || now < versions_at_) return;
+  const discovery::EndpointSnapshot& endpoints = peers_->disseminator().endpoints();
+  if (endpoints.epoch == 0 || now < versions_at_) return;
   versions_at_ = now + kVersionsEveryMs;
   rollout::Step found;
-  found.found = rollout::FindVersions(state_.rollouts, catalog);
+  found.found = rollout::FindVersions(state_.rollouts, endpoints);
   if (!found.found.empty()) replica_->Propose(MakeCommand(Command::Kind::kRollout, found));
 }
 
@@ -79,7 +80,8 @@
 void Controller::TellVotes(base::Millis now) {
   std::vector<rollout::Watcher::InSight> proxies;
   for (const auto& [id, node] : peers_->members().nodes()) {
-    if (node.program != ring::Program::kProxy || node.state == ring::State::kLeft) continue;
+    if (node.program != membership::Program::kProxy || node.state == membership::State::kLeft)
+      continue;
     proxies.push_back({id, node.reachable()});
   }
   for (const rollout::Vote& vote : watcher_->Tick(now, proxies)) {
--- a/src/controller/controller_status.cc
+++ b/src/controller/controller_status.cc
@@ -34,7 +34,8 @@
   // answer says so.
   for (bool reachable : {true, false}) {
     for (const auto& [id, node] : peers_->members().nodes()) {
-      if (node.program != ring::Program::kProxy || node.state == ring::State::kLeft) continue;
+      if (node.program != membership::Program::kProxy || node.state == membership::State::kLeft)
+        continue;
       if (!question.zone.empty() && node.zone != question.zone) continue;
       if (node.reachable() == reachable) {
         targets.push_back({node.address().ToString(), node.zone});
@@ -214,10 +215,11 @@
   number("revision", state_.configuration.revision());
   w.Key("evacuation");
   w.StartObject();
-  number("version", static_cast<int64_t>(peers_->disseminator().orders().version()));
+  number("version", static_cast<int64_t>(peers_->disseminator().drained_zones().version()));
   w.Key("zones");
   w.StartArray();
-  for (const std::string& zone : peers_->disseminator().orders().zones()) w.String(zone.c_str());
+  for (const std::string& zone : peers_->disseminator().drained_zones().zones())
+    w.String(zone.c_str());
   w.EndArray();
   w.EndObject();
   w.Key("rollouts");
@@ -233,26 +235,26 @@
   w.EndArray();
   w.Key("duty");
   w.StartObject();
-  number("epoch", static_cast<int64_t>(state_.duty.epoch));
+  number("epoch", static_cast<int64_t>(state_.catalog_reader.epoch));
   w.Key("holder");
-  std::string holder;
+  std::string owner;
   std::vector<consensus::Member> voters;
   if (replica_->running()) voters = replica_->raft().voters();
   for (const consensus::Member& v : voters) {
-    if (v.id == state_.duty.holder) holder = v.address().ToString();
+    if (v.id == state_.catalog_reader.owner) owner = v.address().ToString();
   }
-  if (holder.empty()) {
+  if (owner.empty()) {
     w.Null();
   } else {
-    w.String(holder.c_str());
+    w.String(owner.c_str());
   }
   w.EndObject();
   w.Key("catalog");
   w.StartObject();
-  number("epoch", static_cast<int64_t>(peers_->disseminator().catalog().epoch));
-  number("sequence", static_cast<int64_t>(peers_->disseminator().catalog().sequence));
-  number("servers", static_cast<int64_t>(peers_->disseminator().catalog().servers.size()));
-  number("age-ms", peers_->disseminator().catalog_age(now));
+  number("epoch", static_cast<int64_t>(peers_->disseminator().endpoints().epoch));
+  number("sequence", static_cast<int64_t>(peers_->disseminator().endpoints().sequence));
+  number("servers", static_cast<int64_t>(peers_->disseminator().endpoints().servers.size()));
+  number("age-ms", peers_->disseminator().endpoints_read_age(now));
   number("verified-ms", peers_->disseminator().endpoints_age(now));
   w.EndObject();
   w.Key("nodes");
@@ -260,10 +262,10 @@
   for (const auto& [id, node] : peers_->members().nodes()) {
     w.StartObject();
     text("address", node.address().ToString());
-    text("program", node.program == ring::Program::kProxy ? "proxy" : "controller");
+    text("program", node.program == membership::Program::kProxy ? "proxy" : "controller");
     text("zone", node.zone);
-    text("state", ring::StateName(node.state));
-    if (node.program == ring::Program::kProxy) {
+    text("state", membership::StateName(node.state));
+    if (node.program == membership::Program::kProxy) {
       const diagnosis::Reply* reply = nodes.Of(node.address().ToString());
       // What a silent node serves by is not known, whatever was heard before.
       std::string line = reply && !reply->lines.empty() ? reply->lines[0] : "";
--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -70,9 +70,10 @@
 std::set<std::string> Directory::DarkRegions() const {
   std::set<std::string> heard, unheard;
   for (const auto& [id, node] : members_->nodes()) {
-    if (node.program != ring::Program::kController || node.state == ring::State::kLeft) continue;
+    if (node.program != membership::Program::kController || node.state == membership::State::kLeft)
+      continue;
     const std::string& region = members_->RegionOf(node.zone);
-    (node.state == ring::State::kAlive ? heard : unheard).insert(region);
+    (node.state == membership::State::kAlive ? heard : unheard).insert(region);
   }
   for (const std::string& region : heard) unheard.erase(region);
   return unheard;
@@ -85,17 +86,17 @@
   std::string region = members_->RegionOf(resolution.zone);
   if (region.empty()) region = resolution.region;
   struct Place {
-    std::vector<const ring::Node*> good, doubtful, lost;
+    std::vector<const membership::Node*> good, doubtful, lost;
     size_t known = 0;
   } places[3];
   for (const auto& [id, node] : members_->nodes()) {
-    if (node.program != ring::Program::kProxy || node.front == 0) continue;
-    if (node.state == ring::State::kLeft) continue;
+    if (node.program != membership::Program::kProxy || node.front == 0) continue;
+    if (node.state == membership::State::kLeft) continue;
     Place& place = places[node.zone == resolution.zone              ? 0
                           : members_->RegionOf(node.zone) == region ? 1
                                                                     : 2];
     ++place.known;
-    if (node.state == ring::State::kAlive && node.ready &&
+    if (node.state == membership::State::kAlive && node.ready &&
         !dark.count(members_->RegionOf(node.zone))) {
       place.good.push_back(&node);
     } else if (node.reachable()) {
@@ -105,8 +106,8 @@
     }
   }
   Choice choice;
-  std::vector<const ring::Node*>& chosen = choice.nodes;
-  auto take = [&](std::vector<const ring::Node*>* from, size_t most) {
+  std::vector<const membership::Node*>& chosen = choice.nodes;
+  auto take = [&](std::vector<const membership::Node*>* from, size_t most) {
     for (size_t i = 0; i < most && !from->empty() && chosen.size() < options_.most; ++i) {
       size_t pick = random_.Below(from->size());
       chosen.push_back((*from)[pick]);
@@ -163,7 +164,7 @@
   w.StartObject();
   w.Key("address-list");
   w.StartArray();
-  for (const ring::Node* node : choice.nodes) {
+  for (const membership::Node* node : choice.nodes) {
     w.String(base::Address{node->ip, node->front}.ToString().c_str());
   }
   w.EndArray();
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -7,7 +7,7 @@
 
 #include "base/clock.h"
 #include "base/random.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "wire/http.h"
 
 namespace elderkeel::directory {
@@ -34,15 +34,16 @@
     base::Millis patience = 1000;  // a directory just started waits so long to hear of its zone
   };
 
-  Directory(Options options, const ring::Membership* members, uint64_t seed, base::Millis now)
+  Directory(Options options, const membership::Membership* members, uint64_t seed, base::Millis now)
       : options_(options), members_(members), random_(seed), started_(now) {}
 
   static constexpr std::string_view kPath = "/elderkeel/resolution";
   wire::Message Answer(base::Millis now, const wire::Message& request);
 
   struct Choice {
-    std::vector<const ring::Node*> nodes;  // empty only if no proxy is known, or too little as yet
-    bool elsewhere = false;                // the client's region can't serve it
+    std::vector<const membership::Node*>
+        nodes;               // empty only if no proxy is known, or too little as yet
+    bool elsewhere = false;  // the client's region can't serve it
   };
   Choice Choose(base::Millis now, const Resolution& resolution);
 
@@ -51,7 +52,7 @@
   std::set<std::string> DarkRegions() const;
 
   Options options_;
-  const ring::Membership* members_;
+  const membership::Membership* members_;
   base::Random random_;
   base::Millis started_;
 };
--- a/src/catalog/catalog.cc
+++ b/src/discovery/endpoints.cc
@@ -1,4 +1,4 @@
-#include "catalog/catalog.h"
+#include "discovery/endpoints.h"
 
 #include <rapidjson/document.h>
 
@@ -6,7 +6,7 @@
 
 #include "base/settings.h"
 
-namespace elderkeel::catalog {
+namespace elderkeel::discovery {
 namespace {
 
 constexpr int kMaxPages = 1000;
@@ -112,14 +112,14 @@
   return ids;
 }
 
-std::string Reading::Start() {
+std::string EndpointListReader::Start() {
   active_ = true;
   pages_ = 0;
   servers_.clear();
   return "/servers";
 }
 
-base::Result<std::string> Reading::Take(int status, std::string_view body) {
+base::Result<std::string> EndpointListReader::Take(int status, std::string_view body) {
   if (status != 200) {
     active_ = false;
     return base::Failure(base::ErrorCode::kUnavailable, "catalog", "platform",
@@ -146,7 +146,7 @@
   return "/servers?page-token=" + Escape(page->next);
 }
 
-std::vector<Server> Reading::Finish(base::Millis now) {
+std::vector<Server> EndpointListReader::Finish(base::Millis now) {
   active_ = false;
   for (Server& server : servers_) server.Anchor(now);
   return std::move(servers_);
@@ -155,7 +155,7 @@
 // A list may change while it is read, and a server then stand on two pages. The later word counts,
 // but one that is draining anywhere is draining: it does not come back from that. The same id with
 // another service or address is no list.
-std::string Reading::Merge() {
+std::string EndpointListReader::Merge() {
   std::stable_sort(servers_.begin(), servers_.end(),
                    [](const Server& a, const Server& b) { return a.id < b.id; });
   std::vector<Server> merged;
@@ -175,4 +175,4 @@
   return "";
 }
 
-}  // namespace elderkeel::catalog
+}  // namespace elderkeel::discovery
--- a/src/catalog/catalog.h
+++ b/src/discovery/endpoints.h
@@ -10,7 +10,7 @@
 #include "base/error.h"
 #include "wire/frame.h"
 
-namespace elderkeel::catalog {
+namespace elderkeel::discovery {
 
 // A server as the platform's list shows it.
 struct Server {
@@ -43,7 +43,7 @@
 
 // The list as one holder of the duty read it. `epoch` rises with each holder, `sequence` with each
 // change that a holder sees.
-struct Catalog {
+struct EndpointSnapshot {
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   std::vector<Server> servers;  // by id
@@ -66,7 +66,7 @@
 
 // Reads the list page by page. Pure: the caller does the calls. A list that could not be read whole
 // is no list.
-class Reading {
+class EndpointListReader {
  public:
   // The target of the first call, or of the next; empty when the reading is complete.
   std::string Start();
@@ -85,4 +85,4 @@
   std::vector<Server> servers_;
 };
 
-}  // namespace elderkeel::catalog
+}  // namespace elderkeel::discovery
--- a/src/catalog/platform.cc
+++ b/src/discovery/platform_client.cc
@@ -1,17 +1,17 @@
-#include "catalog/platform.h"
+#include "discovery/platform_client.h"
 
-namespace elderkeel::catalog {
+namespace elderkeel::discovery {
 namespace {
 constexpr base::Millis kTimeoutMs = 1000;
 }
 
-void Platform::Read(Done done) {
-  if (reading_.active()) return;
+void PlatformClient::Read(Done done) {
+  if (list_reader_.active()) return;
   done_ = std::move(done);
-  Call(reading_.Start());
+  Call(list_reader_.Start());
 }
 
-void Platform::Call(const std::string& target) {
+void PlatformClient::Call(const std::string& target) {
   ++calls_;
   if (!connection_ || !connection_->Usable()) {
     wire::Limits limits;
@@ -23,7 +23,7 @@
   auto fail = [this](base::Error error) {
     ++current_;  // what a connection that was given up still says belongs to no reading
     timer_.Cancel();
-    reading_.Abort();
+    list_reader_.Abort();
     if (connection_) {
       std::shared_ptr<wire::HttpConnection> last(std::move(connection_));
       loop_->Defer([last] {});
@@ -43,14 +43,14 @@
                                          address_.ToString(), outcome.reason});
                         return;
                       }
-                      auto next = reading_.Take(outcome.answer.status, outcome.answer.body);
+                      auto next = list_reader_.Take(outcome.answer.status, outcome.answer.body);
                       if (!next) {
                         fail(next.error());
                         return;
                       }
                       if (next->empty()) {
                         Done done = std::move(done_);
-                        done(reading_.Finish(base::SteadyMillis()));
+                        done(list_reader_.Finish(base::SteadyMillis()));
                         return;
                       }
                       // Not from inside the connection's own callback.
@@ -60,4 +60,4 @@
                     });
 }
 
-}  // namespace elderkeel::catalog
+}  // namespace elderkeel::discovery
--- a/src/catalog/platform.h
+++ b/src/discovery/platform_client.h
@@ -4,19 +4,19 @@
 #include <memory>
 
 #include "base/loop.h"
-#include "catalog/catalog.h"
+#include "discovery/endpoints.h"
 #include "wire/http_client.h"
 
-namespace elderkeel::catalog {
+namespace elderkeel::discovery {
 
 // Reads the platform's list over HTTP, one reading at a time.
-class Platform {
+class PlatformClient {
  public:
   using Done = std::function<void(base::Result<std::vector<Server>>)>;
 
-  Platform(base::Loop* loop, const base::Address& address) : loop_(loop), address_(address) {}
+  PlatformClient(base::Loop* loop, const base::Address& address) : loop_(loop), address_(address) {}
 
-  bool busy() const { return reading_.active(); }
+  bool busy() const { return list_reader_.active(); }
   void Read(Done done);
   // Calls made so far; each one is counted against a rate that all nodes share.
   uint64_t calls() const { return calls_; }
@@ -26,7 +26,7 @@
 
   base::Loop* loop_;
   base::Address address_;
-  Reading reading_;
+  EndpointListReader list_reader_;
   Done done_;
   std::unique_ptr<wire::HttpConnection> connection_;
   base::Timer timer_;
@@ -34,4 +34,4 @@
   uint64_t current_ = 0;  // the call whose outcome counts
 };
 
-}  // namespace elderkeel::catalog
+}  // namespace elderkeel::discovery
--- a/src/dissemination/confirm.cc
+++ b/src/dissemination/confirm.cc
@@ -23,7 +23,7 @@
   }
   // Answers overtake each other; what one told of is never unsaid by another.
   wanted_.revision = std::max(wanted_.revision, reply.versions.revision);
-  wanted_.evacuation = std::max(wanted_.evacuation, reply.versions.evacuation);
+  wanted_.zone_drains = std::max(wanted_.zone_drains, reply.versions.zone_drains);
   wanted_.rollouts = std::max(wanted_.rollouts, reply.versions.rollouts);
   known_at_ = std::max(known_at_, asked->asked);
   return std::nullopt;
@@ -31,7 +31,7 @@
 
 bool Confirmation::Holds(base::Millis now, const Versions& held) const {
   return known_at_ >= 0 && now - known_at_ <= patience_ && wanted_.revision > 0 &&
-         held.revision >= wanted_.revision && held.evacuation >= wanted_.evacuation &&
+         held.revision >= wanted_.revision && held.zone_drains >= wanted_.zone_drains &&
          held.rollouts >= wanted_.rollouts;
 }
 
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -30,7 +30,7 @@
 }
 }  // namespace
 
-Disseminator::Disseminator(Options options, const ring::Membership* members, base::Millis now)
+Disseminator::Disseminator(Options options, const membership::Membership* members, base::Millis now)
     : options_(std::move(options)),
       members_(members),
       random_(options_.seed),
@@ -44,33 +44,33 @@
   return taken;
 }
 
-Versions Disseminator::Held() const {
-  return {document_rejected_ ? 0 : revision_, orders_.version(), rollouts_.version()};
+Versions Disseminator::HeldVersions() const {
+  return {document_rejected_ ? 0 : revision_, drained_zones_.version(), rollouts_.version()};
 }
 
 Digest Disseminator::OwnDigest(base::Millis now) const {
-  Versions held = Held();
+  Versions held = HeldVersions();
   Digest digest;
   digest.revision = held.revision;
-  digest.epoch = catalog_.epoch;
-  digest.sequence = catalog_.sequence;
-  digest.evacuation = held.evacuation;
+  digest.epoch = endpoints_.epoch;
+  digest.sequence = endpoints_.sequence;
+  digest.zone_drains = held.zone_drains;
   digest.rollouts = held.rollouts;
-  digest.catalog_age_ms = Narrow(catalog_age(now));
+  digest.endpoints_read_age_ms = Narrow(endpoints_read_age(now));
   return digest;
 }
 
 base::Millis Disseminator::DueAt() const {
   return std::min({digest_at_, log_schedule_.DueAt(KnownAt(log_)),
-                   endpoints_schedule_.DueAt(KnownAt(endpoints_))});
+                   endpoints_schedule_.DueAt(KnownAt(endpoints_freshness_))});
 }
 
 void Disseminator::Tick(base::Millis now) {
   RequestSync(now);
   if (now < digest_at_) return;
   digest_at_ = now + options_.digest_every;
-  std::vector<const ring::Node*> near, all = members_->Others();
-  for (const ring::Node* node : all) {
+  std::vector<const membership::Node*> near, all = members_->ReachableOthers();
+  for (const membership::Node* node : all) {
     if (node->zone == members_->self().zone) near.push_back(node);
   }
   bool far = near.empty() || random_.Below(static_cast<uint64_t>(options_.in_zone_share)) == 0;
@@ -81,11 +81,11 @@
   out_.digests.push_back({from[random_.Below(from.size())]->address(), digest});
 }
 
-std::vector<const ring::Node*> Disseminator::ZonePeers() const {
-  std::vector<const ring::Node*> neighbours;
-  const ring::Node& self = members_->self();
+std::vector<const membership::Node*> Disseminator::ZonePeers() const {
+  std::vector<const membership::Node*> neighbours;
+  const membership::Node& self = members_->self();
   for (const auto& [id, node] : members_->nodes()) {
-    if (node.zone == self.zone && id != self.id && node.state != ring::State::kLeft) {
+    if (node.zone == self.zone && id != self.id && node.state != membership::State::kLeft) {
       neighbours.push_back(&node);
     }
   }
@@ -114,26 +114,27 @@
     }
   };
   ask(&log_schedule_, KnownAt(log_), leader_);
-  ask(&endpoints_schedule_, KnownAt(endpoints_), reader_);
+  ask(&endpoints_schedule_, KnownAt(endpoints_freshness_), reader_);
   for (const auto& [to, reliable] : targets) {
-    out_.sync_requests.push_back({to, {now, Held(), HeldEndpoints(), exact_, reliable}});
+    out_.sync_requests.push_back(
+        {to, {now, HeldVersions(), HeldEndpointVersion(), exact_, reliable}});
   }
 }
 
 bool Disseminator::LacksEndpoints(const PeerState& peer) const {
-  return HeldEndpoints().Lacks(peer.endpoints) || (peer.has_catalog && !has_catalog());
+  return HeldEndpointVersion().Lacks(peer.endpoints) || (peer.has_endpoints && !has_endpoints());
 }
 
 bool Disseminator::Lacks(const PeerState& peer) const {
-  return !Held().Covers(peer.versions) || LacksEndpoints(peer);
+  return !HeldVersions().Covers(peer.versions) || LacksEndpoints(peer);
 }
 
-size_t Disseminator::EndpointsBytes() const { return catalog_.servers.size() * kServerBytes; }
+size_t Disseminator::EndpointsBytes() const { return endpoints_.servers.size() * kServerBytes; }
 
 // Whoever has this very list knows when the platform was last read for it.
 void Disseminator::NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at) {
-  bool same = endpoints.epoch == catalog_.epoch && endpoints.sequence == catalog_.sequence;
-  if (same && has_catalog()) read_at_ = std::max(read_at_, read_at);
+  bool same = endpoints.epoch == endpoints_.epoch && endpoints.sequence == endpoints_.sequence;
+  if (same && has_endpoints()) read_at_ = std::max(read_at_, read_at);
 }
 
 // Bytes between zones are dear, and what is large comes to a zone once: the own zone, if a
@@ -142,13 +143,13 @@
                           const PeerState& peer) {
   if (lacking_since_ < 0) lacking_since_ = now;
   size_t bytes = 0;
-  if (reply.versions.revision > Held().revision) bytes += reply.document_bytes;
+  if (reply.versions.revision > HeldVersions().revision) bytes += reply.document_bytes;
   if (LacksEndpoints(peer)) bytes += reply.endpoints_bytes;
   base::Millis patience = kNearFirst + TransferTime(bytes);
   if (!InOtherZone(from) || now - lacking_since_ >= patience) return true;
-  std::vector<const ring::Node*> near = ZonePeers();
-  return std::none_of(near.begin(), near.end(), [](const ring::Node* node) {
-    return node->program == ring::Program::kController && node->reachable();
+  std::vector<const membership::Node*> near = ZonePeers();
+  return std::none_of(near.begin(), near.end(), [](const membership::Node* node) {
+    return node->program == membership::Program::kController && node->reachable();
   });
 }
 
@@ -162,23 +163,24 @@
 
 void Disseminator::RequestMissing(base::Millis now, const base::Address& from,
                                   const PeerState& peer) {
-  Versions held = Held();
+  Versions held = HeldVersions();
   size_t document = std::max(document_bytes_, document_.SizeAtMost());
-  bool config = peer.versions.revision > held.revision && MayFetch(now, &fetch_config_, document);
-  bool catalog = LacksEndpoints(peer) && MayFetch(now, &fetch_catalog_, EndpointsBytes());
+  bool config =
+      peer.versions.revision > held.revision && MayFetch(now, &fetch_configuration_, document);
+  bool endpoints = LacksEndpoints(peer) && MayFetch(now, &fetch_endpoints_, EndpointsBytes());
   bool lacks_other =
-      peer.versions.evacuation > held.evacuation || peer.versions.rollouts > held.rollouts;
+      peer.versions.zone_drains > held.zone_drains || peer.versions.rollouts > held.rollouts;
   bool other = lacks_other && MayFetch(now, &fetch_other_, 0);
-  if (!config && !catalog && !other) return;
+  if (!config && !endpoints && !other) return;
   // What is not wanted now is named as held in a version that nobody is beyond.
   PullRequest pull{INT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, exact_};
   if (config) pull.revision = held.revision;
-  if (catalog) {
-    pull.epoch = catalog_.epoch;
-    pull.sequence = catalog_.sequence;
+  if (endpoints) {
+    pull.epoch = endpoints_.epoch;
+    pull.sequence = endpoints_.sequence;
   }
   if (other) {
-    pull.evacuation = held.evacuation;
+    pull.zone_drains = held.zone_drains;
     pull.rollouts = held.rollouts;
   }
   out_.pulls.push_back({from, pull});
@@ -189,23 +191,24 @@
   bool all = true;
   // Before the list: a node that knows of servers must know which of them it may send to.
   if (peer.versions.rollouts < rollouts_.version()) out_.rollouts.push_back({to, {rollouts_}});
-  if (peer.versions.revision < Held().revision) {
-    all &= SendConfig(now, to, peer.versions.revision, false);
+  if (peer.versions.revision < HeldVersions().revision) {
+    all &= SendConfiguration(now, to, peer.versions.revision, false);
   }
-  if (has_catalog() && catalog_.NewerThan(peer.endpoints.epoch, peer.endpoints.sequence)) {
-    all &= SendCatalog(now, to, peer.endpoints.epoch, peer.endpoints.sequence, exact, false);
+  if (has_endpoints() && endpoints_.NewerThan(peer.endpoints.epoch, peer.endpoints.sequence)) {
+    all &= SendEndpoints(now, to, peer.endpoints.epoch, peer.endpoints.sequence, exact, false);
   }
-  if (peer.versions.evacuation < orders_.version()) out_.evacuations.push_back({to, {orders_}});
+  if (peer.versions.zone_drains < drained_zones_.version())
+    out_.zone_drains.push_back({to, {drained_zones_}});
   return all;
 }
 
 void Disseminator::OnDigest(base::Millis now, const base::Address& from, const Digest& digest) {
-  if (digest.catalog_age_ms >= 0) {
-    NoteReadAt({digest.epoch, digest.sequence}, now - digest.catalog_age_ms);
+  if (digest.endpoints_read_age_ms >= 0) {
+    NoteReadAt({digest.epoch, digest.sequence}, now - digest.endpoints_read_age_ms);
   }
-  PeerState peer{{digest.revision, digest.evacuation, digest.rollouts},
+  PeerState peer{{digest.revision, digest.zone_drains, digest.rollouts},
                  {digest.epoch, digest.sequence},
-                 digest.catalog_age_ms >= 0};
+                 digest.endpoints_read_age_ms >= 0};
   bool sent_all = SendMissing(now, from, peer, true);
   RequestMissing(now, from, peer);
   // What is too large to be sent unasked is asked for by a peer that sees this node's digest.
@@ -224,11 +227,11 @@
   bool sent = out_.updates() != queued;
   SyncReply reply;
   reply.asked_at = request.asked_at;
-  reply.versions = Held();
+  reply.versions = HeldVersions();
   reply.age_ms = Narrow(log_.age(now));
-  reply.endpoints = HeldEndpoints();
-  reply.endpoints_age_ms = Narrow(endpoints_.age(now));
-  reply.platform_age_ms = Narrow(catalog_age(now));
+  reply.endpoints = HeldEndpointVersion();
+  reply.endpoints_age_ms = Narrow(endpoints_freshness_.age(now));
+  reply.platform_age_ms = Narrow(endpoints_read_age(now));
   reply.endpoints_bytes = static_cast<uint32_t>(EndpointsBytes());
   reply.document_bytes =
       static_cast<uint32_t>(std::min<size_t>(document_.SizeAtMost(), UINT32_MAX));
@@ -247,23 +250,26 @@
   }
   if (reply.asked_at > now || now - reply.asked_at > kReplyPatience) return;
   if (reply.age_ms >= 0) {
-    log_.Claim(reply.asked_at - reply.age_ms, reply.versions, Held());
+    log_.Claim(reply.asked_at - reply.age_ms, reply.versions, HeldVersions());
     log_schedule_.Answered(now, from, KnownAt(log_));
   }
   // One that names an earlier reader than is known here has missed that it was replaced.
-  if (reply.endpoints_age_ms >= 0 && reply.endpoints.epoch >= catalog_.epoch) {
-    endpoints_.Claim(reply.asked_at - reply.endpoints_age_ms, reply.endpoints, HeldEndpoints());
-    endpoints_schedule_.Answered(now, from, KnownAt(endpoints_));
+  if (reply.endpoints_age_ms >= 0 && reply.endpoints.epoch >= endpoints_.epoch) {
+    endpoints_freshness_.Claim(reply.asked_at - reply.endpoints_age_ms, reply.endpoints,
+                               HeldEndpointVersion());
+    endpoints_schedule_.Answered(now, from, KnownAt(endpoints_freshness_));
   }
   if (reply.platform_age_ms >= 0) {
     NoteReadAt(reply.endpoints, reply.asked_at - reply.platform_age_ms);
   }
 }
 
-void Disseminator::VouchForLog(base::Millis as_of) { log_.Claim(as_of, Held(), Held()); }
+void Disseminator::VouchForLog(base::Millis as_of) {
+  log_.Claim(as_of, HeldVersions(), HeldVersions());
+}
 
 void Disseminator::VouchForEndpoints(base::Millis now) {
-  endpoints_.Claim(now, HeldEndpoints(), HeldEndpoints());
+  endpoints_freshness_.Claim(now, HeldEndpointVersion(), HeldEndpointVersion());
 }
 
 void Disseminator::SetVouchers(std::optional<base::Address> leader,
@@ -272,16 +278,18 @@
   reader_ = std::move(reader);
 }
 
-void Disseminator::OnPull(base::Millis now, const base::Address& from, const PullRequest& pull) {
+void Disseminator::OnPullRequest(base::Millis now, const base::Address& from,
+                                 const PullRequest& pull) {
   if (rollouts_.version() > pull.rollouts) out_.rollouts.push_back({from, {rollouts_}});
-  if (Held().revision > pull.revision) SendConfig(now, from, pull.revision, true);
-  bool truer =
-      exact_ && !pull.exact && pull.epoch == catalog_.epoch && pull.sequence == catalog_.sequence;
-  if (has_catalog() &&
-      (catalog_.NewerThan(pull.epoch, pull.sequence) || truer || pull.epoch == 0)) {
-    SendCatalog(now, from, pull.epoch, pull.sequence, pull.exact, true);
+  if (HeldVersions().revision > pull.revision) SendConfiguration(now, from, pull.revision, true);
+  bool truer = exact_ && !pull.exact && pull.epoch == endpoints_.epoch &&
+               pull.sequence == endpoints_.sequence;
+  if (has_endpoints() &&
+      (endpoints_.NewerThan(pull.epoch, pull.sequence) || truer || pull.epoch == 0)) {
+    SendEndpoints(now, from, pull.epoch, pull.sequence, pull.exact, true);
   }
-  if (orders_.version() > pull.evacuation) out_.evacuations.push_back({from, {orders_}});
+  if (drained_zones_.version() > pull.zone_drains)
+    out_.zone_drains.push_back({from, {drained_zones_}});
 }
 
 bool Disseminator::RecentlySent(base::Millis now, const base::Address& to, uint64_t what) {
@@ -292,15 +300,15 @@
 }
 
 bool Disseminator::InOtherZone(const base::Address& from) const {
-  const ring::Node* node = members_->Find(from);
+  const membership::Node* node = members_->Find(from);
   return node && node->zone != members_->self().zone;
 }
 
-std::vector<const ring::Node*> Disseminator::ForwardTargets(bool origin, size_t near_count) {
+std::vector<const membership::Node*> Disseminator::ForwardTargets(bool origin, size_t near_count) {
   const std::string& zone = members_->self().zone;
-  std::vector<const ring::Node*> near;
-  std::map<std::string, std::vector<const ring::Node*>> far, far_core;
-  for (const ring::Node* node : members_->Others()) {
+  std::vector<const membership::Node*> near;
+  std::map<std::string, std::vector<const membership::Node*>> far, far_core;
+  for (const membership::Node* node : members_->ReachableOthers()) {
     if (node->zone == zone) {
       near.push_back(node);
     } else if (origin) {
@@ -308,7 +316,7 @@
       if (node->durable) far_core[node->zone].push_back(node);
     }
   }
-  std::vector<const ring::Node*> audience;
+  std::vector<const membership::Node*> audience;
   while (!near.empty() && audience.size() < near_count) {
     size_t pick = random_.Below(near.size());
     audience.push_back(near[pick]);
@@ -324,22 +332,22 @@
 }
 
 void Disseminator::Forward(base::Millis now, Topic topic, const base::Address* from) {
-  bool origin = from == nullptr && topic == Topic::kCatalog && catalog_.epoch > 0;
+  bool origin = from == nullptr && topic == Topic::kEndpoints && endpoints_.epoch > 0;
   bool first_here = from == nullptr || InOtherZone(*from);
   Digest announce = OwnDigest(now);
-  for (const ring::Node* node : ForwardTargets(origin, first_here ? kFanOut : kRelayFanOut)) {
+  for (const membership::Node* node : ForwardTargets(origin, first_here ? kFanOut : kRelayFanOut)) {
     if (from && node->address() == *from) continue;
     bool sent = true;
     switch (topic) {
       case Topic::kConfiguration:
-        sent = SendConfig(now, node->address(), config_base(), false);
+        sent = SendConfiguration(now, node->address(), configuration_base(), false);
         break;
-      case Topic::kCatalog:
-        sent = !history_.empty() && SendCatalog(now, node->address(), history_.back().epoch,
-                                                history_.back().sequence, true, false);
+      case Topic::kEndpoints:
+        sent = !history_.empty() && SendEndpoints(now, node->address(), history_.back().epoch,
+                                                  history_.back().sequence, true, false);
         break;
-      case Topic::kEvacuation:
-        out_.evacuations.push_back({node->address(), {orders_}});
+      case Topic::kZoneDrain:
+        out_.zone_drains.push_back({node->address(), {drained_zones_}});
         break;
       case Topic::kRollouts:
         out_.rollouts.push_back({node->address(), {rollouts_}});
@@ -349,15 +357,15 @@
   }
 }
 
-void Disseminator::OnHeard(base::Millis now, const ring::Node& node) {
+void Disseminator::OnNodeReachable(base::Millis now, const membership::Node& node) {
   // By those that kept a hint; what it missed it then asks for, once.
   if (hints_.erase(node.id) == 0) return;
   out_.digests.push_back({node.address(), OwnDigest(now)});
 }
 
-void Disseminator::OnLost(const ring::Node& node) {
-  if (node.state == ring::State::kLeft) return;
-  for (const ring::Node* watcher : members_->WatchersOf(node.id)) {
+void Disseminator::OnNodeUnreachable(const membership::Node& node) {
+  if (node.state == membership::State::kLeft) return;
+  for (const membership::Node* watcher : members_->MonitorsOf(node.id)) {
     if (watcher->id == members_->self().id) hints_.insert(node.id);
   }
 }
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -10,16 +10,16 @@
 
 #include "base/clock.h"
 #include "base/random.h"
-#include "catalog/catalog.h"
 #include "configuration/register.h"
+#include "discovery/endpoints.h"
 #include "dissemination/freshness.h"
 #include "dissemination/messages.h"
 #include "dissemination/patch_history.h"
 #include "dissemination/sync.h"
 #include "dissemination/versions.h"
-#include "evacuation/orders.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "rollout/rollouts.h"
+#include "zone_drain/drained_zones.h"
 
 namespace elderkeel::dissemination {
 
@@ -37,7 +37,7 @@
 // Within one life nothing older replaces anything newer.
 class Disseminator {
  public:
-  enum class Topic : uint8_t { kConfiguration, kCatalog, kEvacuation, kRollouts };
+  enum class Topic : uint8_t { kConfiguration, kEndpoints, kZoneDrain, kRollouts };
   struct Options {
     uint64_t seed = 1;
     base::Millis digest_every = 400;
@@ -51,9 +51,9 @@
     std::vector<std::pair<base::Address, Digest>> digests;
     std::vector<std::pair<base::Address, PullRequest>> pulls;
     std::vector<std::pair<base::Address, SyncRequest>> sync_requests;
-    std::vector<std::pair<base::Address, ConfigurationUpdate>> configs;
-    std::vector<std::pair<base::Address, EndpointUpdate>> catalogs;
-    std::vector<std::pair<base::Address, ZoneDrainUpdate>> evacuations;
+    std::vector<std::pair<base::Address, ConfigurationUpdate>> configuration_updates;
+    std::vector<std::pair<base::Address, EndpointUpdate>> endpoint_updates;
+    std::vector<std::pair<base::Address, ZoneDrainUpdate>> zone_drains;
     std::vector<std::pair<base::Address, RolloutUpdate>> rollouts;
     // After all else that goes to the same peer: over a connection if `follows` says so.
     struct Reply {
@@ -62,55 +62,58 @@
       bool follows;
     };
     std::vector<Reply> sync_replies;
-    bool config_adopted = false;
-    bool catalog_adopted = false;
-    bool evacuation_adopted = false;
+    bool configuration_adopted = false;
+    bool endpoints_adopted = false;
+    bool zone_drains_adopted = false;
     bool rollouts_adopted = false;
     // Messages that carry state.
     size_t updates() const {
-      return configs.size() + catalogs.size() + evacuations.size() + rollouts.size();
+      return configuration_updates.size() + endpoint_updates.size() + zone_drains.size() +
+             rollouts.size();
     }
     bool empty() const {
       return digests.empty() && pulls.empty() && sync_requests.empty() && sync_replies.empty() &&
-             updates() == 0 && !config_adopted && !catalog_adopted && !evacuation_adopted &&
-             !rollouts_adopted;
+             updates() == 0 && !configuration_adopted && !endpoints_adopted &&
+             !zone_drains_adopted && !rollouts_adopted;
     }
   };
 
-  Disseminator(Options options, const ring::Membership* members, base::Millis now);
+  Disseminator(Options options, const membership::Membership* members, base::Millis now);
 
   void Tick(base::Millis now);
   // When the next tick has something to do.
   base::Millis DueAt() const;
   void OnDigest(base::Millis now, const base::Address& from, const Digest& digest);
-  void OnPull(base::Millis now, const base::Address& from, const PullRequest& pull);
+  void OnPullRequest(base::Millis now, const base::Address& from, const PullRequest& pull);
   void OnSyncRequest(base::Millis now, const base::Address& from, const SyncRequest& request);
   void OnSyncReply(base::Millis now, const base::Address& from, const SyncReply& reply);
   // Something that was to go there could not be sent: it may be sent again at once.
   void OnSendFailed(const base::Address& to) { sent_.erase(to); }
-  void OnConfig(base::Millis now, const base::Address& from, const ConfigurationUpdate& update);
-  void OnCatalog(base::Millis now, const base::Address& from, const EndpointUpdate& update);
-  void OnEvacuation(base::Millis now, const base::Address& from, const ZoneDrainUpdate& update);
-  void OnRollouts(base::Millis now, const base::Address& from, const RolloutUpdate& update);
+  void OnConfigurationUpdate(base::Millis now, const base::Address& from,
+                             const ConfigurationUpdate& update);
+  void OnEndpointUpdate(base::Millis now, const base::Address& from, const EndpointUpdate& update);
+  void OnZoneDrainUpdate(base::Millis now, const base::Address& from,
+                         const ZoneDrainUpdate& update);
+  void OnRolloutUpdate(base::Millis now, const base::Address& from, const RolloutUpdate& update);
   // A node that was heard has this version of the roll-outs; if that is newer, it is asked for it.
   void OnRolloutVersion(base::Millis now, const base::Address& from, uint64_t version);
   // A node was heard for the first time, or again.
-  void OnHeard(base::Millis now, const ring::Node& node);
-  void OnLost(const ring::Node& node);
+  void OnNodeReachable(base::Millis now, const membership::Node& node);
+  void OnNodeUnreachable(const membership::Node& node);
 
   // From the log, committed; only controllers call this.
   void Commit(base::Millis now, const configuration::Register& state);
-  void Commit(const evacuation::Orders& orders);
+  void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
   // From this node's own reading of the platform, as the holder of the duty.
   // Epoch 0 is a reading that no holder vouches for; it stays in the zone.
   // False if an update of a later holder is here already: this one was replaced and does not know
   // it yet.
-  bool Publish(base::Millis now, catalog::Catalog catalog);
+  bool Publish(base::Millis now, discovery::EndpointSnapshot endpoints);
   // The holder of `epoch` read the list and found it unchanged.
   void Confirm(base::Millis now, uint64_t epoch);
   // A reading for this node alone, when no update of the list comes any more.
-  void AdoptOwnReading(base::Millis now, std::vector<catalog::Server> servers);
+  void AdoptOwnReading(base::Millis now, std::vector<discovery::Server> servers);
 
   // A majority has said that what is held here was all that was committed at `as_of`: to the
   // leader, or to a proxy that starts.
@@ -126,19 +129,21 @@
   Digest OwnDigest(base::Millis now) const;
 
   int64_t revision() const { return revision_; }
-  const std::string& config_text() const { return document_.text(); }
+  const std::string& configuration_text() const { return document_.text(); }
   // The patch that led to this configuration, and from which revision; empty if it came whole.
-  const std::string& config_patch() const;
-  int64_t config_base() const { return patches_.last() ? patches_.last()->base : 0; }
-  const catalog::Catalog& catalog() const { return catalog_; }
-  const evacuation::Orders& orders() const { return orders_; }
+  const std::string& configuration_patch() const;
+  int64_t configuration_base() const { return patches_.last() ? patches_.last()->base : 0; }
+  const discovery::EndpointSnapshot& endpoints() const { return endpoints_; }
+  const zone_drain::DrainedZones& drained_zones() const { return drained_zones_; }
   const rollout::Rollouts& rollouts() const { return rollouts_; }
-  bool has_catalog() const { return read_at_ >= 0; }
+  bool has_endpoints() const { return read_at_ >= 0; }
   // Milliseconds since what the log decides, as it is held here, was known to be the newest; -1 for
   // never. All that was acknowledged before that moment is in force here.
   base::Millis log_age(base::Millis now) const { return log_.age(now); }
-  base::Millis endpoints_age(base::Millis now) const { return endpoints_.age(now); }
-  base::Millis catalog_age(base::Millis now) const { return read_at_ < 0 ? -1 : now - read_at_; }
+  base::Millis endpoints_age(base::Millis now) const { return endpoints_freshness_.age(now); }
+  base::Millis endpoints_read_age(base::Millis now) const {
+    return read_at_ < 0 ? -1 : now - read_at_;
+  }
 
  private:
   // A step in the list's history: what it was before, and which servers it touched.
@@ -157,14 +162,14 @@
   struct PeerState {
     Versions versions;
     EndpointVersion endpoints;
-    bool has_catalog = false;
+    bool has_endpoints = false;
   };
 
   // As of when what a topic holds counts as known, for asking peers.
   template <class Version>
   base::Millis KnownAt(const Freshness<Version>& freshness) const;
-  Versions Held() const;
-  EndpointVersion HeldEndpoints() const { return {catalog_.epoch, catalog_.sequence}; }
+  Versions HeldVersions() const;
+  EndpointVersion HeldEndpointVersion() const { return {endpoints_.epoch, endpoints_.sequence}; }
   bool Lacks(const PeerState& peer) const;
   bool LacksEndpoints(const PeerState& peer) const;
   // Of the whole list in an update, about.
@@ -172,9 +177,9 @@
   void NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at);
 
   // False where it is too large to be sent unasked. What was just sent there is not sent again.
-  bool SendConfig(base::Millis now, const base::Address& to, int64_t peer_has, bool asked);
-  bool SendCatalog(base::Millis now, const base::Address& to, uint64_t epoch, uint64_t sequence,
-                   bool exact, bool asked);
+  bool SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has, bool asked);
+  bool SendEndpoints(base::Millis now, const base::Address& to, uint64_t epoch, uint64_t sequence,
+                     bool exact, bool asked);
   bool RecentlySent(base::Millis now, const base::Address& to, uint64_t what);
   // Sends all that the peer lacks and that is small. False if something is too large.
   bool SendMissing(base::Millis now, const base::Address& to, const PeerState& peer, bool exact);
@@ -184,38 +189,38 @@
   // Whether `from` may be asked for what it has beyond this node and did not send unasked.
   bool MayAsk(base::Millis now, const base::Address& from, const SyncReply& reply,
               const PeerState& peer);
-  void Replace(catalog::Catalog catalog, bool exact);
+  void Replace(discovery::EndpointSnapshot endpoints, bool exact);
   // What the log decides is newer here than before, by what `fetch` may have asked for.
   void LogAdvanced(Fetch* fetch);
   // Whom to tell at once of something new.
-  std::vector<const ring::Node*> ForwardTargets(bool origin, size_t near_count);
+  std::vector<const membership::Node*> ForwardTargets(bool origin, size_t near_count);
   // `from`: who told this node; none if the update originates here.
   void Forward(base::Millis now, Topic topic, const base::Address* from);
   bool InOtherZone(const base::Address& from) const;
-  // Others of the zone; those suspected or dead too: they may only be hard to hear.
-  std::vector<const ring::Node*> ZonePeers() const;
+  // ReachableOthers of the zone; those suspected or dead too: they may only be hard to hear.
+  std::vector<const membership::Node*> ZonePeers() const;
   // Asks for what is too old here, if that is due.
   void RequestSync(base::Millis now);
 
   Options options_;
-  const ring::Membership* members_;
+  const membership::Membership* members_;
   base::Random random_;
   int64_t revision_ = 0;
   configuration::IndexedDocument document_;
   bool document_rejected_ = false;
   PatchHistory patches_;
-  catalog::Catalog catalog_;
+  discovery::EndpointSnapshot endpoints_;
   bool exact_ = false;
-  std::deque<Step> history_;  // leads up to catalog_
-  evacuation::Orders orders_;
+  std::deque<Step> history_;  // leads up to endpoints_
+  zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
   base::Millis read_at_ = -1;
   base::Millis digest_at_ = 0;
   base::Millis lacking_since_ = -1;  // as answers of peers say; -1 for not
-  Fetch fetch_config_, fetch_catalog_, fetch_other_;
+  Fetch fetch_configuration_, fetch_endpoints_, fetch_other_;
   size_t document_bytes_ = 0;  // of the newest configuration that a peer told of
   Freshness<Versions> log_;
-  Freshness<EndpointVersion> endpoints_;
+  Freshness<EndpointVersion> endpoints_freshness_;
   SyncSchedule log_schedule_;
   SyncSchedule endpoints_schedule_;
   std::optional<base::Address> leader_;
--- a/src/dissemination/disseminator_endpoints.cc
+++ b/src/dissemination/disseminator_endpoints.cc
@@ -10,13 +10,13 @@
 constexpr size_t kTouchedLimit = 2048;  // servers that all these steps may name
 }  // namespace
 
-bool Disseminator::SendCatalog(base::Millis now, const base::Address& to, uint64_t epoch,
-                               uint64_t sequence, bool exact, bool asked) {
+bool Disseminator::SendEndpoints(base::Millis now, const base::Address& to, uint64_t epoch,
+                                 uint64_t sequence, bool exact, bool asked) {
   EndpointUpdate update;
-  update.epoch = catalog_.epoch;
-  update.sequence = catalog_.sequence;
+  update.epoch = endpoints_.epoch;
+  update.sequence = endpoints_.sequence;
   update.exact = exact_;
-  update.age_ms = static_cast<int32_t>(std::min<base::Millis>(catalog_age(now), INT32_MAX));
+  update.age_ms = static_cast<int32_t>(std::min<base::Millis>(endpoints_read_age(now), INT32_MAX));
   // The steps from what the peer has, if they are remembered.
   size_t first = history_.size();
   for (size_t i = history_.size(); exact && exact_ && i-- > 0;) {
@@ -34,36 +34,37 @@
       touched.insert(history_[i].touched.begin(), history_[i].touched.end());
     }
     for (const std::string& id : touched) {
-      auto at = std::lower_bound(
-          catalog_.servers.begin(), catalog_.servers.end(), id,
-          [](const catalog::Server& server, const std::string& want) { return server.id < want; });
-      if (at != catalog_.servers.end() && at->id == id) {
+      auto at = std::lower_bound(endpoints_.servers.begin(), endpoints_.servers.end(), id,
+                                 [](const discovery::Server& server, const std::string& want) {
+                                   return server.id < want;
+                                 });
+      if (at != endpoints_.servers.end() && at->id == id) {
         update.servers.push_back(*at);
       } else {
         update.gone.push_back(id);
       }
     }
-  } else if (!asked && catalog_.servers.size() > kSmallServers) {
+  } else if (!asked && endpoints_.servers.size() > kSmallServers) {
     return false;  // before the whole list is copied
   } else {
-    update.servers = catalog_.servers;
+    update.servers = endpoints_.servers;
   }
   if (update.servers.size() + update.gone.size() > kSmallServers) {
     if (!asked) return false;
-    if (RecentlySent(now, to, catalog_.epoch << 32 | catalog_.sequence << 1 | 1)) return true;
+    if (RecentlySent(now, to, endpoints_.epoch << 32 | endpoints_.sequence << 1 | 1)) return true;
   }
-  for (catalog::Server& server : update.servers) {
+  for (discovery::Server& server : update.servers) {
     server.warmup_left_ms = static_cast<int32_t>(std::max<base::Millis>(0, server.warm_at - now));
   }
-  out_.catalogs.push_back({to, std::move(update)});
+  out_.endpoint_updates.push_back({to, std::move(update)});
   return true;
 }
 
 // Takes another list in place of this one, and remembers the step if both are exact.
-void Disseminator::Replace(catalog::Catalog catalog, bool exact) {
-  if (exact && exact_ && has_catalog()) {
-    history_.push_back({catalog_.epoch, catalog_.sequence,
-                        catalog::Differences(catalog_.servers, catalog.servers)});
+void Disseminator::Replace(discovery::EndpointSnapshot endpoints, bool exact) {
+  if (exact && exact_ && has_endpoints()) {
+    history_.push_back({endpoints_.epoch, endpoints_.sequence,
+                        discovery::Differences(endpoints_.servers, endpoints.servers)});
     size_t touched = 0;
     for (const Step& step : history_) touched += step.touched.size();
     while (!history_.empty() && (history_.size() > kHistory || touched > kTouchedLimit)) {
@@ -73,70 +74,70 @@
   } else {
     history_.clear();
   }
-  catalog_ = std::move(catalog);
+  endpoints_ = std::move(endpoints);
   exact_ = exact;
-  fetch_catalog_ = Fetch();
-  out_.catalog_adopted = true;
-  endpoints_.Advance(HeldEndpoints());
+  fetch_endpoints_ = Fetch();
+  out_.endpoints_adopted = true;
+  endpoints_freshness_.Advance(HeldEndpointVersion());
 }
 
-bool Disseminator::Publish(base::Millis now, catalog::Catalog catalog) {
-  if (has_catalog() && !catalog.NewerThan(catalog_.epoch, catalog_.sequence)) return false;
-  bool vouched = catalog.epoch > 0;
-  Replace(std::move(catalog), vouched);
+bool Disseminator::Publish(base::Millis now, discovery::EndpointSnapshot endpoints) {
+  if (has_endpoints() && !endpoints.NewerThan(endpoints_.epoch, endpoints_.sequence)) return false;
+  bool vouched = endpoints.epoch > 0;
+  Replace(std::move(endpoints), vouched);
   read_at_ = now;
-  Forward(now, Topic::kCatalog, nullptr);
+  Forward(now, Topic::kEndpoints, nullptr);
   if (vouched) return true;
-  for (const ring::Node* node : members_->Others()) {
-    if (node->zone == members_->self().zone) SendCatalog(now, node->address(), 0, 0, false, true);
+  for (const membership::Node* node : members_->ReachableOthers()) {
+    if (node->zone == members_->self().zone) SendEndpoints(now, node->address(), 0, 0, false, true);
   }
   return true;
 }
 
 void Disseminator::Confirm(base::Millis now, uint64_t epoch) {
-  if (epoch != catalog_.epoch) return;
+  if (epoch != endpoints_.epoch) return;
   read_at_ = now;
   // One node of each other zone hears what the newest is: a message that was lost on its way there
   // would else wait for a digest exchange that happens to cross zones.
-  for (const ring::Node* node : ForwardTargets(true, 0)) {
+  for (const membership::Node* node : ForwardTargets(true, 0)) {
     out_.digests.push_back({node->address(), OwnDigest(now)});
   }
 }
 
-void Disseminator::AdoptOwnReading(base::Millis now, std::vector<catalog::Server> servers) {
-  if (has_catalog() && catalog::SameServers(catalog_.servers, servers)) {
+void Disseminator::AdoptOwnReading(base::Millis now, std::vector<discovery::Server> servers) {
+  if (has_endpoints() && discovery::SameServers(endpoints_.servers, servers)) {
     read_at_ = now;
     return;
   }
-  Replace({catalog_.epoch, catalog_.sequence, std::move(servers)}, false);
+  Replace({endpoints_.epoch, endpoints_.sequence, std::move(servers)}, false);
   read_at_ = now;
 }
 
-void Disseminator::OnCatalog(base::Millis now, const base::Address& from,
-                             const EndpointUpdate& update) {
-  catalog::Catalog offered{update.epoch, update.sequence, {}};
-  bool newer = offered.NewerThan(catalog_.epoch, catalog_.sequence);
+void Disseminator::OnEndpointUpdate(base::Millis now, const base::Address& from,
+                                    const EndpointUpdate& update) {
+  discovery::EndpointSnapshot offered{update.epoch, update.sequence, {}};
+  bool newer = offered.NewerThan(endpoints_.epoch, endpoints_.sequence);
   // The holder's own words replace a reading that this node made for itself meanwhile.
-  bool truer = update.exact && !exact_ && update.whole && update.epoch == catalog_.epoch &&
-               update.sequence == catalog_.sequence;
-  if (!newer && !truer && has_catalog()) return;
-  auto anchored = [now](catalog::Server server) {
+  bool truer = update.exact && !exact_ && update.whole && update.epoch == endpoints_.epoch &&
+               update.sequence == endpoints_.sequence;
+  if (!newer && !truer && has_endpoints()) return;
+  auto anchored = [now](discovery::Server server) {
     server.Anchor(now);
     return server;
   };
   if (update.whole) {
-    for (const catalog::Server& server : update.servers)
+    for (const discovery::Server& server : update.servers)
       offered.servers.push_back(anchored(server));
   } else {
-    if (!has_catalog() || !exact_ || update.base_epoch != catalog_.epoch ||
-        update.base_sequence != catalog_.sequence) {
+    if (!has_endpoints() || !exact_ || update.base_epoch != endpoints_.epoch ||
+        update.base_sequence != endpoints_.sequence) {
       RequestMissing(now, from, PeerState{{}, {update.epoch, update.sequence}, true});
       return;
     }
-    std::map<std::string, catalog::Server> changed;
-    for (const catalog::Server& server : update.servers) changed[server.id] = anchored(server);
+    std::map<std::string, discovery::Server> changed;
+    for (const discovery::Server& server : update.servers) changed[server.id] = anchored(server);
     std::set<std::string> gone(update.gone.begin(), update.gone.end());
-    for (const catalog::Server& server : catalog_.servers) {
+    for (const discovery::Server& server : endpoints_.servers) {
       if (gone.count(server.id)) continue;
       changed.emplace(server.id, server);  // keeps what changed
     }
@@ -144,7 +145,7 @@
   }
   Replace(std::move(offered), update.exact);
   read_at_ = now - std::max<int32_t>(0, update.age_ms);
-  Forward(now, Topic::kCatalog, &from);
+  Forward(now, Topic::kEndpoints, &from);
 }
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -6,9 +6,9 @@
 constexpr size_t kSmall = 4096;  // bytes that may be sent to a peer unasked
 }  // namespace
 
-bool Disseminator::SendConfig(base::Millis now, const base::Address& to, int64_t peer_has,
-                              bool asked) {
-  if (Held().revision == 0) return true;
+bool Disseminator::SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
+                                     bool asked) {
+  if (HeldVersions().revision == 0) return true;
   size_t first = patches_.From(peer_has, document_.SizeAtMost());
   bool whole = first == patches_.size();
   size_t bytes = whole ? document_.SizeAtMost() : 0;
@@ -17,22 +17,24 @@
     if (!asked) return false;
     if (RecentlySent(now, to, static_cast<uint64_t>(revision_) * 2)) return true;
   }
-  if (whole) out_.configs.push_back({to, ConfigurationUpdate{revision_, 0, document_.text()}});
+  if (whole)
+    out_.configuration_updates.push_back({to, ConfigurationUpdate{revision_, 0, document_.text()}});
   for (size_t i = first; i < patches_.size(); ++i) {
     const PatchHistory::Patch& patch = patches_.at(i);
-    out_.configs.push_back({to, ConfigurationUpdate{patch.revision, patch.base, patch.body}});
+    out_.configuration_updates.push_back(
+        {to, ConfigurationUpdate{patch.revision, patch.base, patch.body}});
   }
   return true;
 }
 
-const std::string& Disseminator::config_patch() const {
+const std::string& Disseminator::configuration_patch() const {
   static const std::string none;
   return patches_.last() ? patches_.last()->body : none;
 }
 
 void Disseminator::LogAdvanced(Fetch* fetch) {
   *fetch = Fetch();
-  log_.Advance(Held());
+  log_.Advance(HeldVersions());
 }
 
 void Disseminator::RejectConfiguration() {
@@ -40,11 +42,11 @@
   patches_.Clear();
 }
 
-void Disseminator::OnConfig(base::Millis now, const base::Address& from,
-                            const ConfigurationUpdate& update) {
+void Disseminator::OnConfigurationUpdate(base::Millis now, const base::Address& from,
+                                         const ConfigurationUpdate& update) {
   // One that was rejected here may come once more.
-  if (update.revision < revision_ || update.revision <= Held().revision) return;
-  if (update.base != 0 && update.base != Held().revision) {
+  if (update.revision < revision_ || update.revision <= HeldVersions().revision) return;
+  if (update.base != 0 && update.base != HeldVersions().revision) {
     RequestMissing(now, from, PeerState{{update.revision, 0, 0}, {}, false});
     return;
   }
@@ -62,8 +64,8 @@
   }
   document_rejected_ = false;
   revision_ = update.revision;
-  out_.config_adopted = true;
-  LogAdvanced(&fetch_config_);
+  out_.configuration_adopted = true;
+  LogAdvanced(&fetch_configuration_);
   Forward(now, Topic::kConfiguration, &from);
 }
 
@@ -81,37 +83,37 @@
   revision_ = state.revision();
   document_rejected_ = false;
   if (patch) patches_.Add({state.base(), state.revision(), state.patch()});
-  out_.config_adopted = true;
-  LogAdvanced(&fetch_config_);
+  out_.configuration_adopted = true;
+  LogAdvanced(&fetch_configuration_);
   // Every controller applies the log by itself; one of a zone tells all of it.
-  if (!members_->FirstOfZone()) {
+  if (!members_->IsZoneRepresentative()) {
     Forward(now, Topic::kConfiguration, nullptr);
     return;
   }
-  for (const ring::Node* node : ZonePeers()) {
-    if (node->program == ring::Program::kProxy) {
-      SendConfig(now, node->address(), config_base(), true);
+  for (const membership::Node* node : ZonePeers()) {
+    if (node->program == membership::Program::kProxy) {
+      SendConfiguration(now, node->address(), configuration_base(), true);
     }
   }
 }
 
-void Disseminator::Commit(const evacuation::Orders& orders) {
-  if (orders.version() <= orders_.version()) return;
-  orders_ = orders;
-  out_.evacuation_adopted = true;
+void Disseminator::Commit(const zone_drain::DrainedZones& drained_zones) {
+  if (drained_zones.version() <= drained_zones_.version()) return;
+  drained_zones_ = drained_zones;
+  out_.zone_drains_adopted = true;
   LogAdvanced(&fetch_other_);
-  for (const ring::Node* node : ZonePeers()) {
-    out_.evacuations.push_back({node->address(), {orders_}});
+  for (const membership::Node* node : ZonePeers()) {
+    out_.zone_drains.push_back({node->address(), {drained_zones_}});
   }
 }
 
-void Disseminator::OnEvacuation(base::Millis now, const base::Address& from,
-                                const ZoneDrainUpdate& update) {
-  if (update.orders.version() <= orders_.version()) return;
-  orders_ = update.orders;
-  out_.evacuation_adopted = true;
+void Disseminator::OnZoneDrainUpdate(base::Millis now, const base::Address& from,
+                                     const ZoneDrainUpdate& update) {
+  if (update.drained_zones.version() <= drained_zones_.version()) return;
+  drained_zones_ = update.drained_zones;
+  out_.zone_drains_adopted = true;
   LogAdvanced(&fetch_other_);
-  Forward(now, Topic::kEvacuation, &from);
+  Forward(now, Topic::kZoneDrain, &from);
 }
 
 // Every controller tells its own zone; each of its nodes passes it on once.
@@ -120,15 +122,15 @@
   rollouts_ = rollouts;
   out_.rollouts_adopted = true;
   LogAdvanced(&fetch_other_);
-  for (const ring::Node* node : ZonePeers()) {
-    if (node->program == ring::Program::kProxy) {
+  for (const membership::Node* node : ZonePeers()) {
+    if (node->program == membership::Program::kProxy) {
       out_.rollouts.push_back({node->address(), {rollouts_}});
     }
   }
 }
 
-void Disseminator::OnRollouts(base::Millis now, const base::Address& from,
-                              const RolloutUpdate& update) {
+void Disseminator::OnRolloutUpdate(base::Millis now, const base::Address& from,
+                                   const RolloutUpdate& update) {
   if (update.rollouts.version() <= rollouts_.version()) return;
   rollouts_ = update.rollouts;
   out_.rollouts_adopted = true;
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "catalog/catalog.h"
 #include "demand/demand.h"
-#include "evacuation/orders.h"
+#include "discovery/endpoints.h"
 #include "rollout/rollouts.h"
+#include "zone_drain/drained_zones.h"
 
 namespace elderkeel::dissemination {
 
@@ -18,15 +18,16 @@
   int64_t revision = 0;
   uint64_t epoch = 0;
   uint64_t sequence = 0;
-  uint64_t evacuation = 0;
+  uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
-  int32_t catalog_age_ms = -1;  // since the platform was last read for it; -1 for never
-  bool answer = false;          // the sender would like the receiver's digest
-  bool reliable = false;        // sent, and to be answered, over a connection
-  demand::Report demand;        // rides along; a proxy's alone
+  int32_t endpoints_read_age_ms = -1;  // since the platform was last read for it; -1 for never
+  bool answer = false;                 // the sender would like the receiver's digest
+  bool reliable = false;               // sent, and to be answered, over a connection
+  demand::Report demand;               // rides along; a proxy's alone
   template <class A>
   void serialize(A& a) {
-    a(revision, epoch, sequence, evacuation, rollouts, catalog_age_ms, answer, reliable, demand);
+    a(revision, epoch, sequence, zone_drains, rollouts, endpoints_read_age_ms, answer, reliable,
+      demand);
   }
 };
 
@@ -35,12 +36,12 @@
   int64_t revision = 0;
   uint64_t epoch = 0;
   uint64_t sequence = 0;
-  uint64_t evacuation = 0;
+  uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
   bool exact = false;  // the sender holds the list just as (epoch, sequence) names it
   template <class A>
   void serialize(A& a) {
-    a(revision, epoch, sequence, evacuation, rollouts, exact);
+    a(revision, epoch, sequence, zone_drains, rollouts, exact);
   }
 };
 
@@ -64,7 +65,7 @@
   uint64_t base_epoch = 0;
   uint64_t base_sequence = 0;
   int32_t age_ms = 0;
-  std::vector<catalog::Server> servers;  // all, or those that are new or changed
+  std::vector<discovery::Server> servers;  // all, or those that are new or changed
   std::vector<std::string> gone;
   template <class A>
   void serialize(A& a) {
@@ -74,10 +75,10 @@
 
 // Which zones are evacuated, by the log's order.
 struct ZoneDrainUpdate {
-  evacuation::Orders orders;
+  zone_drain::DrainedZones drained_zones;
   template <class A>
   void serialize(A& a) {
-    a(orders);
+    a(drained_zones);
   }
 };
 
--- a/src/dissemination/peers.cc
+++ b/src/dissemination/peers.cc
@@ -11,42 +11,46 @@
 constexpr base::Millis kTickMs = 50;
 constexpr size_t kDatagramBytes = 1300;
 
-uint16_t PortOf(const base::Settings& settings, ring::Program program) {
-  return program == ring::Program::kController ? settings.ControllerPort() : settings.ProxyPort();
+uint16_t PortOf(const base::Settings& settings, membership::Program program) {
+  return program == membership::Program::kController ? settings.ControllerPort()
+                                                     : settings.ProxyPort();
 }
 
-ring::Membership::Options MemberOptions(const base::Settings& settings, ring::Program program) {
-  ring::Membership::Options options;
-  ring::Node& self = options.self;
+membership::Membership::Options MemberOptions(const base::Settings& settings,
+                                              membership::Program program) {
+  membership::Membership::Options options;
+  membership::Node& self = options.self;
   self.ip = settings.ip;
   self.port = PortOf(settings, program);
   self.id = base::Hash(self.address().ToString());
   self.program = program;
   self.zone = settings.zone;
-  self.life = base::RandomSeed();
-  self.front = program == ring::Program::kProxy ? settings.front.port : 0;
-  self.durable = program == ring::Program::kController && !settings.data_dir.empty();
+  self.boot_id = base::RandomSeed();
+  self.front = program == membership::Program::kProxy ? settings.front.port : 0;
+  self.durable = program == membership::Program::kController && !settings.data_dir.empty();
   options.regions = settings.zones;
   options.heartbeat = settings.heartbeat_ms;
   options.seed = base::RandomSeed();
   return options;
 }
 
-std::vector<base::Address> SeedNodes(const base::Settings& settings, ring::Program program) {
+std::vector<base::Address> SeedNodes(const base::Settings& settings, membership::Program program) {
   std::vector<base::Address> seeds;
   for (const base::Address& seed : settings.seeds) {
     base::Address node{seed.ip, settings.ControllerPort()};
-    if (node.ip != settings.ip || program != ring::Program::kController) seeds.push_back(node);
+    if (node.ip != settings.ip || program != membership::Program::kController)
+      seeds.push_back(node);
   }
   return seeds;
 }
 
 // A node is out of date for half of the time that the platform allows at most. The sum that this
 // follows from stands in docs/dissemination.md.
-Disseminator::Options DisseminatorOptions(const base::Settings& settings, ring::Program program) {
+Disseminator::Options DisseminatorOptions(const base::Settings& settings,
+                                          membership::Program program) {
   Disseminator::Options options;
   base::Millis bound = settings.PropagationMs();
-  options.max_age = program == ring::Program::kController ? bound / 3 : bound * 3 / 5;
+  options.max_age = program == membership::Program::kController ? bound / 3 : bound * 3 / 5;
   options.seeds = SeedNodes(settings, program);
   options.seed = base::RandomSeed();
   options.digest_every = settings.digest_ms;
@@ -55,7 +59,8 @@
 
 }  // namespace
 
-Peers::Peers(base::Loop* loop, const base::Settings& settings, ring::Program program, Hooks hooks)
+Peers::Peers(base::Loop* loop, const base::Settings& settings, membership::Program program,
+             Hooks hooks)
     : loop_(loop),
       settings_(settings),
       hooks_(std::move(hooks)),
@@ -100,8 +105,8 @@
   disseminator_.Commit(base::SteadyMillis(), state);
   Pump();
 }
-void Peers::Commit(const evacuation::Orders& orders) {
-  disseminator_.Commit(orders);
+void Peers::Commit(const zone_drain::DrainedZones& drained_zones) {
+  disseminator_.Commit(drained_zones);
   Pump();
 }
 void Peers::Commit(const rollout::Rollouts& rollouts) {
@@ -130,8 +135,8 @@
   disseminator_.SetVouchers(std::move(leader), std::move(reader));
 }
 void Peers::RejectConfiguration() { disseminator_.RejectConfiguration(); }
-bool Peers::Publish(catalog::Catalog catalog) {
-  bool taken = disseminator_.Publish(base::SteadyMillis(), std::move(catalog));
+bool Peers::Publish(discovery::EndpointSnapshot endpoints) {
+  bool taken = disseminator_.Publish(base::SteadyMillis(), std::move(endpoints));
   Pump();
   return taken;
 }
@@ -139,21 +144,21 @@
   disseminator_.Confirm(base::SteadyMillis(), epoch);
   Pump();
 }
-void Peers::AdoptOwnReading(std::vector<catalog::Server> servers) {
+void Peers::AdoptOwnReading(std::vector<discovery::Server> servers) {
   disseminator_.AdoptOwnReading(base::SteadyMillis(), std::move(servers));
   Pump();
 }
 
 std::vector<base::Address> Peers::Controllers() const {
   std::vector<base::Address> near, far;
-  for (const ring::Node* node : members_.Others()) {
-    if (node->program != ring::Program::kController) continue;
+  for (const membership::Node* node : members_.ReachableOthers()) {
+    if (node->program != membership::Program::kController) continue;
     (node->zone == settings_.zone ? near : far).push_back(node->address());
   }
   near.insert(near.end(), far.begin(), far.end());
   // Those without a disk have no part in the log where others have one; they come last.
   std::stable_partition(near.begin(), near.end(), [this](const base::Address& address) {
-    const ring::Node* node = members_.Find(address);
+    const membership::Node* node = members_.Find(address);
     return node && node->durable;
   });
   for (const base::Address& seed : settings_.seeds) {
@@ -180,22 +185,25 @@
   };
   switch (kind) {
     case wire::Kind::kHeartbeat:
-      take(ring::Heartbeat(), [&](const auto& m) { members_.OnHeartbeat(now, from, m); });
+      take(membership::Heartbeat(), [&](const auto& m) { members_.OnHeartbeat(now, from, m); });
       break;
-    case wire::Kind::kMembers:
-      take(ring::Table(), [&](const auto& m) { members_.OnTable(now, from, m); });
+    case wire::Kind::kMembershipUpdate:
+      take(membership::MembershipUpdate(),
+           [&](const auto& m) { members_.OnMembershipUpdate(now, from, m); });
       break;
-    case wire::Kind::kSums:
-      take(ring::Sums(), [&](const auto& m) { members_.OnSums(now, from, m); });
+    case wire::Kind::kPartDigests:
+      take(membership::PartDigests(), [&](const auto& m) { members_.OnPartDigests(now, from, m); });
       break;
     case wire::Kind::kSummary:
-      take(ring::Summary(), [&](const auto& m) { members_.OnSummary(now, from, m); });
+      take(membership::MembershipSummary(),
+           [&](const auto& m) { members_.OnSummary(now, from, m); });
       break;
     case wire::Kind::kZoneDrainUpdate:
-      take(ZoneDrainUpdate(), [&](const auto& m) { disseminator_.OnEvacuation(now, from, m); });
+      take(ZoneDrainUpdate(),
+           [&](const auto& m) { disseminator_.OnZoneDrainUpdate(now, from, m); });
       break;
     case wire::Kind::kRolloutUpdate:
-      take(RolloutUpdate(), [&](const auto& m) { disseminator_.OnRollouts(now, from, m); });
+      take(RolloutUpdate(), [&](const auto& m) { disseminator_.OnRolloutUpdate(now, from, m); });
       break;
     case wire::Kind::kDigest:
       take(Digest(), [&](const auto& m) {
@@ -206,7 +214,7 @@
       });
       break;
     case wire::Kind::kPullRequest:
-      take(PullRequest(), [&](const auto& m) { disseminator_.OnPull(now, from, m); });
+      take(PullRequest(), [&](const auto& m) { disseminator_.OnPullRequest(now, from, m); });
       break;
     case wire::Kind::kSyncRequest:
       take(SyncRequest(), [&](const auto& m) { disseminator_.OnSyncRequest(now, from, m); });
@@ -215,10 +223,11 @@
       take(SyncReply(), [&](const auto& m) { disseminator_.OnSyncReply(now, from, m); });
       break;
     case wire::Kind::kConfigurationUpdate:
-      take(ConfigurationUpdate(), [&](const auto& m) { disseminator_.OnConfig(now, from, m); });
+      take(ConfigurationUpdate(),
+           [&](const auto& m) { disseminator_.OnConfigurationUpdate(now, from, m); });
       break;
     case wire::Kind::kEndpointUpdate:
-      take(EndpointUpdate(), [&](const auto& m) { disseminator_.OnCatalog(now, from, m); });
+      take(EndpointUpdate(), [&](const auto& m) { disseminator_.OnEndpointUpdate(now, from, m); });
       break;
     default:
       if (hooks_.other) hooks_.other(from, kind, payload);
@@ -251,50 +260,52 @@
   pumping_ = true;
   base::Millis now = base::SteadyMillis();
   for (;;) {
-    ring::Membership::Effects ring = members_.Take();
-    for (const ring::Node& node : ring.changed) {
+    membership::Membership::Effects membership = members_.Take();
+    for (const membership::Node& node : membership.changed) {
       base::Debug("node.changed", {{"node", node.address().ToString()},
-                                   {"state", ring::StateName(node.state)},
+                                   {"state", membership::StateName(node.state)},
                                    {"incarnation", node.incarnation}});
-      if (node.state == ring::State::kAlive) disseminator_.OnHeard(now, node);
-      if (!node.reachable()) disseminator_.OnLost(node);
+      if (node.state == membership::State::kAlive) disseminator_.OnNodeReachable(now, node);
+      if (!node.reachable()) disseminator_.OnNodeUnreachable(node);
       if (hooks_.node_changed) hooks_.node_changed(node);
     }
     Disseminator::Effects effects = disseminator_.Take();
-    for (auto& [to, m] : ring.heartbeats) mesh_.SendDatagram(to, wire::Kind::kHeartbeat, m);
-    for (auto& [to, m] : ring.tables) {
+    for (auto& [to, m] : membership.heartbeats) mesh_.SendDatagram(to, wire::Kind::kHeartbeat, m);
+    for (auto& [to, m] : membership.tables) {
       // What a process says of itself, a refutation above all, must not be lost on a full link.
-      bool own = std::any_of(m.nodes.begin(), m.nodes.end(), [this](const ring::Node& node) {
+      bool own = std::any_of(m.nodes.begin(), m.nodes.end(), [this](const membership::Node& node) {
         return node.id == members_.self().id;
       });
       std::string bytes = wire::Encode(m);
       if (own && members_.self().incarnation > 1) {
-        mesh_.Send(to, wire::Kind::kMembers, std::string_view(bytes));
+        mesh_.Send(to, wire::Kind::kMembershipUpdate, std::string_view(bytes));
       } else {
-        SendSmall(to, wire::Kind::kMembers, bytes);
+        SendSmall(to, wire::Kind::kMembershipUpdate, bytes);
       }
     }
-    for (auto& [to, m] : ring.sums) mesh_.SendDatagram(to, wire::Kind::kSums, m);
-    for (auto& [to, m] : ring.summaries) SendSmall(to, wire::Kind::kSummary, wire::Encode(m));
+    for (auto& [to, m] : membership.sums) mesh_.SendDatagram(to, wire::Kind::kPartDigests, m);
+    for (auto& [to, m] : membership.summaries) SendSmall(to, wire::Kind::kSummary, wire::Encode(m));
     for (auto& [to, m] : effects.digests) SendDigest(to, std::move(m));
     for (auto& [to, m] : effects.pulls) mesh_.Send(to, wire::Kind::kPullRequest, m);
     auto send = [this](const base::Address& to, wire::Kind kind, const auto& message) {
       if (!mesh_.Send(to, kind, message)) disseminator_.OnSendFailed(to);
     };
     for (auto& [to, m] : effects.rollouts) send(to, wire::Kind::kRolloutUpdate, m);
-    for (auto& [to, m] : effects.configs) send(to, wire::Kind::kConfigurationUpdate, m);
-    for (auto& [to, m] : effects.catalogs) send(to, wire::Kind::kEndpointUpdate, m);
-    for (auto& [to, m] : effects.evacuations) send(to, wire::Kind::kZoneDrainUpdate, m);
+    for (auto& [to, m] : effects.configuration_updates)
+      send(to, wire::Kind::kConfigurationUpdate, m);
+    for (auto& [to, m] : effects.endpoint_updates) send(to, wire::Kind::kEndpointUpdate, m);
+    for (auto& [to, m] : effects.zone_drains) send(to, wire::Kind::kZoneDrainUpdate, m);
     for (auto& [to, m] : effects.sync_requests)
       SendSync(to, wire::Kind::kSyncRequest, m, m.reliable);
     for (auto& reply : effects.sync_replies) {
       SendSync(reply.to, wire::Kind::kSyncReply, reply.reply, reply.follows);
     }
     if (effects.rollouts_adopted && hooks_.rollouts_adopted) hooks_.rollouts_adopted();
-    if (effects.config_adopted && hooks_.config_adopted) hooks_.config_adopted();
-    if (effects.catalog_adopted && hooks_.catalog_adopted) hooks_.catalog_adopted();
-    if (effects.evacuation_adopted && hooks_.evacuation_adopted) hooks_.evacuation_adopted();
-    if (ring.empty() && effects.empty()) break;
+    if (effects.configuration_adopted && hooks_.configuration_adopted)
+      hooks_.configuration_adopted();
+    if (effects.endpoints_adopted && hooks_.endpoints_adopted) hooks_.endpoints_adopted();
+    if (effects.zone_drains_adopted && hooks_.zone_drains_adopted) hooks_.zone_drains_adopted();
+    if (membership.empty() && effects.empty()) break;
   }
   pumping_ = false;
   Schedule();
--- a/src/dissemination/peers.h
+++ b/src/dissemination/peers.h
@@ -5,7 +5,7 @@
 
 #include "base/loop.h"
 #include "dissemination/disseminator.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "wire/mesh.h"
 
 namespace elderkeel::dissemination {
@@ -14,11 +14,11 @@
 class Peers {
  public:
   struct Hooks {
-    std::function<void()> config_adopted;
-    std::function<void()> catalog_adopted;
-    std::function<void()> evacuation_adopted;
+    std::function<void()> configuration_adopted;
+    std::function<void()> endpoints_adopted;
+    std::function<void()> zone_drains_adopted;
     std::function<void()> rollouts_adopted;
-    std::function<void(const ring::Node&)> node_changed;
+    std::function<void(const membership::Node&)> node_changed;
     // What digests carry of how busy the zones are.
     std::function<demand::Report()> load_report;
     std::function<void(const demand::Report&)> load_report_received;
@@ -26,26 +26,26 @@
     std::function<void(const base::Address&, wire::Kind, std::string_view)> other;
   };
 
-  Peers(base::Loop* loop, const base::Settings& settings, ring::Program program, Hooks hooks);
+  Peers(base::Loop* loop, const base::Settings& settings, membership::Program program, Hooks hooks);
 
   base::Status Start();
   void Leave();
 
   wire::Mesh& mesh() { return mesh_; }
-  const ring::Membership& members() const { return members_; }
+  const membership::Membership& members() const { return members_; }
   const Disseminator& disseminator() const { return disseminator_; }
   // Feeds the updates; what it causes is sent at once.
   void Commit(const configuration::Register& state);
-  void Commit(const evacuation::Orders& orders);
+  void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
   void NoteRolloutVersion(const base::Address& from, uint64_t version);
-  bool Publish(catalog::Catalog catalog);
+  bool Publish(discovery::EndpointSnapshot endpoints);
   void VouchForLog(base::Millis as_of);
   void VouchForEndpoints();
   void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
   void RejectConfiguration();
   void Confirm(uint64_t epoch);
-  void AdoptOwnReading(std::vector<catalog::Server> servers);
+  void AdoptOwnReading(std::vector<discovery::Server> servers);
   // Asks a node what it has; if it has more than this one, that is then asked for.
   void AskDigest(const base::Address& to);
   // This proxy may be given clients, or may not.
@@ -71,7 +71,7 @@
   const base::Settings& settings_;
   Hooks hooks_;
   wire::Mesh mesh_;
-  ring::Membership members_;
+  membership::Membership members_;
   Disseminator disseminator_;
   base::Timer tick_;
   base::Millis tick_at_ = 0;
--- a/src/dissemination/sync_sources.cc
+++ b/src/dissemination/sync_sources.cc
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-std::vector<base::Address> SyncSources(const ring::Membership& members,
+std::vector<base::Address> SyncSources(const membership::Membership& members,
                                        const std::vector<base::Address>& seeds,
                                        const std::optional<base::Address>& voucher) {
-  const ring::Node& self = members.self();
+  const membership::Node& self = members.self();
   std::vector<Source> controllers;
   for (const auto& [id, node] : members.nodes()) {
-    bool asked = node.program == ring::Program::kController && id != self.id;
-    if (!asked || node.state == ring::State::kLeft) continue;
+    bool asked = node.program == membership::Program::kController && id != self.id;
+    if (!asked || node.state == membership::State::kLeft) continue;
     bool region = members.RegionOf(node.zone) == members.RegionOf(self.zone);
     int distance = node.zone == self.zone ? 0 : region ? 1 : 2;
     controllers.push_back(
--- a/src/dissemination/versions.h
+++ b/src/dissemination/versions.h
@@ -6,17 +6,17 @@
 
 // How new that is which the log decides.
 struct Versions {
-  int64_t revision = 0;     // of the configuration
-  uint64_t evacuation = 0;  // of the orders to drain zones
-  uint64_t rollouts = 0;    // of the state of the roll-outs
+  int64_t revision = 0;      // of the configuration
+  uint64_t zone_drains = 0;  // of the orders to drain zones
+  uint64_t rollouts = 0;     // of the state of the roll-outs
 
   bool Covers(const Versions& other) const {
-    return revision >= other.revision && evacuation >= other.evacuation &&
+    return revision >= other.revision && zone_drains >= other.zone_drains &&
            rollouts >= other.rollouts;
   }
   template <class A>
   void serialize(A& a) {
-    a(revision, evacuation, rollouts);
+    a(revision, zone_drains, rollouts);
   }
 };
 
--- a/src/forwarding/front.cc
+++ b/src/forwarding/front.cc
@@ -135,9 +135,9 @@
   recorder_->Control(record);
 }
 
-void Front::Adopt(const catalog::Catalog& catalog) {
-  if (has_catalog_at_ < 0) has_catalog_at_ = base::SteadyMillis();
-  for (const Servers::Change& change : servers_.Adopt(base::SteadyMillis(), catalog)) {
+void Front::Adopt(const discovery::EndpointSnapshot& endpoints) {
+  if (has_endpoints_at_ < 0) has_endpoints_at_ = base::SteadyMillis();
+  for (const Servers::Change& change : servers_.Adopt(base::SteadyMillis(), endpoints)) {
     telemetry::ControlRecord record;
     record.server = change.server;
     if (change.what == Servers::Change::What::kNew) {
@@ -172,11 +172,11 @@
   if (servers_.at(server).held_until > 0) DropIdle(server);
 }
 
-void Front::Adopt(const evacuation::Orders& orders) {
+void Front::Adopt(const zone_drain::DrainedZones& drained_zones) {
   base::Millis doubt = settings_.PollMs() + settings_.platform_lag_ms + kSpreadMs;
-  servers_.SetEvacuated(base::SteadyMillis(), orders.zones(), doubt);
+  servers_.SetDrainedZones(base::SteadyMillis(), drained_zones.zones(), doubt);
   for (uint32_t i = 0; i < servers_.size(); ++i) {
-    if (servers_.at(i).emptied) DropIdle(i);
+    if (servers_.at(i).zone_drained) DropIdle(i);
   }
   for (uint32_t i = 0; i < queues_.size(); ++i) PumpQueue(i);
 }
@@ -437,7 +437,7 @@
     return;
   }
   wire::HttpConnection* raw = connection.get();
-  raw->OnLost([this, server, raw] {
+  raw->OnNodeUnreachable([this, server, raw] {
     auto& idle = pools_[server].idle;
     for (size_t i = 0; i < idle.size(); ++i) {
       if (idle[i].get() != raw) continue;
--- a/src/forwarding/front.h
+++ b/src/forwarding/front.h
@@ -9,16 +9,16 @@
 #include "base/names.h"
 #include "base/settings.h"
 #include "budget/budget.h"
-#include "catalog/catalog.h"
 #include "configuration/document.h"
 #include "demand/demand.h"
-#include "evacuation/orders.h"
+#include "discovery/endpoints.h"
 #include "forwarding/ledger.h"
 #include "forwarding/servers.h"
 #include "rollout/gate.h"
 #include "telemetry/recorder.h"
 #include "wire/http_client.h"
 #include "wire/http_server.h"
+#include "zone_drain/drained_zones.h"
 
 namespace elderkeel::forwarding {
 
@@ -33,8 +33,8 @@
   void Adopt(std::shared_ptr<const configuration::Table> table);
   // The table in force; null before the first.
   const std::shared_ptr<const configuration::Table>& table() const { return table_; }
-  void Adopt(const catalog::Catalog& catalog);
-  void Adopt(const evacuation::Orders& orders);
+  void Adopt(const discovery::EndpointSnapshot& endpoints);
+  void Adopt(const zone_drain::DrainedZones& drained_zones);
   void Adopt(const rollout::Rollouts& rollouts);
   // What the watchers of each roll-out under way are told; who tells it is left to the caller.
   struct Told {
@@ -60,9 +60,9 @@
   // Until a configuration and a catalog are there, requests get 503; and, where versions get
   // traffic by order, until it is known which, or nobody is there to say it.
   bool able() const {
-    return table_ != nullptr && has_catalog_at_ >= 0 &&
+    return table_ != nullptr && has_endpoints_at_ >= 0 &&
            (!settings_.VersionsByOrder() || versions_known() ||
-            base::SteadyMillis() - has_catalog_at_ > kVersionsPatienceMs);
+            base::SteadyMillis() - has_endpoints_at_ > kVersionsPatienceMs);
   }
   bool versions_known() const { return versions_ > 0; }
   // Until what is held is known to be current, requests get 503 too.
@@ -188,7 +188,7 @@
   base::Names regions_;
   base::Names routes_;
   std::shared_ptr<const configuration::Table> table_;
-  base::Millis has_catalog_at_ = -1;
+  base::Millis has_endpoints_at_ = -1;
   bool serving_ = false;
   bool rejecting_ = false;
   std::function<bool()> may_deny_;
--- a/src/forwarding/servers.cc
+++ b/src/forwarding/servers.cc
@@ -12,10 +12,11 @@
 constexpr double kWarmPenalty = 1.0;  // a server that is not warm counts as twice as slow
 }  // namespace
 
-std::vector<Servers::Change> Servers::Adopt(base::Millis now, const catalog::Catalog& catalog) {
+std::vector<Servers::Change> Servers::Adopt(base::Millis now,
+                                            const discovery::EndpointSnapshot& endpoints) {
   std::vector<Change> changes;
   std::vector<bool> seen(servers_.size(), false);
-  for (const catalog::Server& entry : catalog.servers) {
+  for (const discovery::Server& entry : endpoints.servers) {
     auto address = base::ParseAddress(entry.address);
     if (!address) continue;
     bool known = ids_.Find(entry.id) != base::Names::kNone;
@@ -33,7 +34,7 @@
       s.region = regions_->Intern(region == options_.regions.end() ? entry.zone : region->second);
       s.near = entry.zone == options_.zone;
       s.far = !options_.region.empty() && regions_->Name(s.region) != options_.region;
-      s.emptied = std::binary_search(evacuated_.begin(), evacuated_.end(), entry.zone);
+      s.zone_drained = std::binary_search(drained_zones_.begin(), drained_zones_.end(), entry.zone);
       s.capacity = entry.capacity;
       s.limit = entry.capacity;
       s.ours = Owns(s);
@@ -185,13 +186,13 @@
   }
 }
 
-void Servers::SetEvacuated(base::Millis now, const std::vector<std::string>& zones,
-                           base::Millis doubt) {
-  evacuated_ = zones;
+void Servers::SetDrainedZones(base::Millis now, const std::vector<std::string>& zones,
+                              base::Millis doubt) {
+  drained_zones_ = zones;
   for (Server& s : servers_) {
-    bool emptied = std::binary_search(zones.begin(), zones.end(), zones_.Name(s.zone));
-    if (s.emptied && !emptied) SetCold(now, &s, now + doubt);
-    s.emptied = emptied;
+    bool zone_drained = std::binary_search(zones.begin(), zones.end(), zones_.Name(s.zone));
+    if (s.zone_drained && !zone_drained) SetCold(now, &s, now + doubt);
+    s.zone_drained = zone_drained;
   }
 }
 
@@ -389,7 +390,7 @@
   for (const auto& service : by_service_) {
     for (uint32_t i : service) {
       Server& s = servers_[i];
-      if (s.draining || s.emptied || s.probing || s.on_trial) continue;
+      if (s.draining || s.zone_drained || s.probing || s.on_trial) continue;
       if (s.part == Server::Part::kBarred) continue;
       if (s.held_until == 0 || now < s.held_until) continue;
       s.probing = true;
--- a/src/forwarding/servers.h
+++ b/src/forwarding/servers.h
@@ -9,7 +9,7 @@
 #include "base/names.h"
 #include "base/random.h"
 #include "base/settings.h"
-#include "catalog/catalog.h"
+#include "discovery/endpoints.h"
 #include "rollout/gate.h"
 
 namespace elderkeel::forwarding {
@@ -22,9 +22,9 @@
   base::Address address;
   uint32_t zone = 0;
   uint32_t region = 0;
-  bool near = false;     // in this node's zone
-  bool far = false;      // in another region
-  bool emptied = false;  // its zone is evacuated
+  bool near = false;          // in this node's zone
+  bool far = false;           // in another region
+  bool zone_drained = false;  // its zone is evacuated
   uint32_t version = 0;
   // Whether its version may be sent to: as any, by those requests alone that are drawn for it, or
   // not at all.
@@ -51,7 +51,7 @@
   bool on_trial = false;
 
   bool Takes(bool side) const {
-    return listed && !draining && !emptied && part == (side ? Part::kSide : Part::kMain);
+    return listed && !draining && !zone_drained && part == (side ? Part::kSide : Part::kMain);
   }
   bool Usable() const { return Takes(false); }
   bool Open() const { return Usable() && held_until == 0; }
@@ -86,7 +86,7 @@
   Servers(Options options, base::Names* services, base::Names* regions, uint64_t seed)
       : options_(std::move(options)), services_(services), regions_(regions), random_(seed) {}
 
-  std::vector<Change> Adopt(base::Millis now, const catalog::Catalog& catalog);
+  std::vector<Change> Adopt(base::Millis now, const discovery::EndpointSnapshot& endpoints);
 
   // This node is number `place` of `places` proxies of its zone. Proxies don't see each other's
   // sends; each begins its order of the servers at another one, so that their first choices differ.
@@ -98,7 +98,7 @@
   void SetPeers(uint64_t self, std::vector<uint64_t> peers);
   // Zones emptied by order. Servers of one taken back may have turned cold meanwhile: they are held
   // for cold for `doubt`, until a newer list says more.
-  void SetEvacuated(base::Millis now, const std::vector<std::string>& zones, base::Millis doubt);
+  void SetDrainedZones(base::Millis now, const std::vector<std::string>& zones, base::Millis doubt);
   // For each service, what part of the requests goes to which zone first (by index); all to this
   // node's own where nothing is said.
   struct Share {
@@ -177,7 +177,7 @@
     double few_share = 0;
   };
   std::vector<Versions> rules_;  // by service
-  std::vector<std::string> evacuated_;
+  std::vector<std::string> drained_zones_;
   std::vector<double> warmup_per_s_;        // by service
   std::vector<std::vector<Share>> shares_;  // by service
   uint64_t self_ = 0;
--- a/src/readiness/readiness.h
+++ b/src/lifecycle/lifecycle.h
@@ -4,14 +4,14 @@
 
 #include "base/clock.h"
 
-namespace elderkeel::readiness {
+namespace elderkeel::lifecycle {
 
 // When a proxy calls itself ready, and the steps of its leaving. Pure.
 //
 // A proxy serves, and is ready, once it has a catalog and what the core has confirmed as current.
 // If the core can't confirm for longer than a machine of it is cut off for, what other nodes serve
 // by is good enough: an old configuration serves better than none for good, and updates replace it.
-class Readiness {
+class Lifecycle {
  public:
   struct Options {
     base::Millis unconfirmed = 30000;  // patience with a core that does not confirm
@@ -23,8 +23,8 @@
   // server, and what is here goes on; what is still here gets its final answer; the end.
   enum class Phase { kServing, kNotReady, kDraining, kRejecting, kAnswering, kStopped };
 
-  Readiness() : Readiness(Options()) {}
-  explicit Readiness(Options options) : options_(options) {}
+  Lifecycle() : Lifecycle(Options()) {}
+  explicit Lifecycle(Options options) : options_(options) {}
 
   void Able(base::Millis now) {
     if (able_at_ < 0) able_at_ = now;
@@ -62,4 +62,4 @@
   bool confirmed_ = false;
 };
 
-}  // namespace elderkeel::readiness
+}  // namespace elderkeel::lifecycle
--- a/src/readiness/settings_watch.h
+++ b/src/lifecycle/settings_watcher.h
@@ -8,15 +8,15 @@
 #include "base/loop.h"
 #include "base/settings.h"
 
-namespace elderkeel::readiness {
+namespace elderkeel::lifecycle {
 
 // Re-reads the settings file on SIGHUP and when it changes by itself. A file that can't be read or
 // is not valid is logged, and the settings in force stay.
-class SettingsWatch {
+class SettingsWatcher {
  public:
   using Changed = std::function<void(const base::Settings&)>;
 
-  SettingsWatch(base::Loop* loop, std::string path, Changed changed)
+  SettingsWatcher(base::Loop* loop, std::string path, Changed changed)
       : path_(std::move(path)), changed_(std::move(changed)) {
     if (auto text = base::ReadFile(path_)) text_ = *text;
     loop->OnSignal(SIGHUP, [this] { Check(true); });
@@ -27,17 +27,17 @@
   bool Check(bool asked) {
     auto text = base::ReadFile(path_);
     if (!text) {
-      if (asked) base::Warn("settings.kept", text.error());
+      if (asked) base::Warn("settings.rejected", text.error());
       return false;
     }
     if (*text == text_) return false;
     text_ = *text;
     auto settings = base::ParseSettings(text_);
     if (!settings) {
-      base::Warn("settings.kept", settings.error());
+      base::Warn("settings.rejected", settings.error());
       return false;
     }
-    base::Info("settings.taken", {{"file", path_}});
+    base::Info("settings.applied", {{"file", path_}});
     changed_(*settings);
     return true;
   }
@@ -50,4 +50,4 @@
   base::Timer timer_;
 };
 
-}  // namespace elderkeel::readiness
+}  // namespace elderkeel::lifecycle
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -18,7 +18,7 @@
     25;  // between looks at what is still missing after a start
 constexpr base::Millis kStartupProbeForMs =
     3000;  // after the start; a core that is settled has confirmed
-constexpr base::Millis kFirstCatalogMs = 1500;  // a node that has none asks for itself after this
+constexpr base::Millis kFirstEndpointsMs = 1500;  // a node that has none asks for itself after this
 constexpr base::Millis kTallyEveryMs = 250;
 constexpr base::Millis kMovingTallyEveryMs = 100;  // while traffic moves to a new version
 constexpr base::Millis kTouchEveryMs = 600;
@@ -31,11 +31,11 @@
       settings_(std::move(settings)),
       settings_path_(std::move(settings_path)),
       confirmation_(base::RandomSeed()) {
-  readiness::Readiness::Options options;
+  lifecycle::Lifecycle::Options options;
   options.grace = settings_.grace_s * 1000;
   // Clients of a directory keep an answer up to three times as long as it says.
   if (settings_.entry == "directory") options.notice = directory::kTtlS * 3000;
-  readiness_ = readiness::Readiness(options);
+  lifecycle_ = lifecycle::Lifecycle(options);
 }
 
 Proxy::~Proxy() = default;
@@ -56,14 +56,15 @@
     base::Millis age = peers_->disseminator().log_age(base::SteadyMillis());
     return age >= 0 && age <= settings_.PropagationMs();
   });
-  platform_ = std::make_unique<catalog::Platform>(loop_, settings_.platform);
+  platform_ = std::make_unique<discovery::PlatformClient>(loop_, settings_.platform);
 
   dissemination::Peers::Hooks hooks;
-  hooks.config_adopted = [this] { ConfigAdopted(); };
-  hooks.catalog_adopted = [this] { CatalogAdopted(); };
-  hooks.evacuation_adopted = [this] {
-    front_->Adopt(peers_->disseminator().orders());
-    base::Info("evacuation.adopted", {{"version", peers_->disseminator().orders().version()}});
+  hooks.configuration_adopted = [this] { ApplyConfiguration(); };
+  hooks.endpoints_adopted = [this] { ApplyEndpoints(); };
+  hooks.zone_drains_adopted = [this] {
+    front_->Adopt(peers_->disseminator().drained_zones());
+    base::Info("zone_drain.adopted",
+               {{"version", peers_->disseminator().drained_zones().version()}});
   };
   hooks.rollouts_adopted = [this] {
     front_->Adopt(peers_->disseminator().rollouts());
@@ -72,11 +73,12 @@
   };
   hooks.load_report = [this] { return front_->TellDemand(); };
   hooks.load_report_received = [this](const demand::Report& report) { front_->HearDemand(report); };
-  hooks.node_changed = [this](const ring::Node&) { peers_changed_ = true; };
+  hooks.node_changed = [this](const membership::Node&) { peers_changed_ = true; };
   hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
     OnMessage(from, kind, payload);
   };
-  peers_ = std::make_unique<dissemination::Peers>(loop_, settings_, ring::Program::kProxy, hooks);
+  peers_ =
+      std::make_unique<dissemination::Peers>(loop_, settings_, membership::Program::kProxy, hooks);
   auto started = peers_->Start();
   if (!started) return started;
 
@@ -85,7 +87,7 @@
   options.max_connections = 64;
   ready_server_ = std::make_unique<wire::HttpServer>(
       loop_, options, [this](wire::HttpServer::Ticket ticket, wire::Message&& request) {
-        bool ready = readiness_.Ready(base::SteadyMillis());
+        bool ready = lifecycle_.Ready(base::SteadyMillis());
         wire::Message answer = request.Path() != "/elderkeel/ready"
                                    ? wire::OwnAnswer(404, "no such path")
                                    : wire::OwnAnswer(ready ? 200 : 503, ready ? "" : "not ready");
@@ -96,7 +98,7 @@
   if (!listening) return listening;
   listening = front_->Listen();
   if (!listening) return listening;
-  watch_ = std::make_unique<readiness::SettingsWatch>(
+  watch_ = std::make_unique<lifecycle::SettingsWatcher>(
       loop_, settings_path_, [this](const base::Settings& taken) {
         base::SetLogLevel(base::ParseLogLevel(taken.log_level, base::LogLevel::kInfo));
         settings_.seeds = taken.seeds;
@@ -113,20 +115,20 @@
   return {};
 }
 
-void Proxy::ConfigAdopted() {
+void Proxy::ApplyConfiguration() {
   const dissemination::Disseminator& disseminator = peers_->disseminator();
   std::shared_ptr<const configuration::Table> table;
-  if (front_->table() && !disseminator.config_patch().empty() &&
-      front_->table()->revision() == disseminator.config_base()) {
-    table = configuration::Table::Patch(*front_->table(), disseminator.config_patch(),
+  if (front_->table() && !disseminator.configuration_patch().empty() &&
+      front_->table()->revision() == disseminator.configuration_base()) {
+    table = configuration::Table::Patch(*front_->table(), disseminator.configuration_patch(),
                                         front_->names(), front_->regions());
   }
   if (!table) {
-    table =
-        configuration::Table::Build(disseminator.config_text(), front_->names(), front_->regions());
+    table = configuration::Table::Build(disseminator.configuration_text(), front_->names(),
+                                        front_->regions());
   }
   if (!table) {
-    base::Warn("configuration.unread", {{"revision", peers_->disseminator().revision()}});
+    base::Warn("configuration.rejected", {{"revision", peers_->disseminator().revision()}});
     peers_->RejectConfiguration();
     return;
   }
@@ -134,7 +136,7 @@
   base::Info("configuration.adopted", {{"revision", peers_->disseminator().revision()}});
 }
 
-void Proxy::CatalogAdopted() { front_->Adopt(peers_->disseminator().catalog()); }
+void Proxy::ApplyEndpoints() { front_->Adopt(peers_->disseminator().endpoints()); }
 
 void Proxy::Answer(const base::Address& from, const diagnosis::Query& query) {
   diagnosis::Question question;
@@ -151,9 +153,10 @@
     reply.lines.push_back(
         "revision=" + std::to_string(peers_->disseminator().revision()) +
         " verified_ms=" + std::to_string(peers_->disseminator().log_age(now)) +
-        " catalog_epoch=" + std::to_string(peers_->disseminator().catalog().epoch) +
-        " catalog_age_ms=" + std::to_string(peers_->disseminator().catalog_age(now)) + " ready=" +
-        (readiness_.Ready(now) ? "yes" : "no") + " busy=" + std::to_string(front_->busy()) +
+        " catalog_epoch=" + std::to_string(peers_->disseminator().endpoints().epoch) +
+        " catalog_age_ms=" + std::to_string(peers_->disseminator().endpoints_read_age(now)) +
+        " ready=" + (lifecycle_.Ready(now) ? "yes" : "no") +
+        " busy=" + std::to_string(front_->busy()) +
         " records_lost=" + std::to_string(counts.lost + counts.unsent));
     peers_->mesh().Send(from, wire::Kind::kQueryReply, reply);
     return;
@@ -200,20 +203,20 @@
 
 void Proxy::NoteConfirmed(base::Millis now) {
   const dissemination::Disseminator& disseminator = peers_->disseminator();
-  if (!readiness_.confirmed() &&
-      confirmation_.Holds(now, {disseminator.revision(), disseminator.orders().version(),
+  if (!lifecycle_.confirmed() &&
+      confirmation_.Holds(now, {disseminator.revision(), disseminator.drained_zones().version(),
                                 disseminator.rollouts().version()})) {
-    readiness_.Confirmed();
+    lifecycle_.Confirmed();
     peers_->VouchForLog(confirmation_.known_at());
     base::Info("configuration.confirmed", {{"revision", disseminator.revision()}});
   }
-  if (front_->able()) readiness_.Able(now);
-  front_->SetServing(readiness_.Serving(now));
+  if (front_->able()) lifecycle_.Able(now);
+  front_->SetServing(lifecycle_.Serving(now));
 }
 
 void Proxy::AskConfirmation(base::Millis now) {
   NoteConfirmed(now);
-  if (readiness_.confirmed() || now < ask_at_) return;
+  if (lifecycle_.confirmed() || now < ask_at_) return;
   ask_at_ = now + kAskEveryMs;
   std::vector<base::Address> controllers = peers_->Controllers();
   if (controllers.empty()) return;
@@ -227,8 +230,8 @@
   const dissemination::Disseminator& disseminator = peers_->disseminator();
   const dissemination::Versions& wanted = confirmation_.wanted();
   if (disseminator.revision() < std::max<int64_t>(1, wanted.revision) ||
-      disseminator.orders().version() < wanted.evacuation ||
-      disseminator.rollouts().version() < wanted.rollouts || !disseminator.has_catalog() ||
+      disseminator.drained_zones().version() < wanted.zone_drains ||
+      disseminator.rollouts().version() < wanted.rollouts || !disseminator.has_endpoints() ||
       (settings_.VersionsByOrder() && !front_->versions_known())) {
     peers_->AskDigest(to);
   }
@@ -237,10 +240,10 @@
 // A stale list is worse than a few calls: a node that hears nothing of the list any more asks for
 // itself, so seldom that all nodes together stay below the platform's rate.
 void Proxy::ReadForItself(base::Millis now) {
-  base::Millis age = peers_->disseminator().catalog_age(now);
-  base::Millis patience = age < 0 ? kFirstCatalogMs : settings_.stale_catalog_ms;
+  base::Millis age = peers_->disseminator().endpoints_read_age(now);
+  base::Millis patience = age < 0 ? kFirstEndpointsMs : settings_.stale_catalog_ms;
   if (platform_->busy() || now < read_at_) return;
-  size_t nodes = peers_->members().Others().size() + 1;
+  size_t nodes = peers_->members().ReachableOthers().size() + 1;
   base::Millis gap = std::max<base::Millis>(
       1000,
       static_cast<base::Millis>(static_cast<double>(nodes) * 4000 / settings_.platform_rate_per_s));
@@ -251,13 +254,13 @@
   }
   if (age >= 0 && age < patience) return;
   read_at_ = now + gap;
-  platform_->Read([this](base::Result<std::vector<catalog::Server>> read) {
+  platform_->Read([this](base::Result<std::vector<discovery::Server>> read) {
     if (!read) {
-      base::Warn("catalog.unread", read.error());
+      base::Warn("catalog.read_failed", read.error());
       read_at_ = base::SteadyMillis() + 2000;
       return;
     }
-    base::Info("catalog.own_reading", {{"servers", read->size()}});
+    base::Info("catalog.read_by_proxy", {{"servers", read->size()}});
     peers_->AdoptOwnReading(std::move(*read));
   });
 }
@@ -265,14 +268,14 @@
 void Proxy::ReportMetrics(base::Millis now) {
   if (!front_->rolling_out() || now < tally_at_) return;
   // The watchers hear all proxies; with many, each speaks more seldom.
-  size_t proxies = peers_->members().CountPossible(ring::Program::kProxy);
+  size_t proxies = peers_->members().CountNotLeft(membership::Program::kProxy);
   base::Millis every = front_->moving() ? kMovingTallyEveryMs : kTallyEveryMs;
   tally_at_ = now + std::max<base::Millis>(every, static_cast<base::Millis>(proxies));
   bool ask = now >= ask_touch_at_;
   if (ask) ask_touch_at_ = now + kTouchEveryMs;
   for (forwarding::Front::Told& told : front_->TellTallies()) {
     told.tally.node = peers_->members().self().id;
-    told.tally.life = peers_->members().self().life;
+    told.tally.boot_id = peers_->members().self().boot_id;
     told.tally.asks = ask;
     std::string bytes = wire::Encode(told.tally);
     for (uint64_t watcher : told.watchers) {
@@ -287,8 +290,8 @@
 void Proxy::ProbeStartup() {
   base::Millis now = base::SteadyMillis();
   if (started_at_ == 0) started_at_ = now;
-  bool done = front_->able() && (readiness_.confirmed() || now - started_at_ > kStartupProbeForMs);
-  if (done || readiness_.leaving()) return;
+  bool done = front_->able() && (lifecycle_.confirmed() || now - started_at_ > kStartupProbeForMs);
+  if (done || lifecycle_.leaving()) return;
   ask_at_ = std::min(ask_at_, now + kStartupProbeMs);
   AskConfirmation(now);
   startup_probe_.Start(loop_, kStartupProbeMs, [this] { ProbeStartup(); });
@@ -298,16 +301,16 @@
 void Proxy::UpdateRank() {
   if (!peers_changed_) return;
   peers_changed_ = false;
-  const ring::Membership& members = peers_->members();
-  front_->SetProxies(members.CountAlive(ring::Program::kProxy),
-                     members.CountPossible(ring::Program::kProxy));
+  const membership::Membership& members = peers_->members();
+  front_->SetProxies(members.CountAlive(membership::Program::kProxy),
+                     members.CountNotLeft(membership::Program::kProxy));
   size_t place = 0, places = 0;
   std::vector<uint64_t> peers;
   for (const auto& [id, node] : members.nodes()) {
-    if (node.program != ring::Program::kProxy || node.zone != settings_.zone) continue;
+    if (node.program != membership::Program::kProxy || node.zone != settings_.zone) continue;
     // A proxy held for lost keeps its part of the cold servers: it may be the one that sees others
     // as lost, and what both would send adds up.
-    if (node.state != ring::State::kLeft) peers.push_back(id);
+    if (node.state != membership::State::kLeft) peers.push_back(id);
     if (!node.reachable()) continue;
     ++places;
     if (id < members.self().id) ++place;
@@ -321,21 +324,21 @@
   UpdateRank();
   ReportMetrics(now);
   NoteConfirmed(now);
-  if (!readiness_.leaving()) {
+  if (!lifecycle_.leaving()) {
     AskConfirmation(now);
     ReadForItself(now);
   }
-  peers_->SetReady(readiness_.Ready(now));
-  if (AdvanceShutdown(readiness_.At(now, front_->busy()), front_.get())) {
-    base::Info("proxy.left", {{"busy", front_->busy()}});
+  peers_->SetReady(lifecycle_.Ready(now));
+  if (AdvanceShutdown(lifecycle_.At(now, front_->busy()), front_.get())) {
+    base::Info("proxy.stopped", {{"busy", front_->busy()}});
     loop_->Stop();
   }
 }
 
 void Proxy::Terminate() {
-  if (readiness_.leaving()) return;
-  base::Info("proxy.leaving", {{"busy", front_->busy()}});
-  readiness_.Leave(base::SteadyMillis());
+  if (lifecycle_.leaving()) return;
+  base::Info("proxy.stopping", {{"busy", front_->busy()}});
+  lifecycle_.Leave(base::SteadyMillis());
   front_->SetLeaving();
   peers_->Leave();
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -4,13 +4,13 @@
 
 #include "base/loop.h"
 #include "base/settings.h"
-#include "catalog/platform.h"
 #include "diagnosis/diagnosis.h"
+#include "discovery/platform_client.h"
 #include "dissemination/confirm.h"
 #include "dissemination/peers.h"
 #include "forwarding/front.h"
-#include "readiness/readiness.h"
-#include "readiness/settings_watch.h"
+#include "lifecycle/lifecycle.h"
+#include "lifecycle/settings_watcher.h"
 #include "telemetry/recorder.h"
 #include "wire/http_server.h"
 
@@ -28,8 +28,8 @@
  private:
   void OnMessage(const base::Address& from, wire::Kind kind, std::string_view payload);
   void Answer(const base::Address& from, const diagnosis::Query& query);
-  void ConfigAdopted();
-  void CatalogAdopted();
+  void ApplyConfiguration();
+  void ApplyEndpoints();
   void Tick();
   void UpdateRank();
   void ProbeStartup();
@@ -48,9 +48,9 @@
   std::unique_ptr<dissemination::Peers> peers_;
   std::unique_ptr<forwarding::Front> front_;
   std::unique_ptr<wire::HttpServer> ready_server_;
-  std::unique_ptr<catalog::Platform> platform_;
-  std::unique_ptr<readiness::SettingsWatch> watch_;
-  readiness::Readiness readiness_;
+  std::unique_ptr<discovery::PlatformClient> platform_;
+  std::unique_ptr<lifecycle::SettingsWatcher> watch_;
+  lifecycle::Lifecycle lifecycle_;
   bool peers_changed_ = true;
   base::Timer tick_;
   base::Timer startup_probe_;
--- a/src/proxy/shutdown.cc
+++ b/src/proxy/shutdown.cc
@@ -2,8 +2,8 @@
 
 namespace elderkeel::proxy {
 
-bool AdvanceShutdown(readiness::Readiness::Phase phase, forwarding::Front* front) {
-  using Phase = readiness::Readiness::Phase;
+bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::Front* front) {
+  using Phase = lifecycle::Lifecycle::Phase;
   switch (phase) {
     case Phase::kServing:
     case Phase::kNotReady:
--- a/src/rollout/conductor.cc
+++ b/src/rollout/conductor.cc
@@ -78,11 +78,11 @@
   }
   // The word of a life that another has followed counts no more, however late it comes.
   Told& last = told->second;
-  std::vector<uint64_t>& former = last.former_lives;
-  if (std::find(former.begin(), former.end(), vote.life) != former.end()) return;
-  if (vote.life != last.vote.life) {
+  std::vector<uint64_t>& former = last.former_boot_ids;
+  if (std::find(former.begin(), former.end(), vote.boot_id) != former.end()) return;
+  if (vote.boot_id != last.vote.boot_id) {
     if (former.size() >= 16) former.erase(former.begin());
-    former.push_back(last.vote.life);
+    former.push_back(last.vote.boot_id);
   }
   last.vote = vote;
   last.at = now;
--- a/src/rollout/conductor.h
+++ b/src/rollout/conductor.h
@@ -44,7 +44,7 @@
   struct Told {
     Vote vote;
     base::Millis at = 0;
-    std::vector<uint64_t> former_lives;  // of the watcher, the last 16
+    std::vector<uint64_t> former_boot_ids;  // of the watcher, the last 16
   };
   // By watcher; of the newest life of each.
   const std::map<uint64_t, Told>& VotesOn(uint64_t number) const;
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -52,7 +52,7 @@
 // A proxy's word to the watchers of one roll-out.
 struct Tally {
   uint64_t node = 0;  // its id on the ring
-  uint64_t life = 0;
+  uint64_t boot_id = 0;
   uint64_t number = 0;    // of the roll-out
   uint64_t version = 0;   // of the state that it acts by
   uint32_t age_ms = 0;    // since it knows of the order
@@ -65,7 +65,7 @@
   std::vector<Row> rows;
   template <class A>
   void serialize(A& a) {
-    a(node, life, number, version, age_ms, requests, exposed, old_busy, new_busy, moved, asks,
+    a(node, boot_id, number, version, age_ms, requests, exposed, old_busy, new_busy, moved, asks,
       rows);
   }
 };
@@ -88,7 +88,7 @@
 struct Vote {
   uint64_t number = 0;
   uint64_t watcher = 0;
-  uint64_t life = 0;
+  uint64_t boot_id = 0;
   uint64_t version = 0;  // of the state that it watches by
   Opinion opinion = Opinion::kAbstains;
   std::string why;
@@ -103,7 +103,7 @@
   std::vector<Row> rows;          // the sums
   template <class A>
   void serialize(A& a) {
-    a(number, watcher, life, version, opinion, why, age_ms, heard, in_sight, requests, exposed,
+    a(number, watcher, boot_id, version, opinion, why, age_ms, heard, in_sight, requests, exposed,
       unmoved, unheard, missing, rows);
   }
 };
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -123,10 +123,10 @@
   return changed;
 }
 
-std::vector<std::pair<std::string, std::string>> FindVersions(const Rollouts& state,
-                                                              const catalog::Catalog& catalog) {
+std::vector<std::pair<std::string, std::string>> FindVersions(
+    const Rollouts& state, const discovery::EndpointSnapshot& endpoints) {
   std::map<std::string, std::map<std::string, int>> counts;
-  for (const catalog::Server& server : catalog.servers) {
+  for (const discovery::Server& server : endpoints.servers) {
     if (!server.draining && !server.revision.empty()) ++counts[server.service][server.revision];
   }
   std::vector<std::pair<std::string, std::string>> found;
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "catalog/catalog.h"
+#include "discovery/endpoints.h"
 
 namespace elderkeel::rollout {
 
@@ -127,7 +127,7 @@
 // gets the one that most of its servers have, an ordered one apart; a service whose version in
 // force has no server left gets the one that most of the others have. An empty result asks for no
 // entry.
-std::vector<std::pair<std::string, std::string>> FindVersions(const Rollouts& state,
-                                                              const catalog::Catalog& catalog);
+std::vector<std::pair<std::string, std::string>> FindVersions(
+    const Rollouts& state, const discovery::EndpointSnapshot& endpoints);
 
 }  // namespace elderkeel::rollout
--- a/src/rollout/watcher.cc
+++ b/src/rollout/watcher.cc
@@ -112,7 +112,7 @@
   return "";
 }
 
-std::vector<Row> Comparison::Sums() const {
+std::vector<Row> Comparison::PartDigests() const {
   std::vector<Row> rows;
   for (const auto& [key, route] : routes_) rows.push_back(route.sums);
   return rows;
@@ -138,13 +138,13 @@
   if (at == watches_.end()) return false;
   Watch& watch = at->second;
   Heard& heard = watch.proxies[tally.node];
-  bool same_life = heard.tally.life == tally.life;
+  bool same_boot = heard.tally.boot_id == tally.boot_id;
   // Datagrams overtake each other; an older word says nothing new.
-  if (same_life && (tally.age_ms < heard.tally.age_ms || tally.version < heard.tally.version)) {
+  if (same_boot && (tally.age_ms < heard.tally.age_ms || tally.version < heard.tally.version)) {
     return true;
   }
   std::map<uint32_t, Row> before;
-  if (same_life) {
+  if (same_boot) {
     for (const Row& row : heard.tally.rows) before[row.route] = row;
   }
   for (const Row& row : tally.rows) {
@@ -155,8 +155,8 @@
     if (more.old_version.answers + more.new_version.answers > 0) watch.comparison.Take(more);
   }
   watch.requests +=
-      tally.requests - (same_life ? std::min(tally.requests, heard.tally.requests) : 0);
-  watch.exposed += tally.exposed - (same_life ? std::min(tally.exposed, heard.tally.exposed) : 0);
+      tally.requests - (same_boot ? std::min(tally.requests, heard.tally.requests) : 0);
+  watch.exposed += tally.exposed - (same_boot ? std::min(tally.exposed, heard.tally.exposed) : 0);
   heard = {tally, now};
   return true;
 }
@@ -166,7 +166,7 @@
   Vote vote;
   vote.number = watch.rollout.number;
   vote.watcher = options_.self;
-  vote.life = options_.life;
+  vote.boot_id = options_.boot_id;
   vote.version = version_;
   vote.requests = watch.requests;
   vote.exposed = watch.exposed;
@@ -192,7 +192,7 @@
     ++(heard ? vote.unmoved : vote.unheard);
     if (vote.missing.size() < 8) vote.missing.push_back(proxy.id);
   }
-  vote.rows = watch.comparison.Sums();
+  vote.rows = watch.comparison.PartDigests();
   if (now - awake_at_ < options_.gap) {
     vote.why = "has only just woken";
   } else if (!watch.comparison.bad().empty()) {
--- a/src/rollout/watcher.h
+++ b/src/rollout/watcher.h
@@ -33,7 +33,7 @@
   const std::string& bad() const { return bad_; }
   // What is missing to call it good; empty if nothing is.
   std::string Missing(double canary_share) const;
-  std::vector<Row> Sums() const;
+  std::vector<Row> PartDigests() const;
 
  private:
   // How often the old version's answers were bad lately: older ones count less.
@@ -58,7 +58,7 @@
  public:
   struct Options {
     uint64_t self = 0;  // its id on the ring
-    uint64_t life = 0;
+    uint64_t boot_id = 0;
     double canary_share = 0.06;     // that proxies aim at
     base::Millis vote_every = 400;  // and whenever something changes
     base::Millis fresh = 1500;      // a proxy's word, for so long
--- a/src/duty/duty.h
+++ b/src/singleton/assigner.h
@@ -7,18 +7,18 @@
 #include "base/clock.h"
 #include "consensus/types.h"
 
-namespace elderkeel::duty {
+namespace elderkeel::singleton {
 
 // Who watches the platform's list, as the log has it. The epoch rises at each change of holder, so
 // news of an earlier holder can be told from that of a later one. A holder numbers its news within
 // its epoch from memory, so another life of the same holder needs an epoch of its own.
-struct Duty {
-  consensus::MemberId holder = 0;
-  uint64_t life = 0;  // of the holder's process; another life must claim before it publishes
+struct Assignment {
+  consensus::MemberId owner = 0;
+  uint64_t boot_id = 0;  // of the holder's process; another life must claim before it publishes
   uint64_t epoch = 0;
   template <class A>
   void serialize(A& a) {
-    a(holder, life, epoch);
+    a(owner, boot_id, epoch);
   }
 };
 
@@ -27,10 +27,10 @@
 struct Resignation {
   uint64_t epoch = 0;
   consensus::MemberId successor = 0;  // 0: the leader picks
-  uint64_t life = 0;                  // a claim by the holder: its life
+  uint64_t boot_id = 0;               // a claim by the holder: its life
   template <class A>
   void serialize(A& a) {
-    a(epoch, successor, life);
+    a(epoch, successor, boot_id);
   }
 };
 
@@ -42,21 +42,21 @@
 
 // The leader's part, pure: decides when the duty must pass on and to whom. The result is proposed
 // to the log; it holds once a majority has it.
-class Assignment {
+class Assigner {
  public:
-  explicit Assignment(base::Millis patience) : patience_(patience) {}
+  explicit Assigner(base::Millis patience) : patience_(patience) {}
 
-  std::optional<Duty> Review(base::Millis now, const Duty& current,
-                             const std::vector<Candidate>& candidates);
-  std::optional<Duty> Resigned(base::Millis now, const Duty& current,
-                               const std::vector<Candidate>& candidates,
-                               const Resignation& resignation);
+  std::optional<Assignment> Review(base::Millis now, const Assignment& current,
+                                   const std::vector<Candidate>& candidates);
+  std::optional<Assignment> OnResignation(base::Millis now, const Assignment& current,
+                                          const std::vector<Candidate>& candidates,
+                                          const Resignation& resignation);
   // Forgets what was proposed: leadership changed, or the proposal took effect.
   void Clear() { proposed_epoch_ = 0; }
 
  private:
-  std::optional<Duty> Name(base::Millis now, const Duty& current, consensus::MemberId holder,
-                           uint64_t life = 0);
+  std::optional<Assignment> Name(base::Millis now, const Assignment& current,
+                                 consensus::MemberId owner, uint64_t boot_id = 0);
 
   base::Millis patience_;
   uint64_t proposed_epoch_ = 0;
@@ -65,7 +65,7 @@
 
 // Whom a holder should name, or a leader take: one that is heard, and not the leader if there is a
 // choice, so that one loss does not take both.
-consensus::MemberId PickHolder(const std::vector<Candidate>& candidates, consensus::MemberId except,
-                               base::Millis patience);
+consensus::MemberId PickOwner(const std::vector<Candidate>& candidates, consensus::MemberId except,
+                              base::Millis patience);
 
-}  // namespace elderkeel::duty
+}  // namespace elderkeel::singleton
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -119,7 +119,7 @@
     case ControlRecord::What::kProbe:
       return "server.probed";
     case ControlRecord::What::kHeldOut:
-      return "server.held_out";
+      return "server.ejected";
     case ControlRecord::What::kReturned:
       return "server.returned";
     case ControlRecord::What::kClock:
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -18,7 +18,7 @@
 enum class Kind : uint8_t {
   kConsensus = 1,
   kJoin,
-  kMembers,
+  kMembershipUpdate,
   kHeartbeat,
   kDigest,
   kPullRequest,
@@ -31,7 +31,7 @@
   kQueryReply,
   kSummary,
   kZoneDrainUpdate,
-  kSums,
+  kPartDigests,
   kRolloutUpdate,
   kTally,
   kTouch,
--- a/src/evacuation/orders.h
+++ b/src/zone_drain/drained_zones.h
@@ -7,28 +7,28 @@
 #include <string>
 #include <vector>
 
-namespace elderkeel::evacuation {
+namespace elderkeel::zone_drain {
 
 // An operator's word about one zone.
-struct Order {
+struct DrainOrder {
   std::string zone;
-  bool evacuate = true;  // false: the zone is taken back
+  bool drain = true;  // false: the zone is taken back
   template <class A>
   void serialize(A& a) {
-    a(zone, evacuate);
+    a(zone, drain);
   }
 };
 
 // Which zones are emptied by order, folded from the log. The version rises with each order that
 // changes something, so that of two views the newer is known by it.
-class Orders {
+class DrainedZones {
  public:
   // True if it changed something.
-  bool Apply(const Order& order) {
+  bool Apply(const DrainOrder& order) {
     auto at = std::lower_bound(zones_.begin(), zones_.end(), order.zone);
     bool there = at != zones_.end() && *at == order.zone;
-    if (there == order.evacuate) return false;
-    if (order.evacuate) {
+    if (there == order.drain) return false;
+    if (order.drain) {
       zones_.insert(at, order.zone);
     } else {
       zones_.erase(at);
@@ -36,7 +36,7 @@
     ++version_;
     return true;
   }
-  bool Evacuated(const std::string& zone) const {
+  bool IsDrained(const std::string& zone) const {
     return std::binary_search(zones_.begin(), zones_.end(), zone);
   }
   uint64_t version() const { return version_; }
@@ -52,4 +52,4 @@
   std::vector<std::string> zones_;  // sorted
 };
 
-}  // namespace elderkeel::evacuation
+}  // namespace elderkeel::zone_drain
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -79,13 +79,13 @@
                                               front_->names(), front_->regions()));
   }
   void List(const std::vector<Server*>& servers) {
-    catalog::Catalog catalog{1, ++sequence_, {}};
+    discovery::EndpointSnapshot endpoints{1, ++sequence_, {}};
     for (Server* s : servers) {
       // The first one is preferred: it is in this proxy's zone.
-      catalog.servers.push_back({s->id(), "s", s->address().ToString(),
-                                 s == servers.front() ? "a" : "b", "v", 4, false, 0, 0});
+      endpoints.servers.push_back({s->id(), "s", s->address().ToString(),
+                                   s == servers.front() ? "a" : "b", "v", 4, false, 0, 0});
     }
-    front_->Adopt(catalog);
+    front_->Adopt(endpoints);
   }
   // The status that a client of its own gets, 0 for a closed connection; checks whose answer it is.
   int Ask(bool idempotent, const std::string& attempt, int remaining_ms, size_t bytes = 4) {
--- a/tests/catalog_test.cc
+++ b/tests/catalog_test.cc
@@ -1,8 +1,8 @@
-#include "catalog/catalog.h"
-
 #include <gtest/gtest.h>
 
-namespace elderkeel::catalog {
+#include "discovery/endpoints.h"
+
+namespace elderkeel::discovery {
 namespace {
 
 std::string Entry(const std::string& id, const std::string& address, const std::string& status,
@@ -17,7 +17,7 @@
 }
 
 // The list changes while its pages are read, or comes broken.
-TEST(Reading, OfAListThatChangesUnderneath) {
+TEST(EndpointListReader, OfAListThatChangesUnderneath) {
   const std::string a = Entry("a", "10.0.0.1:80", "accepting");
   const std::string a_drains = Entry("a", "10.0.0.1:80", "draining");
   const std::string b = Entry("b", "10.0.0.2:80", "accepting");
@@ -47,7 +47,7 @@
       {"empty", {PageOf({}, "")}, ""},
   };
   for (const Case& c : cases) {
-    Reading reading;
+    EndpointListReader reading;
     std::string target = reading.Start();
     std::string read;
     for (const std::string& page : c.pages) {
@@ -69,10 +69,10 @@
     }
     EXPECT_EQ(read, c.read) << c.name;
   }
-  Reading reading;
+  EndpointListReader reading;
   reading.Start();
   EXPECT_FALSE(reading.Take(429, PageOf({a}, "")));
 }
 
 }  // namespace
-}  // namespace elderkeel::catalog
+}  // namespace elderkeel::discovery
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -215,15 +215,15 @@
     RegisterOfBefore before{5, newest.patch ? 3 : 0, Small(3, 5, "a").body, newest, {7, 8}};
     // What follows the register in a snapshot must still be found.
     auto state = controller::ControlState::Read(
-        wire::Encode(before) + wire::Encode(duty::Duty{5, 6, 7}) +
-        wire::Encode(evacuation::Orders()) + wire::Encode(rollout::Rollouts()));
+        wire::Encode(before) + wire::Encode(singleton::Assignment{5, 6, 7}) +
+        wire::Encode(zone_drain::DrainedZones()) + wire::Encode(rollout::Rollouts()));
     ASSERT_TRUE(state);
     const Register& read = state->configuration;
     EXPECT_EQ(read.revision(), 5);
     EXPECT_EQ(read.base(), before.base);
     EXPECT_EQ(read.text(), before.text);
     EXPECT_EQ(read.patch(), newest.patch ? newest.body : "");
-    EXPECT_EQ(state->duty.epoch, 7u);
+    EXPECT_EQ(state->catalog_reader.epoch, 7u);
     EXPECT_EQ(read.Judge(newest).status, 200);
     EXPECT_EQ(read.Judge(Small(3, 6, "b")).status, 412);
     EXPECT_EQ(read.Judge(Small(2, 3, "a")).status, 503);  // may have been taken
@@ -259,13 +259,13 @@
     proposed_.push_back(change);
     return proposed_.size();
   }
-  std::optional<uint64_t> Propose(const evacuation::Order& order) override {
-    orders_.push_back(order);
-    return proposed_.size() + orders_.size();
+  std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
+    drained_zones_.push_back(order);
+    return proposed_.size() + drained_zones_.size();
   }
   std::optional<uint64_t> Propose(const rollout::Order& order) override {
     rollouts_.push_back(order);
-    return proposed_.size() + orders_.size() + rollouts_.size();
+    return proposed_.size() + drained_zones_.size() + rollouts_.size();
   }
   bool HasZone(const std::string& zone) const override { return zones_.count(zone) > 0; }
   bool HasService(const std::string& service) const override { return service == "s"; }
@@ -275,14 +275,14 @@
   std::optional<std::string> leader_;
   std::vector<uint64_t> reads_;
   std::vector<Change> proposed_;
-  std::vector<evacuation::Order> orders_;
+  std::vector<zone_drain::DrainOrder> drained_zones_;
   std::vector<rollout::Order> rollouts_;
 };
 
 class OperatorApiTest : public ::testing::Test {
  protected:
   OperatorApiTest()
-      : api_(&log_, &state_, &orders_, &rollouts_,
+      : api_(&log_, &state_, &drained_zones_, &rollouts_,
              [this](uint64_t ticket, const wire::Message& answer) { answers_[ticket] = answer; }) {}
   wire::Message Call(const std::string& method, const std::string& match, const std::string& body) {
     wire::Message request;
@@ -305,7 +305,7 @@
 
   FakeLog log_;
   Register state_;
-  evacuation::Orders orders_;
+  zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
   std::map<uint64_t, wire::Message> answers_;
   OperatorApi api_;
@@ -465,12 +465,12 @@
   ConfirmReads();
   EXPECT_EQ(StatusOf(3), 404);
   // A zone that is evacuated is one, also when its last server is gone.
-  orders_.Apply({"nowhere", true});
+  drained_zones_.Apply({"nowhere", true});
   request.method = "DELETE";
   api_.OnRequest(0, 4, request);
   ConfirmReads();
   EXPECT_EQ(StatusOf(4), 0);
-  EXPECT_EQ(log_.orders_.size(), 1u);
+  EXPECT_EQ(log_.drained_zones_.size(), 1u);
 }
 
 TEST_F(OperatorApiTest, EvacuatesAndTakesBackByTheLog) {
@@ -485,9 +485,9 @@
     const char* method;
     const char* zone;
     bool is_leader;
-    int status;      // 0: it waits for the log
-    bool commit;     // what it proposed is committed
-    bool evacuated;  // in the end
+    int status;    // 0: it waits for the log
+    bool commit;   // what it proposed is committed
+    bool drained;  // in the end
   } cases[] = {
       {"unknown zone", "POST", "nowhere", true, 404, false, false},
       {"no such verb", "PUT", "a", true, 405, false, false},
@@ -501,18 +501,18 @@
   };
   uint64_t ticket = 100;
   for (const Case& c : cases) {
-    size_t before = log_.orders_.size();
+    size_t before = log_.drained_zones_.size();
     log_.leading_ = log_.settled_ = c.is_leader;
     api_.OnRequest(0, ++ticket, order(c.method, c.zone));
     ConfirmReads();
-    EXPECT_EQ(log_.orders_.size() - before, c.commit || c.status == 0 ? 1u : 0u) << c.name;
+    EXPECT_EQ(log_.drained_zones_.size() - before, c.commit || c.status == 0 ? 1u : 0u) << c.name;
     if (c.commit) {
       EXPECT_EQ(StatusOf(ticket), 0) << c.name;  // not before it is durable
-      orders_.Apply(log_.orders_.back());
-      api_.Applied(0, log_.orders_.size());
+      drained_zones_.Apply(log_.drained_zones_.back());
+      api_.Applied(0, log_.drained_zones_.size());
     }
     EXPECT_EQ(StatusOf(ticket), c.status) << c.name;
-    EXPECT_EQ(orders_.Evacuated("a"), c.evacuated) << c.name;
+    EXPECT_EQ(drained_zones_.IsDrained("a"), c.drained) << c.name;
     if (c.status == 0) {
       log_.leading_ = false;
       api_.RoleChanged(0);
@@ -631,16 +631,16 @@
   };
   uint64_t ticket = 0;
   for (const Case& c : cases) {
-    orders_ = evacuation::Orders();
-    log_.orders_.clear();
+    drained_zones_ = zone_drain::DrainedZones();
+    log_.drained_zones_.clear();
     api_.OnRequest(0, ++ticket, Evacuation(c.method, "a"));
-    for (const auto& [zone, evacuated] : c.meanwhile) {
-      orders_.Apply({zone, evacuated});
+    for (const auto& [zone, drained] : c.meanwhile) {
+      drained_zones_.Apply({zone, drained});
       api_.Applied(0, 1);
     }
     ConfirmReads();
     EXPECT_EQ(StatusOf(ticket), c.status) << c.name;
-    EXPECT_EQ(log_.orders_.size(), c.status == 0 ? 1u : 0u) << c.name;
+    EXPECT_EQ(log_.drained_zones_.size(), c.status == 0 ? 1u : 0u) << c.name;
     ++log_.term_;
     api_.RoleChanged(0);
   }
@@ -672,23 +672,23 @@
   api_.OnRequest(0, 1, Evacuation("POST", "a"));
   api_.Gone(1);
   ConfirmReads();
-  EXPECT_TRUE(log_.orders_.empty());
+  EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(1), 0);
   // The process slept between the call and the confirmation.
   api_.OnRequest(0, 2, Evacuation("POST", "a"));
   api_.ReadDone(20000, log_.reads_.back(), true);
-  EXPECT_TRUE(log_.orders_.empty());
+  EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(2), 503);
   // What was proposed goes its way.
   log_.reads_.clear();
   api_.OnRequest(0, 3, Evacuation("POST", "a"));
   ConfirmReads();
-  ASSERT_EQ(log_.orders_.size(), 1u);
+  ASSERT_EQ(log_.drained_zones_.size(), 1u);
   api_.Gone(3);
   api_.OnRequest(0, 4, Evacuation("POST", "a"));
   ConfirmReads();
-  EXPECT_EQ(log_.orders_.size(), 1u);
-  orders_.Apply(log_.orders_[0]);
+  EXPECT_EQ(log_.drained_zones_.size(), 1u);
+  drained_zones_.Apply(log_.drained_zones_[0]);
   api_.Applied(0, 1);
   EXPECT_EQ(StatusOf(4), 200);
 }
@@ -725,15 +725,15 @@
 }
 
 TEST_F(OperatorApiTest, AnEvacuatedZoneThatLostItsLastServerIsTakenBack) {
-  orders_.Apply({"a", true});
+  drained_zones_.Apply({"a", true});
   log_.zones_.clear();
   api_.OnRequest(0, 1, Evacuation("POST", "a"));
   ConfirmReads();
   EXPECT_EQ(StatusOf(1), 200);  // sent again
   api_.OnRequest(0, 2, Evacuation("DELETE", "a"));
   ConfirmReads();
-  ASSERT_EQ(log_.orders_.size(), 1u);
-  orders_.Apply(log_.orders_[0]);
+  ASSERT_EQ(log_.drained_zones_.size(), 1u);
+  drained_zones_.Apply(log_.drained_zones_[0]);
   api_.Applied(0, 1);
   EXPECT_EQ(StatusOf(2), 200);
 }
@@ -754,9 +754,10 @@
   controller::ControlState state;
   state.Apply(controller::MakeCommand(controller::Command::Kind::kConfiguration,
                                       Change{false, 0, Document(2, kRoute)}));
-  state.Apply(controller::MakeCommand(controller::Command::Kind::kDuty, duty::Duty{5, 6, 7}));
-  state.Apply(controller::MakeCommand(controller::Command::Kind::kEvacuation,
-                                      evacuation::Order{"a", true}));
+  state.Apply(controller::MakeCommand(controller::Command::Kind::kCatalogReader,
+                                      singleton::Assignment{5, 6, 7}));
+  state.Apply(controller::MakeCommand(controller::Command::Kind::kZoneDrain,
+                                      zone_drain::DrainOrder{"a", true}));
   rollout::Step step;
   step.kind = rollout::Step::Kind::kOrder;
   step.order = {"s", "v2", 12000};
@@ -768,8 +769,8 @@
   auto read = controller::ControlState::Read(wire::Encode(state));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->configuration.revision(), 2);
-  EXPECT_EQ(read->duty.epoch, 7u);
-  EXPECT_TRUE(read->orders.Evacuated("a"));
+  EXPECT_EQ(read->catalog_reader.epoch, 7u);
+  EXPECT_TRUE(read->drained_zones.IsDrained("a"));
   ASSERT_TRUE(read->rollouts.Of("s"));
   EXPECT_EQ(read->rollouts.Of("s")->from, "v1");
   EXPECT_EQ(read->rollouts.Of("s")->watchers, (std::vector<uint64_t>{3, 4}));
@@ -777,17 +778,18 @@
   EXPECT_EQ(read->rollouts.version(), 2u);
   // Before there were roll-outs a snapshot ended with the evacuations.
   read = controller::ControlState::Read(wire::Encode(state.configuration) +
-                                        wire::Encode(state.duty) + wire::Encode(state.orders));
+                                        wire::Encode(state.catalog_reader) +
+                                        wire::Encode(state.drained_zones));
   ASSERT_TRUE(read);
-  EXPECT_TRUE(read->orders.Evacuated("a"));
+  EXPECT_TRUE(read->drained_zones.IsDrained("a"));
   EXPECT_EQ(read->rollouts.version(), 0u);
   // Before there were evacuations a snapshot ended with the duty.
-  read =
-      controller::ControlState::Read(wire::Encode(state.configuration) + wire::Encode(state.duty));
+  read = controller::ControlState::Read(wire::Encode(state.configuration) +
+                                        wire::Encode(state.catalog_reader));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->configuration.revision(), 2);
-  EXPECT_EQ(read->duty.epoch, 7u);
-  EXPECT_TRUE(read->orders.zones().empty());
+  EXPECT_EQ(read->catalog_reader.epoch, 7u);
+  EXPECT_TRUE(read->drained_zones.zones().empty());
   EXPECT_FALSE(controller::ControlState::Read("cut"));
 }
 
--- a/tests/cut_test.cc
+++ b/tests/cut_test.cc
@@ -282,7 +282,7 @@
 // What a former holder of the list says, also to a receiver that has just started, gives way to
 // its successor's word, and never comes back.
 TEST(Disseminator, TheWordOfAFormerHolderEndsWithTheFirstOfItsSuccessor) {
-  ring::Membership members({}, {}, 0);
+  membership::Membership members({}, {}, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
     dissemination::EndpointUpdate news;
     news.epoch = epoch;
@@ -292,23 +292,23 @@
   const base::Address from{"10.0.0.2", 1};
   for (bool restarted : {false, true}) {
     dissemination::Disseminator exchange({}, &members, 0);
-    if (!restarted) exchange.OnCatalog(0, from, list(4, 1));
-    exchange.OnCatalog(10, from, list(3, 9));  // of the former holder
-    EXPECT_EQ(exchange.catalog().epoch, restarted ? 3u : 4u);
-    exchange.OnCatalog(20, from, list(4, 1));
-    exchange.OnCatalog(30, from, list(3, 10));
-    EXPECT_EQ(exchange.catalog().epoch, 4u);
+    if (!restarted) exchange.OnEndpointUpdate(0, from, list(4, 1));
+    exchange.OnEndpointUpdate(10, from, list(3, 9));  // of the former holder
+    EXPECT_EQ(exchange.endpoints().epoch, restarted ? 3u : 4u);
+    exchange.OnEndpointUpdate(20, from, list(4, 1));
+    exchange.OnEndpointUpdate(30, from, list(3, 10));
+    EXPECT_EQ(exchange.endpoints().epoch, 4u);
     // Nor does a former holder publish once it has heard of its successor.
     EXPECT_FALSE(exchange.Publish(40, {3, 11, {}}));
-    EXPECT_EQ(exchange.catalog().epoch, 4u);
+    EXPECT_EQ(exchange.endpoints().epoch, 4u);
     dissemination::ZoneDrainUpdate old;
     dissemination::ZoneDrainUpdate current;
-    old.orders.Apply({"a", true});
-    current.orders = old.orders;
-    current.orders.Apply({"a", false});
-    exchange.OnEvacuation(50, from, current);
-    exchange.OnEvacuation(60, from, old);
-    EXPECT_FALSE(exchange.orders().Evacuated("a"));
+    old.drained_zones.Apply({"a", true});
+    current.drained_zones = old.drained_zones;
+    current.drained_zones.Apply({"a", false});
+    exchange.OnZoneDrainUpdate(50, from, current);
+    exchange.OnZoneDrainUpdate(60, from, old);
+    EXPECT_FALSE(exchange.drained_zones().IsDrained("a"));
   }
 }
 
@@ -378,8 +378,8 @@
     std::optional<uint64_t> Propose(const configuration::Change& change) override {
       return Put(controller::Command::Kind::kConfiguration, change);
     }
-    std::optional<uint64_t> Propose(const evacuation::Order& order) override {
-      return Put(controller::Command::Kind::kEvacuation, order);
+    std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
+      return Put(controller::Command::Kind::kZoneDrain, order);
     }
     std::optional<uint64_t> Propose(const rollout::Order&) override { return std::nullopt; }
     bool HasZone(const std::string&) const override { return true; }
@@ -387,7 +387,7 @@
 
     Desks* all;
     size_t i;
-    uint64_t life = 0;
+    uint64_t boot_id = 0;
     std::unique_ptr<configuration::OperatorApi> api;
     std::set<uint64_t> open;
   };
@@ -396,16 +396,16 @@
   configuration::OperatorApi* Api(size_t i) {
     Desk& d = *desks_[i];
     World::Node& n = world_->node(i);
-    if (!n.up || d.life != n.life) {
+    if (!n.up || d.boot_id != n.boot_id) {
       for (uint64_t ticket : d.open) answers[ticket].status = -1;
       d.open.clear();
       d.api.reset();
     }
     if (!n.up || n.frozen || !n.raft) return nullptr;
     if (!d.api) {
-      d.life = n.life;
+      d.boot_id = n.boot_id;
       d.api = std::make_unique<configuration::OperatorApi>(
-          &d, &n.state.configuration, &n.state.orders, &n.state.rollouts,
+          &d, &n.state.configuration, &n.state.drained_zones, &n.state.rollouts,
           [this, &d](uint64_t ticket, const wire::Message& m) {
             Answer& answer = answers[ticket];
             answer.status = m.status;
--- a/tests/directory_test.cc
+++ b/tests/directory_test.cc
@@ -15,28 +15,28 @@
     options.ttl_most_s = 5;
     return options;
   }
-  static ring::Membership::Options Options() {
-    ring::Membership::Options options;
+  static membership::Membership::Options Options() {
+    membership::Membership::Options options;
     options.self.id = 1;
-    options.self.program = ring::Program::kController;
+    options.self.program = membership::Program::kController;
     options.self.zone = "a1";
     options.regions = {{"a1", "a"}, {"a2", "a"}, {"b1", "b"}};
     return options;
   }
-  void Put(int n, const std::string& zone, ring::State state = ring::State::kAlive,
-           bool ready = true, ring::Program program = ring::Program::kProxy) {
-    ring::Node node;
+  void Put(int n, const std::string& zone, membership::State state = membership::State::kAlive,
+           bool ready = true, membership::Program program = membership::Program::kProxy) {
+    membership::Node node;
     node.id = 100 + static_cast<uint64_t>(n);
     node.ip = "10.0.0." + std::to_string(n);
     node.port = 7201;
     node.front = 8080;
     node.zone = zone;
-    node.life = 5;
+    node.boot_id = 5;
     node.incarnation = ++incarnation_;
     node.state = state;
     node.ready = ready;
     node.program = program;
-    members_.OnTable(0, {"10.0.9.9", 1}, ring::Table{{node}, {}});
+    members_.OnMembershipUpdate(0, {"10.0.9.9", 1}, membership::MembershipUpdate{{node}, {}});
   }
   wire::Message Call(const std::string& target, base::Millis now = 5000,
                      const std::string& method = "GET") {
@@ -57,7 +57,7 @@
   }
 
   uint32_t incarnation_ = 0;
-  ring::Membership members_;
+  membership::Membership members_;
   Directory directory_;
 };
 
@@ -95,22 +95,22 @@
   EXPECT_EQ(Named("b1"), (Set{"6", "7"}));
   EXPECT_EQ(Named("new", "a"), (Set{"1", "2", "3", "4", "5"}));  // its region, at least
   EXPECT_EQ(Named("new", "mars").size(), 7u);
-  Put(3, "a1", ring::State::kAlive, false);  // not ready
+  Put(3, "a1", membership::State::kAlive, false);  // not ready
   EXPECT_EQ(Named("a1"), (Set{"1", "2"}));
-  Put(2, "a1", ring::State::kDead);
+  Put(2, "a1", membership::State::kDead);
   // A zone that lost most of what it had is helped out by its region.
   Set named = Named("a1");
   EXPECT_EQ(named.count("1"), 1u);
   EXPECT_EQ(named.size(), 3u);
   EXPECT_EQ(named.count("6") + named.count("7"), 0u);
-  Put(1, "a1", ring::State::kLeft);
+  Put(1, "a1", membership::State::kLeft);
   EXPECT_EQ(Named("a1"), (Set{"4", "5"}));
-  for (int n : {4, 5}) Put(n, "a2", ring::State::kSuspect);
+  for (int n : {4, 5}) Put(n, "a2", membership::State::kSuspect);
   EXPECT_EQ(Named("a1"), (Set{"6", "7"}));
   // With nobody surely well, what may be is named; never nothing, and never who left.
-  for (int n : {6, 7}) Put(n, "b1", ring::State::kDead);
+  for (int n : {6, 7}) Put(n, "b1", membership::State::kDead);
   EXPECT_EQ(Named("a1"), (Set{"3"}));
-  for (int n : {3, 4, 5}) Put(n, n == 3 ? "a1" : "a2", ring::State::kDead);
+  for (int n : {3, 4, 5}) Put(n, n == 3 ? "a1" : "a2", membership::State::kDead);
   EXPECT_EQ(Named("a1"), (Set{"2", "3"}));
 }
 
@@ -119,26 +119,26 @@
 TEST_F(DirectoryTest, ARegionOfWhoseControllersNoneIsHeardIsDoubtful) {
   for (int n : {1, 2}) Put(n, "a1");
   for (int n : {6, 7}) Put(n, "b1");
-  auto core = [&](int n, const char* zone, ring::State state) {
-    Put(n, zone, state, false, ring::Program::kController);
+  auto core = [&](int n, const char* zone, membership::State state) {
+    Put(n, zone, state, false, membership::Program::kController);
   };
   using Set = std::set<std::string>;
-  core(20, "b1", ring::State::kAlive);
-  core(21, "b2", ring::State::kSuspect);
+  core(20, "b1", membership::State::kAlive);
+  core(21, "b2", membership::State::kSuspect);
   EXPECT_EQ(Named("b1", "b"), (Set{"6", "7"}));
-  core(20, "b1", ring::State::kSuspect);
-  core(21, "b1", ring::State::kDead);
+  core(20, "b1", membership::State::kSuspect);
+  core(21, "b1", membership::State::kDead);
   EXPECT_EQ(Named("b1", "b"), (Set{"1", "2"}));
   std::string target = "/elderkeel/resolution?label=h&zone=";
   EXPECT_NE(Call(target + "b1").body.find("\"ttl-s\":5"), std::string::npos);
   EXPECT_NE(Call(target + "a1").body.find("\"ttl-s\":1"), std::string::npos);
   // Nobody is well anywhere: the nearest again.
-  for (int n : {1, 2}) Put(n, "a1", ring::State::kSuspect);
+  for (int n : {1, 2}) Put(n, "a1", membership::State::kSuspect);
   EXPECT_EQ(Named("b1", "b"), (Set{"6", "7"}));
 }
 
 TEST_F(DirectoryTest, WaitsBrieflyForDoubtfulKnowledgeOnly) {
-  Put(1, "a1", ring::State::kAlive, false);
+  Put(1, "a1", membership::State::kAlive, false);
   EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1", 100).status, 503);
   EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1", 2000).status, 200);
 }
--- a/tests/duty_test.cc
+++ b/tests/duty_test.cc
@@ -1,16 +1,16 @@
-#include "duty/duty.h"
-
 #include <gtest/gtest.h>
 
-namespace elderkeel::duty {
+#include "singleton/assigner.h"
+
+namespace elderkeel::singleton {
 namespace {
 
 constexpr base::Millis kPatience = 1000;
 
-TEST(Duty, PassesOnOnlyWhenItMust) {
+TEST(Assignment, PassesOnOnlyWhenItMust) {
   struct Case {
     const char* name;
-    Duty current;
+    Assignment current;
     std::vector<Candidate> candidates;
     consensus::MemberId named;  // 0: nobody
   } cases[] = {
@@ -25,22 +25,22 @@
       {"nobody is left", {2, 0, 4}, {{2, 5000, false}}, 0},
   };
   for (const Case& c : cases) {
-    Assignment assignment(kPatience);
+    Assigner assignment(kPatience);
     auto named = assignment.Review(0, c.current, c.candidates);
-    EXPECT_EQ(named ? named->holder : 0, c.named) << c.name;
+    EXPECT_EQ(named ? named->owner : 0, c.named) << c.name;
     if (named) {
       EXPECT_EQ(named->epoch, c.current.epoch + 1) << c.name;
     }
   }
 }
 
-TEST(Duty, TakesAResignationOnlyFromTheHolderOfNow) {
+TEST(Assignment, TakesAResignationOnlyFromTheHolderOfNow) {
   std::vector<Candidate> heard = {{1, 0, true}, {2, 10, false}, {3, 10, false}, {4, 9000, false}};
   struct Case {
     const char* name;
     Resignation resignation;
     consensus::MemberId named;
-    uint64_t life;
+    uint64_t boot_id;
   } cases[] = {
       {"names its successor", {7, 3, 0}, 3, 0},    {"its successor is silent", {7, 4, 0}, 3, 0},
       {"leaves the choice", {7, 0, 0}, 3, 0},      {"is late", {6, 3, 0}, 0, 0},
@@ -48,22 +48,22 @@
       {"another member claims", {7, 3, 55}, 0, 0},
   };
   for (const Case& c : cases) {
-    Assignment assignment(kPatience);
-    auto named = assignment.Resigned(0, Duty{2, 44, 7}, heard, c.resignation);
-    EXPECT_EQ(named ? named->holder : 0, c.named) << c.name;
-    EXPECT_EQ(named ? named->life : 0, c.life) << c.name;
+    Assigner assignment(kPatience);
+    auto named = assignment.OnResignation(0, Assignment{2, 44, 7}, heard, c.resignation);
+    EXPECT_EQ(named ? named->owner : 0, c.named) << c.name;
+    EXPECT_EQ(named ? named->boot_id : 0, c.boot_id) << c.name;
   }
 }
 
-TEST(Duty, DoesNotProposeTwiceWhileOneIsUnderWay) {
-  Assignment assignment(kPatience);
+TEST(Assignment, DoesNotProposeTwiceWhileOneIsUnderWay) {
+  Assigner assignment(kPatience);
   std::vector<Candidate> candidates = {{1, 0, true}, {3, 10, false}};
-  EXPECT_TRUE(assignment.Review(0, Duty{2, 0, 7}, candidates));
-  EXPECT_FALSE(assignment.Review(500, Duty{2, 0, 7}, candidates));
-  EXPECT_TRUE(assignment.Review(2500, Duty{2, 0, 7}, candidates));  // the entry was lost
+  EXPECT_TRUE(assignment.Review(0, Assignment{2, 0, 7}, candidates));
+  EXPECT_FALSE(assignment.Review(500, Assignment{2, 0, 7}, candidates));
+  EXPECT_TRUE(assignment.Review(2500, Assignment{2, 0, 7}, candidates));  // the entry was lost
   assignment.Clear();
-  EXPECT_TRUE(assignment.Review(2600, Duty{2, 0, 7}, candidates));
+  EXPECT_TRUE(assignment.Review(2600, Assignment{2, 0, 7}, candidates));
 }
 
 }  // namespace
-}  // namespace elderkeel::duty
+}  // namespace elderkeel::singleton
--- a/tests/forwarding_test.cc
+++ b/tests/forwarding_test.cc
@@ -6,7 +6,7 @@
 #include "budget/budget.h"
 #include "forwarding/ledger.h"
 #include "forwarding/servers.h"
-#include "readiness/readiness.h"
+#include "lifecycle/lifecycle.h"
 
 namespace elderkeel {
 namespace {
@@ -53,11 +53,11 @@
   }
 }
 
-catalog::Catalog MakeCatalog(std::vector<catalog::Server> servers) {
-  return catalog::Catalog{1, 1, std::move(servers)};
+discovery::EndpointSnapshot MakeCatalog(std::vector<discovery::Server> servers) {
+  return discovery::EndpointSnapshot{1, 1, std::move(servers)};
 }
-catalog::Server Entry(const std::string& id, const std::string& zone, bool draining = false,
-                      int warm = 0) {
+discovery::Server Entry(const std::string& id, const std::string& zone, bool draining = false,
+                        int warm = 0) {
   return {id, "s", "10.0.0.1:80", zone, "v1", 2, draining, warm, warm};
 }
 
@@ -274,9 +274,9 @@
   EXPECT_FALSE(b.Spend(1));  // each service has its own
 }
 
-TEST(Readiness, StepsOfALife) {
-  readiness::Readiness r;
-  using Phase = readiness::Readiness::Phase;
+TEST(Lifecycle, StepsOfALife) {
+  lifecycle::Lifecycle r;
+  using Phase = lifecycle::Lifecycle::Phase;
   EXPECT_FALSE(r.Ready(0));
   r.Able(100);
   EXPECT_FALSE(r.Ready(1000));
@@ -286,7 +286,7 @@
   EXPECT_FALSE(r.Serving(25000));
   EXPECT_TRUE(r.Serving(30100));
   EXPECT_TRUE(r.Ready(30100));
-  readiness::Readiness c;
+  lifecycle::Lifecycle c;
   c.Able(100);
   c.Confirmed();
   EXPECT_TRUE(c.Ready(101));
@@ -317,25 +317,25 @@
   EXPECT_EQ(Choices(0)["none"], 200);
   EXPECT_FALSE(servers_.Any(names_.Find("s"), allowed_));
   allowed_.clear();
-  servers_.SetEvacuated(100, {"afar", "here"}, 3000);
+  servers_.SetDrainedZones(100, {"afar", "here"}, 3000);
   EXPECT_EQ(Choices(100)["b"], 200);
-  servers_.SetEvacuated(200, {"afar", "here", "there"}, 3000);
+  servers_.SetDrainedZones(200, {"afar", "here", "there"}, 3000);
   EXPECT_EQ(Choices(200)["none"], 200);
   EXPECT_FALSE(servers_.Any(names_.Find("s"), {}));
   // Taken back it may be cold, and is used as such.
-  servers_.SetEvacuated(300, {}, 3000);
+  servers_.SetDrainedZones(300, {}, 3000);
   EXPECT_TRUE(servers_.Any(names_.Find("s"), {}));
   EXPECT_EQ(servers_.at(0).warm_at, 3300);
 }
 
 TEST_F(ServersTest, SendsOnlyToVersionsThatAreAllowed) {
   auto list = [](std::vector<std::pair<std::string, std::string>> servers) {
-    catalog::Catalog catalog = MakeCatalog({});
+    discovery::EndpointSnapshot endpoints = MakeCatalog({});
     for (const auto& [id, version] : servers) {
-      catalog.servers.push_back(Entry(id, id[0] == 'h' ? "here" : "there"));
-      catalog.servers.back().revision = version;
+      endpoints.servers.push_back(Entry(id, id[0] == 'h' ? "here" : "there"));
+      endpoints.servers.back().revision = version;
     }
-    return catalog;
+    return endpoints;
   };
   // Twenty of each version in each of two zones, and another version that nobody ordered.
   std::vector<std::pair<std::string, std::string>> servers = {{"hx", "v9"}};
@@ -415,7 +415,7 @@
     std::vector<uint64_t> all;
     for (size_t i = 0; i < kProxies; ++i) all.push_back(random.Next());
     std::vector<std::unique_ptr<Servers>> proxies(kProxies);
-    catalog::Server cold{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
+    discovery::Server cold{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
     auto start = [&](size_t i, base::Millis now, base::Millis warm_at) {
       proxies[i] = std::make_unique<Servers>(options, &names, &regions, random.Next());
       cold.warm_at = warm_at;
--- a/tests/front_test.cc
+++ b/tests/front_test.cc
@@ -118,8 +118,8 @@
   }
   void Add(const std::string& id, const std::string& address) {
     // The first one is preferred: it is in this node's zone.
-    catalog_.servers.push_back(
-        {id, "s", address, catalog_.servers.empty() ? "a" : "b", "v", 2, false, 0, 0});
+    endpoints_.servers.push_back(
+        {id, "s", address, endpoints_.servers.empty() ? "a" : "b", "v", 2, false, 0, 0});
   }
   void Configure(int64_t timeout_ms = 1000, int64_t aim_ms = 2000) {
     auto route = [&](const char* label, const char* prefix, const char* variant) {
@@ -133,7 +133,7 @@
         route("post", "/post/", "effectful") +
         R"(],"service-list":[{"label":"s","max-conns":100}],"limits":{"max-header-bytes":600,"max-body-bytes":1000,"header-timeout-ms":200,"idle-timeout-ms":3000}})";
     front_->Adopt(configuration::Table::Build(text, front_->names(), front_->regions()));
-    front_->Adopt(catalog_);
+    front_->Adopt(endpoints_);
     // Some requests first, so that there is budget for further sends.
     for (int i = 0; i < 4; ++i) Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
   }
@@ -196,7 +196,7 @@
   std::string records_;
   telemetry::Recorder recorder_;
   std::vector<std::unique_ptr<StandIn>> servers_;
-  catalog::Catalog catalog_{1, 1, {}};
+  discovery::EndpointSnapshot endpoints_{1, 1, {}};
   std::unique_ptr<Front> front_;
 };
 
@@ -304,15 +304,15 @@
         front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
       }
       front_->SetServing(true);
-      catalog_.servers.clear();
+      endpoints_.servers.clear();
       auto* bad = Serve("i-bad", c.bad);
       auto* good = Serve("i-good", [](const std::string& r) { return Good(r); });
       Configure();
       for (int i = 0; i < 3; ++i) Exchange(Ask("get", "warm-" + std::to_string(i)));
       // The warm-up may have taught the node to avoid the bad server: a fresh view, with the
       // budget.
-      catalog_.servers[0].id = "i-bad-2";
-      front_->Adopt(catalog_);
+      endpoints_.servers[0].id = "i-bad-2";
+      front_->Adopt(endpoints_);
       size_t before = bad->requests.size() + good->requests.size();
       std::string answer = Exchange(Ask(kind));
       std::string want =
@@ -355,7 +355,7 @@
 // comes late is rejected without being offered.
 TEST_F(FrontTest, WhatAnEndingProxyTakesItAnswers) {
   auto* server = Serve("i-1", [](const std::string&) { return std::string(); });
-  catalog_.servers.back().capacity = 100;
+  endpoints_.servers.back().capacity = 100;
   Configure(5000, 5000);
   struct Client {
     int fd = -1;
@@ -364,10 +364,10 @@
     bool sent = false;
     std::string answer = "";
   };
-  readiness::Readiness::Options options;
+  lifecycle::Lifecycle::Options options;
   options.grace = 1200;
   options.notice = 500;
-  readiness::Readiness readiness(options);
+  lifecycle::Lifecycle readiness(options);
   base::Millis begin = base::SteadyMillis();
   readiness.Leave(begin);
   front_->SetLeaving();
@@ -487,8 +487,8 @@
   auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure(1000, 200);
   for (int i = 0; i < 3; ++i) Exchange(Ask("get", "w" + std::to_string(i)));
-  catalog_.servers[0].id = "i-1-again";
-  front_->Adopt(catalog_);
+  endpoints_.servers[0].id = "i-1-again";
+  front_->Adopt(endpoints_);
   size_t before = silent->requests.size();
   EXPECT_EQ(Status(Exchange(Ask("get", "late"))), 200);
   EXPECT_EQ(silent->requests.size(), before + 1);
@@ -565,8 +565,8 @@
   Configure();
   for (int i = 0; i < 5; ++i) EXPECT_EQ(Status(Exchange(Ask("get", "r" + std::to_string(i)))), 200);
   EXPECT_EQ(server->connections, 1);
-  catalog_.servers[0].draining = true;
-  front_->Adopt(catalog_);
+  endpoints_.servers[0].draining = true;
+  front_->Adopt(endpoints_);
   std::string answer = Exchange(Ask("get", "nobody-there"));
   EXPECT_EQ(Status(answer), 503);
   EXPECT_FALSE(HeaderOf(answer, "Retry-After").empty());
--- a/tests/golden_test.cc
+++ b/tests/golden_test.cc
@@ -17,10 +17,10 @@
 #include "dissemination/confirm.h"
 #include "dissemination/messages.h"
 #include "dissemination/sync.h"
-#include "duty/duty.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "rollout/messages.h"
 #include "rollout/rollouts.h"
+#include "singleton/assigner.h"
 #include "wire/frame.h"
 
 namespace elderkeel {
@@ -107,8 +107,8 @@
   return step;
 }
 
-catalog::Server MakeServer(const std::string& id) {
-  catalog::Server server;
+discovery::Server MakeServer(const std::string& id) {
+  discovery::Server server;
   server.id = id;
   server.service = "service";
   server.address = "10.1.0.5:8080";
@@ -170,10 +170,12 @@
   std::vector<std::pair<std::string, std::string>> commands = {
       {"configuration", controller::MakeCommand(Command::Kind::kConfiguration, MakeChange(false))},
       {"patch", controller::MakeCommand(Command::Kind::kConfiguration, MakeChange(true))},
-      {"duty", controller::MakeCommand(Command::Kind::kDuty, duty::Duty{8, 99, 4})},
-      {"drain", controller::MakeCommand(Command::Kind::kEvacuation, evacuation::Order{"z2", true})},
+      {"duty",
+       controller::MakeCommand(Command::Kind::kCatalogReader, singleton::Assignment{8, 99, 4})},
+      {"drain",
+       controller::MakeCommand(Command::Kind::kZoneDrain, zone_drain::DrainOrder{"z2", true})},
       {"undrain",
-       controller::MakeCommand(Command::Kind::kEvacuation, evacuation::Order{"z3", false})},
+       controller::MakeCommand(Command::Kind::kZoneDrain, zone_drain::DrainOrder{"z3", false})},
       {"versions", controller::MakeCommand(Command::Kind::kRollout, MakeFoundStep())},
       {"order", controller::MakeCommand(Command::Kind::kRollout, MakeOrderStep())},
   };
@@ -184,36 +186,36 @@
   }
   golden.AddEncoded("control-state", state);
   EXPECT_EQ(state.configuration.revision(), 7);
-  EXPECT_EQ(state.orders.zones().size(), 1u);
+  EXPECT_EQ(state.drained_zones.zones().size(), 1u);
   EXPECT_NE(state.rollouts.Of("service"), nullptr);
 }
 
 TEST(Golden, MembershipAndDisseminationFrames) {
   Golden golden("golden_gossip.txt");
-  ring::Node node;
+  membership::Node node;
   node.id = 5;
   node.ip = "10.0.0.5";
   node.port = 7201;
-  node.program = ring::Program::kController;
+  node.program = membership::Program::kController;
   node.zone = "zone-1";
-  node.life = 77;
+  node.boot_id = 77;
   node.incarnation = 3;
-  node.state = ring::State::kSuspect;
-  node.accusers = {6, 7};
+  node.state = membership::State::kSuspect;
+  node.suspecters = {6, 7};
   node.front = 8381;
   node.ready = true;
   node.durable = true;
   golden.AddEncoded("node", node);
   golden.Add("node-digest", std::to_string(node.Mark()));
-  golden.AddEncoded("heartbeat", ring::Heartbeat{1, 2, 3, 4});
-  ring::Table table;
+  golden.AddEncoded("heartbeat", membership::Heartbeat{1, 2, 3, 4});
+  membership::MembershipUpdate table;
   table.nodes = {node};
-  table.wants = {8, 9};
+  table.wanted_ids = {8, 9};
   golden.AddEncoded("table", table);
-  ring::Sums sums;
+  membership::PartDigests sums;
   for (size_t i = 0; i < sums.parts.size(); ++i) sums.parts[i] = i * i;
   golden.AddEncoded("sums", sums);
-  ring::Summary summary;
+  membership::MembershipSummary summary;
   summary.parts = 5;
   summary.marks = {{1, 2}, {3, 4}};
   golden.AddEncoded("summary", summary);
@@ -222,9 +224,9 @@
   digest.revision = 1;
   digest.epoch = 2;
   digest.sequence = 3;
-  digest.evacuation = 4;
+  digest.zone_drains = 4;
   digest.rollouts = 5;
-  digest.catalog_age_ms = 6;
+  digest.endpoints_read_age_ms = 6;
   digest.answer = true;
   digest.reliable = true;
   digest.demand = {{demand::Key("zone-1"), 10, 3, {{demand::Key("service"), 1.5f}}}};
@@ -243,7 +245,7 @@
   endpoints.gone = {"i-3"};
   golden.AddEncoded("endpoint-update", endpoints);
   dissemination::ZoneDrainUpdate drains;
-  drains.orders.Apply({"z2", true});
+  drains.drained_zones.Apply({"z2", true});
   golden.AddEncoded("zone-drain-update", drains);
   dissemination::RolloutUpdate rollouts;
   rollouts.rollouts.Apply(MakeFoundStep());
@@ -256,14 +258,14 @@
                     dissemination::SyncRequest{1000, {1, 2, 3}, {4, 5}, true, true});
   golden.AddEncoded("sync-reply",
                     dissemination::SyncReply{1000, {1, 2, 3}, 50, {4, 5}, 60, 70, 80, 90});
-  golden.AddEncoded("resignation", duty::Resignation{4, 8, 99});
+  golden.AddEncoded("resignation", singleton::Resignation{4, 8, 99});
 }
 
 TEST(Golden, RolloutAndDiagnosisFrames) {
   Golden golden("golden_rollout.txt");
   rollout::Tally tally;
   tally.node = 1;
-  tally.life = 2;
+  tally.boot_id = 2;
   tally.number = 3;
   tally.version = 4;
   tally.age_ms = 5;
@@ -279,7 +281,7 @@
   rollout::Vote vote;
   vote.number = 1;
   vote.watcher = 2;
-  vote.life = 3;
+  vote.boot_id = 3;
   vote.version = 4;
   vote.opinion = rollout::Opinion::kBad;
   vote.why = "reason";
@@ -307,9 +309,9 @@
     golden.Add("opinion-" + std::to_string(opinion),
                rollout::OpinionName(static_cast<rollout::Opinion>(opinion)));
   }
-  for (int state = 0; state <= static_cast<int>(ring::State::kLeft); ++state) {
+  for (int state = 0; state <= static_cast<int>(membership::State::kLeft); ++state) {
     golden.Add("node-state-" + std::to_string(state),
-               ring::StateName(static_cast<ring::State>(state)));
+               membership::StateName(static_cast<membership::State>(state)));
   }
 }
 
@@ -318,7 +320,7 @@
   const std::vector<Kind> kinds = {
       Kind::kConsensus,
       Kind::kJoin,
-      Kind::kMembers,
+      Kind::kMembershipUpdate,
       Kind::kHeartbeat,
       Kind::kDigest,
       Kind::kPullRequest,
@@ -331,7 +333,7 @@
       Kind::kQueryReply,
       Kind::kSummary,
       Kind::kZoneDrainUpdate,
-      Kind::kSums,
+      Kind::kPartDigests,
       Kind::kRolloutUpdate,
       Kind::kTally,
       Kind::kTouch,
--- a/tests/histories_test.cc
+++ b/tests/histories_test.cc
@@ -71,8 +71,8 @@
   auto take_back = [](int order, uint64_t begin, uint64_t end, int status) {
     return Op(Kind::kTakeBack, order, begin, end, status);
   };
-  auto read = [](uint64_t begin, uint64_t end, bool evacuated) {
-    return Op(Kind::kReadZone, 0, begin, end, 200, evacuated ? "evacuated" : "not");
+  auto read = [](uint64_t begin, uint64_t end, bool drained) {
+    return Op(Kind::kReadZone, 0, begin, end, 200, drained ? "evacuated" : "not");
   };
   struct Case {
     const char* name;
--- a/tests/linearizability.h
+++ b/tests/linearizability.h
@@ -162,25 +162,25 @@
 // One zone. An order takes effect at most once, however often it is sent.
 struct ZoneModel {
   struct State {
-    bool evacuated = false;
+    bool drained = false;
     std::set<int> taken;
   };
   static State Initial() { return {}; }
   static std::string Key(const State& s) {
-    std::string key = s.evacuated ? "e" : "-";
+    std::string key = s.drained ? "e" : "-";
     for (int order : s.taken) key += "," + std::to_string(order);
     return key;
   }
   static std::vector<State> Step(const State& s, const Operation& o) {
     if (o.kind == Operation::Kind::kReadZone) {
-      bool right = (o.text == "evacuated") == s.evacuated;
+      bool right = (o.text == "evacuated") == s.drained;
       return right ? std::vector<State>{s} : std::vector<State>{};
     }
     if (o.clear() && o.status != 200) return {};
     if (s.taken.count(o.order)) return {s};
     State after = s;
     after.taken.insert(o.order);
-    after.evacuated = o.kind == Operation::Kind::kEvacuate;
+    after.drained = o.kind == Operation::Kind::kEvacuate;
     return {after};
   }
 };
--- a/tests/once_world.h
+++ b/tests/once_world.h
@@ -203,7 +203,7 @@
   }
 
   void Start(Proxy* p) {
-    std::vector<catalog::Server> list;
+    std::vector<discovery::Server> list;
     for (size_t i = 0; i < servers_.size(); ++i) {
       list.push_back({"i-" + std::to_string(i), "s", servers_[i]->address().ToString(),
                       i % 2 ? "b" : "a", "v", 6, false, 0, 0});
@@ -228,7 +228,7 @@
     front.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
     front.Adopt(configuration::Table::Build(stand_in::ConfigurationText(1000, 200, 3000),
                                             front.names(), front.regions()));
-    front.Adopt(catalog::Catalog{1, 1, list});
+    front.Adopt(discovery::EndpointSnapshot{1, 1, list});
     loop.Run();
     _exit(0);
   }
--- a/tests/operators.h
+++ b/tests/operators.h
@@ -64,7 +64,7 @@
     door.log = std::make_unique<NodeLog>(world_, i);
     controller::ControlState& state = world_->node(i).state;
     door.api = std::make_unique<configuration::OperatorApi>(
-        door.log.get(), &state.configuration, &state.orders, &state.rollouts,
+        door.log.get(), &state.configuration, &state.drained_zones, &state.rollouts,
         [this, i](uint64_t ticket, const wire::Message& answer) { Answered(i, ticket, answer); });
   }
   void Crashed(size_t i) override {
@@ -118,8 +118,8 @@
     std::optional<uint64_t> Propose(const configuration::Change& change) override {
       return Put(controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
     }
-    std::optional<uint64_t> Propose(const evacuation::Order& order) override {
-      return Put(controller::MakeCommand(controller::Command::Kind::kEvacuation, order));
+    std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
+      return Put(controller::MakeCommand(controller::Command::Kind::kZoneDrain, order));
     }
     std::optional<uint64_t> Propose(const rollout::Order& order) override {
       rollout::Step step;
@@ -127,7 +127,7 @@
       step.order = order;
       std::vector<rollout::Candidate> watchers;
       for (const auto& [id, n] : node().members->nodes()) {
-        if (n.durable && n.state == ring::State::kAlive) watchers.push_back({id, n.zone});
+        if (n.durable && n.state == membership::State::kAlive) watchers.push_back({id, n.zone});
       }
       step.watchers = rollout::NameWatchers(order.service, watchers);
       return Put(controller::MakeCommand(controller::Command::Kind::kRollout, step));
@@ -203,8 +203,8 @@
       std::string zone = kZones[random_.Below(3)];
       if (random_.Below(3) == 0) return Begin(Operation::Kind::kReadZone, zone);
       if (!busy_.insert(zone).second) return;
-      bool evacuate = wanted_[zone] = !wanted_[zone];
-      Begin(evacuate ? Operation::Kind::kEvacuate : Operation::Kind::kTakeBack, zone);
+      bool drain = wanted_[zone] = !wanted_[zone];
+      Begin(drain ? Operation::Kind::kEvacuate : Operation::Kind::kTakeBack, zone);
     } else {
       std::string service = kServices[random_.Below(2)];
       if (random_.Below(2) == 0) return Begin(Operation::Kind::kReadOrder, service);
@@ -214,7 +214,7 @@
   }
   void Change(int64_t on, int64_t revision) {
     Operation o;
-    o.order = ++orders_;
+    o.order = ++drained_zones_;
     o.if_match = on;
     o.revision = revision;
     std::string number = std::to_string(revision), name = std::to_string(o.order);
@@ -233,7 +233,7 @@
     Operation o;
     o.kind = kind;
     o.object = object;
-    o.order = ++orders_;
+    o.order = ++drained_zones_;
     if (kind == Operation::Kind::kOrder) o.text = "v" + std::to_string(o.order);
     Begin(std::move(o), Reads(kind) ? 4000 : 8000);
   }
@@ -464,7 +464,8 @@
     if (at == zone_reads_.end() || at->second.node != i) return;
     wire::Message answer;
     answer.status = confirmed ? 200 : 503;
-    answer.body = world_->node(i).state.orders.Evacuated(at->second.zone) ? "evacuated" : "not";
+    answer.body =
+        world_->node(i).state.drained_zones.IsDrained(at->second.zone) ? "evacuated" : "not";
     uint64_t ticket = at->second.ticket;
     zone_reads_.erase(at);
     Answered(i, ticket, answer);
@@ -482,7 +483,7 @@
   std::set<std::string> busy_;          // zones and services with an order under way
   std::map<std::string, bool> wanted_;  // of zones
   int64_t known_ = 0;                   // the revision that operators build on
-  int orders_ = 0;
+  int drained_zones_ = 0;
   uint64_t clock_ = 0, event_order_ = 0, next_call_ = 0, next_ticket_ = 0, next_token_ = 0;
   size_t acknowledged_ = 0;
   Millis think_at_ = 0;
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -262,10 +262,10 @@
   auto logged = [&](const char* text) {
     return base::ReadFile((dir_ / "p0.log").string())->find(text) != std::string::npos;
   };
-  EXPECT_TRUE(Eventually([&] { return logged("event=settings.kept step=settings"); }));
+  EXPECT_TRUE(Eventually([&] { return logged("event=settings.rejected step=settings"); }));
   Settings("p0", 0, false);
   std::ofstream(settings, std::ios::app) << "elderkeel.connect-ms=300\n";
-  EXPECT_TRUE(Eventually([&] { return logged("event=settings.taken"); }));  // without a signal
+  EXPECT_TRUE(Eventually([&] { return logged("event=settings.applied"); }));  // without a signal
   EXPECT_EQ(Ask(0, "/c/x"), 200);
 
   EXPECT_EQ(Stop("p1", SIGTERM), 0);
--- a/tests/propagation_test.cc
+++ b/tests/propagation_test.cc
@@ -73,10 +73,10 @@
       if (measured) Look();
     }
   }
-  // Orders that one more zone is drained; zones are never taken back here.
+  // DrainedZones that one more zone is drained; zones are never taken back here.
   void OrderDrain() {
     drains_.push_back({"drained-" + std::to_string(drains_.size()), -1});
-    if (!world_->Evacuate(drains_.back().first, true)) drains_.pop_back();
+    if (!world_->DrainZone(drains_.back().first, true)) drains_.pop_back();
   }
   void ChangeList() {
     world_->ChangeList();
@@ -90,7 +90,7 @@
  private:
   void NoteDrains() {
     for (auto& [zone, at] : drains_) {
-      if (at < 0 && world_->acknowledged_evacuation(zone)) at = world_->now;
+      if (at < 0 && world_->acknowledged_drain(zone)) at = world_->now;
     }
   }
   void Look() {
@@ -105,7 +105,7 @@
         where_ = node.address.ip + " of zone " + node.zone;
       }
       for (const auto& [zone, at] : drains_) {
-        if (at < 0 || node.disseminator->orders().Evacuated(zone)) continue;
+        if (at < 0 || node.disseminator->drained_zones().IsDrained(zone)) continue;
         worst_drain_ = std::max(worst_drain_, world_->now - at);
       }
       if (list_changed_at_ >= 0 && !world_->KnowsList(i)) {
--- a/tests/ring_test.cc
+++ b/tests/ring_test.cc
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "simulation.h"
 
-namespace elderkeel::ring {
+namespace elderkeel::membership {
 namespace {
 
 Node Member(size_t i, size_t zones) {
@@ -12,7 +12,7 @@
   node.port = 7200;
   node.id = base::Hash(node.address().ToString());
   node.zone = std::string(1, static_cast<char>('a' + i % zones));
-  node.life = 1000 + i;
+  node.boot_id = 1000 + i;
   node.incarnation = 1;
   return node;
 }
@@ -66,18 +66,19 @@
   for (int round = 0; round < 40; ++round) {
     size_t zones = 1 + random.Below(7), count = 1 + random.Below(60);
     Membership m(OptionsOf(Member(0, zones), 1 + random.Below(3)), {}, 0);
-    Table table;
-    for (size_t i = 1; i < count; ++i) table.nodes.push_back(Member(i, zones));
-    m.OnTable(0, table.nodes.empty() ? base::Address() : table.nodes[0].address(), table);
+    MembershipUpdate update;
+    for (size_t i = 1; i < count; ++i) update.nodes.push_back(Member(i, zones));
+    m.OnMembershipUpdate(0, update.nodes.empty() ? base::Address() : update.nodes[0].address(),
+                         update);
     for (int change = 0; change < 10; ++change) {
       for (const auto& [id, node] : m.nodes()) {
         std::vector<uint64_t> ids;
-        for (const Node* watcher : m.WatchersOf(id)) ids.push_back(watcher->id);
+        for (const Node* monitor : m.MonitorsOf(id)) ids.push_back(monitor->id);
         std::sort(ids.begin(), ids.end());
         ASSERT_EQ(ids, ByWalking(m, id)) << count << " nodes in " << zones << " zones";
       }
       // Some die, some return.
-      Table news;
+      MembershipUpdate news;
       for (size_t i = 1; i < count; ++i) {
         if (random.Below(4) > 0) continue;
         Node node = Member(i, zones);
@@ -85,7 +86,7 @@
         node.state = random.Below(2) ? State::kDead : State::kAlive;
         news.nodes.push_back(node);
       }
-      m.OnTable(0, base::Address(), news);
+      m.OnMembershipUpdate(0, base::Address(), news);
     }
   }
 }
@@ -93,15 +94,15 @@
 // A cut does not tell from a death: what all share goes by those that may exist.
 TEST(Ring, CountsThoseThatMayExist) {
   Membership m(OptionsOf(Member(0, 2), 1), {}, 0);
-  Table table;
+  MembershipUpdate update;
   State states[] = {State::kAlive, State::kSuspect, State::kDead, State::kDead, State::kLeft};
   for (size_t i = 0; i < 5; ++i) {
-    table.nodes.push_back(Member(1 + i, 2));
-    table.nodes.back().state = states[i];
+    update.nodes.push_back(Member(1 + i, 2));
+    update.nodes.back().state = states[i];
   }
-  m.OnTable(0, base::Address(), table);
+  m.OnMembershipUpdate(0, base::Address(), update);
   EXPECT_EQ(m.CountAlive(Program::kProxy), 3u);
-  EXPECT_EQ(m.CountPossible(Program::kProxy), 5u);
+  EXPECT_EQ(m.CountNotLeft(Program::kProxy), 5u);
 }
 
 // Two tables of three hundred nodes that differ in a few records become one for about those records
@@ -110,29 +111,29 @@
   constexpr size_t kNodes = 300;
   for (size_t differ : {1u, 5u}) {
     Membership a(OptionsOf(Member(0, 5), 1), {}, 0), b(OptionsOf(Member(1, 5), 1), {}, 0);
-    Table table;
-    for (size_t i = 0; i < kNodes; ++i) table.nodes.push_back(Member(i, 5));
-    a.OnTable(0, base::Address(), table);
-    b.OnTable(0, base::Address(), table);
-    Table news;
+    MembershipUpdate update;
+    for (size_t i = 0; i < kNodes; ++i) update.nodes.push_back(Member(i, 5));
+    a.OnMembershipUpdate(0, base::Address(), update);
+    b.OnMembershipUpdate(0, base::Address(), update);
+    MembershipUpdate news;
     for (size_t i = 0; i < differ; ++i) {
       Node node = Member(100 + i * 31, 5);
       node.incarnation = 9;
       news.nodes.push_back(node);
     }
-    a.OnTable(0, base::Address(), news);
+    a.OnMembershipUpdate(0, base::Address(), news);
     a.Take();
     b.Take();
     ASSERT_NE(a.Digest(), b.Digest());
     size_t bytes = 0;
-    b.OnHeartbeat(1000, a.self().address(), {a.self().id, a.self().life, 1, a.Digest()});
+    b.OnHeartbeat(1000, a.self().address(), {a.self().id, a.self().boot_id, 1, a.Digest()});
     Membership* from = &b;
     Membership* to = &a;
     for (int turn = 0; turn < 6; ++turn) {
       Membership::Effects effects = from->Take();
       for (const auto& [address, m] : effects.sums) {
         bytes += wire::Encode(m).size();
-        to->OnSums(1000, from->self().address(), m);
+        to->OnPartDigests(1000, from->self().address(), m);
       }
       for (const auto& [address, m] : effects.summaries) {
         bytes += wire::Encode(m).size();
@@ -141,7 +142,7 @@
       for (const auto& [address, m] : effects.tables) {
         if (address != to->self().address()) continue;
         bytes += wire::Encode(m).size();
-        to->OnTable(1000, from->self().address(), m);
+        to->OnMembershipUpdate(1000, from->self().address(), m);
       }
       std::swap(from, to);
     }
@@ -164,13 +165,13 @@
   };
   for (const Case& c : cases) {
     Membership membership(OptionsOf(Member(0, 2), 1), {}, 0);
-    Table table;
-    for (size_t i = 1; i < 4; ++i) table.nodes.push_back(Member(i, 2));
+    MembershipUpdate update;
+    for (size_t i = 1; i < 4; ++i) update.nodes.push_back(Member(i, 2));
     for (const auto& [i, state] : c.durable) {
-      table.nodes[i - 1].durable = true;
-      table.nodes[i - 1].state = state;
+      update.nodes[i - 1].durable = true;
+      update.nodes[i - 1].state = state;
     }
-    membership.OnTable(10, table.nodes[0].address(), table);
+    membership.OnMembershipUpdate(10, update.nodes[0].address(), update);
     auto expected = [](int i) {
       return i < 0 ? std::optional<base::Address>() : Member(static_cast<size_t>(i), 2).address();
     };
@@ -180,7 +181,7 @@
 }
 
 }  // namespace
-}  // namespace elderkeel::ring
+}  // namespace elderkeel::membership
 
 namespace elderkeel::simulation {
 namespace {
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -99,16 +99,16 @@
     Rollouts state;
     if (*c.in_force) state.Apply(Found("s", c.in_force));
     if (*c.ordered) state.Apply(Ordered(c.ordered, 1000));
-    catalog::Catalog catalog;
+    discovery::EndpointSnapshot endpoints;
     for (const auto& [version, draining] : c.servers) {
-      catalog::Server server;
-      server.id = std::to_string(catalog.servers.size());
+      discovery::Server server;
+      server.id = std::to_string(endpoints.servers.size());
       server.service = "s";
       server.revision = version;
       server.draining = draining;
-      catalog.servers.push_back(server);
+      endpoints.servers.push_back(server);
     }
-    auto found = FindVersions(state, catalog);
+    auto found = FindVersions(state, endpoints);
     std::string text = found.empty() ? "" : found[0].second;
     EXPECT_EQ(text, c.found) << c.in_force << "/" << c.ordered << "/" << c.servers.size();
   }
@@ -289,7 +289,7 @@
   ASSERT_TRUE(watcher.active());
   Tally tally;
   tally.node = 1;
-  tally.life = 5;
+  tally.boot_id = 5;
   tally.number = 1;
   tally.version = state.version();
   tally.age_ms = 100;
@@ -319,7 +319,7 @@
   EXPECT_EQ(vote.exposed, 50u);
   EXPECT_EQ(vote.rows[0].new_version.answers, 50u);
   // Another life of the same proxy counts from nothing again.
-  tally.life = 6;
+  tally.boot_id = 6;
   tally.age_ms = 10;
   EXPECT_TRUE(watcher.OnTally(5200, tally));
   vote = told(5600, {{1, true}});
@@ -538,11 +538,11 @@
   state.Apply(Ordered("v2", 14000, {1, 2, 3}));
   Conductor conductor{Conductor::Options()};
   conductor.Adopt(0, state);
-  auto tell = [&](uint64_t life, Opinion opinion) {
+  auto tell = [&](uint64_t boot_id, Opinion opinion) {
     Vote vote;
     vote.number = 1;
     vote.watcher = 1;
-    vote.life = life;
+    vote.boot_id = boot_id;
     vote.opinion = opinion;
     conductor.OnVote(100, vote);
     return conductor.VotesOn(1).at(1).vote.opinion;
--- a/tests/served_history.h
+++ b/tests/served_history.h
@@ -29,9 +29,9 @@
   // A change that no valid configuration may carry.
   void Invalid(int64_t revision) { invalid_[revision] = true; }
   // `bounded`: the node has been in touch for long enough to be held to the bound.
-  void Served(base::Millis now, const std::string& node, uint64_t life, int64_t revision,
+  void Served(base::Millis now, const std::string& node, uint64_t boot_id, int64_t revision,
               uint64_t digest, bool bounded) {
-    int64_t& newest = newest_[{node, life}];
+    int64_t& newest = newest_[{node, boot_id}];
     if (revision < newest) Fail(node + " went back to ", revision);
     newest = revision;
     if (revision > 0) {
