--- a/tests/served_history_test.cc
+++ b/tests/served_history_test.cc
@@ -21,7 +21,7 @@
     int64_t acknowledged;  // 0 for none
     int64_t served;        // -1 for none
     uint64_t digest;
-    uint64_t life;
+    uint64_t boot_id;
   };
   struct Case {
     const char* name;
@@ -53,7 +53,7 @@
       }
       if (step.acknowledged) history.Acknowledged(step.now, step.acknowledged);
       if (step.served >= 0) {
-        history.Served(step.now, "n", step.life, step.served, step.digest, true);
+        history.Served(step.now, "n", step.boot_id, step.served, step.digest, true);
       }
     }
     EXPECT_EQ(history.fault(), c.fault) << c.name;
@@ -142,13 +142,13 @@
     World::Node& node = world_.node(i);
     if (!node.up || node.frozen) return;
     int64_t revision = node.disseminator->revision();
-    auto& [life, seen, digest] = seen_[i];
-    if (life != node.life || seen != revision) {
-      life = node.life;
+    auto& [boot_id, seen, digest] = seen_[i];
+    if (boot_id != node.boot_id || seen != revision) {
+      boot_id = node.boot_id;
       seen = revision;
-      digest = base::Hash(node.disseminator->config_text());
+      digest = base::Hash(node.disseminator->configuration_text());
     }
-    history_.Served(world_.now, node.address.ip, life, revision, digest, bounded);
+    history_.Served(world_.now, node.address.ip, boot_id, revision, digest, bounded);
   }
 
   // One more change; beside it at times a rival on the same version, a repeat, or an invalid one.
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -14,11 +14,11 @@
 #include "controller/control_state.h"
 #include "dissemination/confirm.h"
 #include "dissemination/disseminator.h"
-#include "duty/duty.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "rollout/conductor.h"
 #include "rollout/gate.h"
 #include "rollout/watcher.h"
+#include "singleton/assigner.h"
 
 namespace elderkeel::simulation {
 
@@ -79,13 +79,13 @@
     Millis disk_hangs_until = 0;
     Millis leave_by = 0;  // when an orderly end is cut short; 0 for none under way
     // A life.
-    uint64_t life = 0;
+    uint64_t boot_id = 0;
     std::unique_ptr<consensus::RaftNode> raft;
     controller::ControlState state;
-    std::unique_ptr<duty::Assignment> assignment;
+    std::unique_ptr<singleton::Assigner> assignment;
     uint64_t watched_epoch = 0, sequence = 0;
     Millis poll_at = 0, claim_at = 0, join_at = 0;
-    std::unique_ptr<ring::Membership> members;
+    std::unique_ptr<membership::Membership> members;
     std::unique_ptr<dissemination::Disseminator> disseminator;
     int64_t adopted_revision = 0;
     uint64_t adopted_epoch = 0, adopted_sequence = 0;
@@ -163,31 +163,32 @@
     n.up = true;
     n.frozen = false;
     n.leave_by = 0;
-    n.life = random_.Next() | 1;
+    n.boot_id = random_.Next() | 1;
     n.adopted_revision = 0;
     n.adopted_epoch = n.adopted_sequence = 0;
-    ring::Membership::Options member;
+    membership::Membership::Options member;
     member.self.ip = n.address.ip;
     member.self.port = n.address.port;
     member.self.id = base::Hash(n.address.ToString());
     member.self.zone = n.zone;
-    member.self.life = n.life;
+    member.self.boot_id = n.boot_id;
     member.self.durable = n.controller;
-    member.self.program = n.controller ? ring::Program::kController : ring::Program::kProxy;
+    member.self.program =
+        n.controller ? membership::Program::kController : membership::Program::kProxy;
     member.seed = random_.Next();
     member.regions = options_.regions;
     std::vector<Address> seeds;
     for (int k = 0; k < std::min(3, options_.controllers); ++k) {
       if (nodes_[k].get() != &n) seeds.push_back(nodes_[k]->address);
     }
-    n.members = std::make_unique<ring::Membership>(member, seeds, now);
+    n.members = std::make_unique<membership::Membership>(member, seeds, now);
     dissemination::Disseminator::Options gossip;
     gossip.seed = random_.Next();
     gossip.max_age = n.controller ? 500 : 900;
     gossip.seeds = seeds;
     n.disseminator = std::make_unique<dissemination::Disseminator>(gossip, n.members.get(), now);
     n.flights.clear();
-    n.confirmation = std::make_unique<dissemination::Confirmation>(n.life);
+    n.confirmation = std::make_unique<dissemination::Confirmation>(n.boot_id);
     n.confirmed_at = -1;
     n.confirms.clear();
     n.vouchers.clear();
@@ -195,11 +196,11 @@
     n.conductor = std::make_unique<rollout::Conductor>(rollout::Conductor::Options());
     rollout::Watcher::Options watch;
     watch.self = member.self.id;
-    watch.life = n.life;
+    watch.boot_id = n.boot_id;
     n.watcher = std::make_unique<rollout::Watcher>(watch);
     if (!n.controller) return;
     n.state = controller::ControlState();
-    n.assignment = std::make_unique<duty::Assignment>(1000);
+    n.assignment = std::make_unique<singleton::Assigner>(1000);
     n.watched_epoch = n.sequence = 0;
     n.poll_at = n.claim_at = n.join_at = 0;
     consensus::RaftNode::Options raft;
@@ -327,7 +328,7 @@
     last_change_ = change;
     auto index = n->raft->Propose(
         now, controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
-    if (index) pending_[{n, n->life, *index}] = {revision, current};
+    if (index) pending_[{n, n->boot_id, *index}] = {revision, current};
     return index.has_value();
   }
   // Puts any change before the leader, as it is: the log's state judges it.
@@ -342,14 +343,14 @@
   }
   // The newest change that was sent, once more; none before the first.
   std::optional<configuration::Change> last_change() const { return last_change_; }
-  bool Evacuate(const std::string& zone, bool evacuate) {
+  bool DrainZone(const std::string& zone, bool drain) {
     for (auto& n : nodes_) {
       if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) continue;
       auto index =
-          n->raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kEvacuation,
-                                                        evacuation::Order{zone, evacuate}));
-      if (index) ordered_[{n.get(), n->life, *index}] = {zone, evacuate};
-      evacuated_.erase(zone);  // until this is acknowledged, either may be in force
+          n->raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kZoneDrain,
+                                                        zone_drain::DrainOrder{zone, drain}));
+      if (index) ordered_[{n.get(), n->boot_id, *index}] = {zone, drain};
+      drained_zones_.erase(zone);  // until this is acknowledged, either may be in force
       return index.has_value();
     }
     return false;
@@ -389,18 +390,19 @@
         return n->address.ip + " serves by " + std::to_string(n->disseminator->revision()) +
                " instead of " + std::to_string(acknowledged_);
       }
-      for (const auto& [zone, evacuate] : evacuated_) {
-        if (n->disseminator->orders().Evacuated(zone) != evacuate) {
+      for (const auto& [zone, drain] : drained_zones_) {
+        if (n->disseminator->drained_zones().IsDrained(zone) != drain) {
           return n->address.ip + " does not know of the evacuation of " + zone;
         }
       }
-      const auto& servers = n->disseminator->catalog().servers;
+      const auto& servers = n->disseminator->endpoints().servers;
       if (servers.size() != 1 || servers[0].id != "list-" + std::to_string(list_)) {
         return n->address.ip + " has an old list";
       }
       if (n->controller && !n->raft->IsVoter(n->raft->self().id))
         return n->address.ip + " has no vote";
-      if (n->members->Others().size() + 1 != nodes_.size()) return n->address.ip + " misses a node";
+      if (n->members->ReachableOthers().size() + 1 != nodes_.size())
+        return n->address.ip + " misses a node";
     }
     return "";
   }
@@ -415,12 +417,12 @@
     return -1;
   }
   int64_t acknowledged() const { return acknowledged_; }
-  bool acknowledged_evacuation(const std::string& zone) const {
-    auto at = evacuated_.find(zone);
-    return at != evacuated_.end() && at->second;
+  bool acknowledged_drain(const std::string& zone) const {
+    auto at = drained_zones_.find(zone);
+    return at != drained_zones_.end() && at->second;
   }
   bool KnowsList(size_t i) const {
-    const auto& servers = nodes_[i]->disseminator->catalog().servers;
+    const auto& servers = nodes_[i]->disseminator->endpoints().servers;
     return servers.size() == 1 && servers[0].id == "list-" + std::to_string(list_);
   }
   uint64_t messages() const { return messages_; }
@@ -442,14 +444,13 @@
   base::Random& random() { return random_; }
 
  private:
-  using Body =
-      std::variant<consensus::Message, consensus::Member, ring::Heartbeat, ring::Table, ring::Sums,
-                   ring::Summary, dissemination::Digest, dissemination::PullRequest,
-                   dissemination::ConfigurationUpdate, dissemination::EndpointUpdate,
-                   dissemination::ZoneDrainUpdate, duty::Resignation, dissemination::RolloutUpdate,
-                   rollout::Tally, rollout::Touch, rollout::Vote, dissemination::Confirm,
-                   dissemination::ConfirmReply, dissemination::SyncRequest,
-                   dissemination::SyncReply>;
+  using Body = std::variant<
+      consensus::Message, consensus::Member, membership::Heartbeat, membership::MembershipUpdate,
+      membership::PartDigests, membership::MembershipSummary, dissemination::Digest,
+      dissemination::PullRequest, dissemination::ConfigurationUpdate, dissemination::EndpointUpdate,
+      dissemination::ZoneDrainUpdate, singleton::Resignation, dissemination::RolloutUpdate,
+      rollout::Tally, rollout::Touch, rollout::Vote, dissemination::Confirm,
+      dissemination::ConfirmReply, dissemination::SyncRequest, dissemination::SyncReply>;
   struct Packet {
     Millis at;
     uint64_t order;
@@ -489,9 +490,10 @@
   static bool ByDatagram(const Body& body) {
     if (auto* digest = std::get_if<dissemination::Digest>(&body)) return !digest->reliable;
     if (auto* request = std::get_if<dissemination::SyncRequest>(&body)) return !request->reliable;
-    return std::holds_alternative<ring::Heartbeat>(body) ||
-           std::holds_alternative<ring::Sums>(body) || std::holds_alternative<ring::Table>(body) ||
-           std::holds_alternative<ring::Summary>(body);
+    return std::holds_alternative<membership::Heartbeat>(body) ||
+           std::holds_alternative<membership::PartDigests>(body) ||
+           std::holds_alternative<membership::MembershipUpdate>(body) ||
+           std::holds_alternative<membership::MembershipSummary>(body);
   }
   void Send(size_t from, const Address& to, Body body) {
     bool datagram = ByDatagram(body);
@@ -567,14 +569,15 @@
   std::vector<rollout::Candidate> Watchers(const Node& n) const {
     std::vector<rollout::Candidate> found;
     for (const auto& [id, node] : n.members->nodes()) {
-      if (node.durable && node.state == ring::State::kAlive) found.push_back({id, node.zone});
+      if (node.durable && node.state == membership::State::kAlive) found.push_back({id, node.zone});
     }
     return found;
   }
 
   void AskConfirmation(size_t i) {
     Node& n = *nodes_[i];
-    dissemination::Versions held{n.disseminator->revision(), n.disseminator->orders().version(),
+    dissemination::Versions held{n.disseminator->revision(),
+                                 n.disseminator->drained_zones().version(),
                                  n.disseminator->rollouts().version()};
     if (n.confirmed_at >= 0) return;
     if (n.confirmation->Holds(now, held)) {
@@ -607,7 +610,7 @@
     reply.nonce = at->second.second;
     reply.confirmed = confirmed;
     if (confirmed) {
-      reply.versions = {n.state.configuration.revision(), n.state.orders.version(),
+      reply.versions = {n.state.configuration.revision(), n.state.drained_zones.version(),
                         n.state.rollouts.version()};
     } else if (auto leader = n.raft->LeaderInContact(now); leader && !n.raft->is_leader()) {
       reply.leader_ip = leader->ip;
@@ -654,7 +657,7 @@
     n.tally_at = now + (n.gate->moving() ? 100 : 250);
     rollout::Tally tally = n.gate->Tell(now, "s");
     tally.node = n.members->self().id;
-    tally.life = n.life;
+    tally.boot_id = n.boot_id;
     tally.asks = true;
     tally.old_busy = static_cast<uint32_t>(n.in_flight_old());
     tally.new_busy = static_cast<uint32_t>(n.flights.size()) - tally.old_busy;
@@ -704,7 +707,7 @@
     if (!n.watcher->active()) return;
     std::vector<rollout::Watcher::InSight> proxies;
     for (const auto& [id, node] : n.members->nodes()) {
-      if (node.program == ring::Program::kProxy && node.state != ring::State::kLeft) {
+      if (node.program == membership::Program::kProxy && node.state != membership::State::kLeft) {
         proxies.push_back({id, node.reachable()});
       }
     }
@@ -749,12 +752,15 @@
 
   void Deliver(size_t i, const Address& from, const Body& body) {
     Node& n = *nodes_[i];
-    if (auto* m = std::get_if<ring::Heartbeat>(&body)) n.members->OnHeartbeat(now, from, *m);
-    if (auto* m = std::get_if<ring::Table>(&body)) n.members->OnTable(now, from, *m);
-    if (auto* m = std::get_if<ring::Sums>(&body)) n.members->OnSums(now, from, *m);
-    if (auto* m = std::get_if<ring::Summary>(&body)) n.members->OnSummary(now, from, *m);
+    if (auto* m = std::get_if<membership::Heartbeat>(&body)) n.members->OnHeartbeat(now, from, *m);
+    if (auto* m = std::get_if<membership::MembershipUpdate>(&body))
+      n.members->OnMembershipUpdate(now, from, *m);
+    if (auto* m = std::get_if<membership::PartDigests>(&body))
+      n.members->OnPartDigests(now, from, *m);
+    if (auto* m = std::get_if<membership::MembershipSummary>(&body))
+      n.members->OnSummary(now, from, *m);
     if (auto* m = std::get_if<dissemination::ZoneDrainUpdate>(&body))
-      n.disseminator->OnEvacuation(now, from, *m);
+      n.disseminator->OnZoneDrainUpdate(now, from, *m);
     if (auto* m = std::get_if<dissemination::Digest>(&body))
       n.disseminator->OnDigest(now, from, *m);
     if (auto* m = std::get_if<dissemination::SyncRequest>(&body)) {
@@ -764,13 +770,13 @@
       n.disseminator->OnSyncReply(now, from, *m);
     }
     if (auto* m = std::get_if<dissemination::PullRequest>(&body))
-      n.disseminator->OnPull(now, from, *m);
+      n.disseminator->OnPullRequest(now, from, *m);
     if (auto* m = std::get_if<dissemination::ConfigurationUpdate>(&body))
-      n.disseminator->OnConfig(now, from, *m);
+      n.disseminator->OnConfigurationUpdate(now, from, *m);
     if (auto* m = std::get_if<dissemination::EndpointUpdate>(&body))
-      n.disseminator->OnCatalog(now, from, *m);
+      n.disseminator->OnEndpointUpdate(now, from, *m);
     if (auto* m = std::get_if<dissemination::RolloutUpdate>(&body))
-      n.disseminator->OnRollouts(now, from, *m);
+      n.disseminator->OnRolloutUpdate(now, from, *m);
     if (auto* m = std::get_if<rollout::Touch>(&body)) {
       n.gate->Heard(now, *m);
       n.disseminator->OnRolloutVersion(now, from, m->version);
@@ -798,25 +804,26 @@
         Send(i, leader->address(), *m);
       }
     }
-    if (auto* m = std::get_if<duty::Resignation>(&body)) Resigned(i, *m);
+    if (auto* m = std::get_if<singleton::Resignation>(&body)) OnResignation(i, *m);
   }
 
-  std::vector<duty::Candidate> Candidates(const Node& n) {
-    std::vector<duty::Candidate> candidates;
+  std::vector<singleton::Candidate> Candidates(const Node& n) {
+    std::vector<singleton::Candidate> candidates;
     for (const auto& v : n.raft->voters()) {
       Millis heard = n.raft->LastContact(v.id);
       candidates.push_back({v.id, heard < 0 ? INT64_MAX : now - heard, v.id == n.raft->self().id});
     }
     return candidates;
   }
-  void Name(Node& n, const std::optional<duty::Duty>& named) {
+  void Name(Node& n, const std::optional<singleton::Assignment>& named) {
     if (named)
-      n.raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kDuty, *named));
+      n.raft->Propose(now,
+                      controller::MakeCommand(controller::Command::Kind::kCatalogReader, *named));
   }
-  void Resigned(size_t i, const duty::Resignation& r) {
+  void OnResignation(size_t i, const singleton::Resignation& r) {
     Node& n = *nodes_[i];
     if (n.raft->HasCommittedInTerm())
-      Name(n, n.assignment->Resigned(now, n.state.duty, Candidates(n), r));
+      Name(n, n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
   }
 
   void Vouch(Node& n) {
@@ -824,9 +831,9 @@
     if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
       leader = member->address();
     }
-    bool reads = n.state.duty.holder == n.raft->self().id;
+    bool reads = n.state.catalog_reader.owner == n.raft->self().id;
     for (const auto& voter : n.raft->voters()) {
-      if (voter.id == n.state.duty.holder && !reads) reader = voter.address();
+      if (voter.id == n.state.catalog_reader.owner && !reads) reader = voter.address();
     }
     n.disseminator->SetVouchers(leader, reader);
     if (!n.raft->HasCommittedInTerm()) n.vouchers.clear();
@@ -835,8 +842,9 @@
       if (!n.raft->ConfirmReadByHeartbeat(now, order_)) n.vouchers.clear();
     }
     Millis log_age = n.disseminator->log_age(now);
-    bool published = n.sequence > 0 && n.watched_epoch == n.state.duty.epoch;
-    if (reads && n.state.duty.life == n.life && published && log_age >= 0 && log_age <= 1000) {
+    bool published = n.sequence > 0 && n.watched_epoch == n.state.catalog_reader.epoch;
+    if (reads && n.state.catalog_reader.boot_id == n.boot_id && published && log_age >= 0 &&
+        log_age <= 1000) {
       n.disseminator->VouchForEndpoints(now);
     }
   }
@@ -845,7 +853,7 @@
     Node& n = *nodes_[i];
     TickRollouts(i);
     if (n.raft->HasCommittedInTerm())
-      Name(n, n.assignment->Review(now, n.state.duty, Candidates(n)));
+      Name(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
     Vouch(n);
     bool heard = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
     if (!n.raft->is_leader() && !heard && now >= n.join_at) {
@@ -854,13 +862,13 @@
         if (nodes_[k].get() != &n) Send(i, nodes_[k]->address, n.raft->self());
       }
     }
-    if (n.state.duty.holder != n.raft->self().id) return;
-    if (n.state.duty.life != n.life) {
+    if (n.state.catalog_reader.owner != n.raft->self().id) return;
+    if (n.state.catalog_reader.boot_id != n.boot_id) {
       if (now < n.claim_at) return;
       n.claim_at = now + 200;
-      duty::Resignation claim{n.state.duty.epoch, n.raft->self().id, n.life};
+      singleton::Resignation claim{n.state.catalog_reader.epoch, n.raft->self().id, n.boot_id};
       if (n.raft->is_leader()) {
-        Resigned(i, claim);
+        OnResignation(i, claim);
       } else if (auto leader = n.raft->leader()) {
         Send(i, leader->address(), claim);
       }
@@ -868,12 +876,12 @@
     }
     if (now < n.poll_at) return;
     n.poll_at = now + 500;
-    if (n.watched_epoch != n.state.duty.epoch) n.sequence = 0;
-    n.watched_epoch = n.state.duty.epoch;
-    catalog::Server server;
+    if (n.watched_epoch != n.state.catalog_reader.epoch) n.sequence = 0;
+    n.watched_epoch = n.state.catalog_reader.epoch;
+    discovery::Server server;
     server.id = "list-" + std::to_string(list_);
-    if (n.sequence && n.disseminator->catalog().servers.size() == 1 &&
-        n.disseminator->catalog().servers[0].id == server.id) {
+    if (n.sequence && n.disseminator->endpoints().servers.size() == 1 &&
+        n.disseminator->endpoints().servers[0].id == server.id) {
       n.disseminator->Confirm(now, n.watched_epoch);
     } else {
       n.disseminator->Publish(now, {n.watched_epoch, ++n.sequence, {server}});
@@ -882,34 +890,34 @@
 
   void PumpNode(size_t i) {
     Node& n = *nodes_[i];
-    auto ring = n.members->Take();
-    for (const auto& node : ring.changed) {
-      if (node.state == ring::State::kAlive) n.disseminator->OnHeard(now, node);
-      if (!node.reachable()) n.disseminator->OnLost(node);
+    auto membership = n.members->Take();
+    for (const auto& node : membership.changed) {
+      if (node.state == membership::State::kAlive) n.disseminator->OnNodeReachable(now, node);
+      if (!node.reachable()) n.disseminator->OnNodeUnreachable(node);
     }
-    for (const auto& node : ring.changed) Trace(i, 110, wire::Encode(node));
-    for (auto& [to, m] : ring.heartbeats) Send(i, to, m);
-    for (auto& [to, m] : ring.tables) Send(i, to, m);
-    for (auto& [to, m] : ring.sums) Send(i, to, m);
-    for (auto& [to, m] : ring.summaries) Send(i, to, m);
+    for (const auto& node : membership.changed) Trace(i, 110, wire::Encode(node));
+    for (auto& [to, m] : membership.heartbeats) Send(i, to, m);
+    for (auto& [to, m] : membership.tables) Send(i, to, m);
+    for (auto& [to, m] : membership.sums) Send(i, to, m);
+    for (auto& [to, m] : membership.summaries) Send(i, to, m);
     if (n.controller) PumpMachine(i);
     auto effects = n.disseminator->Take();
     for (auto& [to, m] : effects.digests) Send(i, to, m);
     for (auto& [to, m] : effects.pulls) Send(i, to, m);
     for (auto& [to, m] : effects.sync_requests) Send(i, to, m);
     for (auto& reply : effects.sync_replies) Send(i, reply.to, reply.reply, !reply.follows);
-    for (auto& [to, m] : effects.configs) Send(i, to, m);
-    for (auto& [to, m] : effects.catalogs) Send(i, to, m);
-    for (auto& [to, m] : effects.evacuations) Send(i, to, m);
+    for (auto& [to, m] : effects.configuration_updates) Send(i, to, m);
+    for (auto& [to, m] : effects.endpoint_updates) Send(i, to, m);
+    for (auto& [to, m] : effects.zone_drains) Send(i, to, m);
     for (auto& [to, m] : effects.rollouts) Send(i, to, m);
     if (effects.rollouts_adopted) n.gate->Adopt(now, n.disseminator->rollouts());
     if (options_.trace && !effects.empty()) {
       Trace(i, 111,
             std::to_string(n.disseminator->revision()) + "," +
-                std::to_string(n.disseminator->orders().version()) + "," +
+                std::to_string(n.disseminator->drained_zones().version()) + "," +
                 std::to_string(n.disseminator->rollouts().version()) + "," +
-                std::to_string(n.disseminator->catalog().epoch) + "," +
-                std::to_string(n.disseminator->catalog().sequence) + "," +
+                std::to_string(n.disseminator->endpoints().epoch) + "," +
+                std::to_string(n.disseminator->endpoints().sequence) + "," +
                 std::to_string(n.disseminator->log_age(now)));
     }
     CheckFreshness(n);
@@ -917,14 +925,15 @@
       Fail(n.address.ip + " went back to an older configuration");
     bool adopted = n.adopted_revision != n.disseminator->revision();
     n.adopted_revision = n.disseminator->revision();
-    const catalog::Catalog& c = n.disseminator->catalog();
+    const discovery::EndpointSnapshot& c = n.disseminator->endpoints();
     if (std::tie(c.epoch, c.sequence) < std::tie(n.adopted_epoch, n.adopted_sequence)) {
       Fail(n.address.ip + " went back to an older list");
     }
     n.adopted_epoch = c.epoch;
     n.adopted_sequence = c.sequence;
     if (adopted)
-      CheckWinner(n.adopted_revision, base::Hash(n.disseminator->config_text()), n.address.ip);
+      CheckWinner(n.adopted_revision, base::Hash(n.disseminator->configuration_text()),
+                  n.address.ip);
   }
 
   // What a node takes for known to be current must hold all that was acknowledged until then.
@@ -993,7 +1002,7 @@
           if (hooks.applied) hooks.applied(i, entry);
           if (follower_) follower_->Applied(i, entry.index);
         }
-        auto sent = pending_.find({&n, n.life, entry.index});
+        auto sent = pending_.find({&n, n.boot_id, entry.index});
         if (sent != pending_.end()) {
           if (n.raft->is_leader() && n.state.configuration.revision() == sent->second.first) {
             acknowledged_ = std::max(acknowledged_, sent->second.first);
@@ -1006,9 +1015,9 @@
           }
           pending_.erase(sent);
         }
-        auto ordered = ordered_.find({&n, n.life, entry.index});
+        auto ordered = ordered_.find({&n, n.boot_id, entry.index});
         if (ordered != ordered_.end()) {
-          if (n.raft->is_leader()) evacuated_[ordered->second.first] = ordered->second.second;
+          if (n.raft->is_leader()) drained_zones_[ordered->second.first] = ordered->second.second;
           ordered_.erase(ordered);
         }
       }
@@ -1017,7 +1026,7 @@
                     n.address.ip);
         n.disseminator->Commit(now, n.state.configuration);
       }
-      n.disseminator->Commit(n.state.orders);
+      n.disseminator->Commit(n.state.drained_zones);
       FollowRollouts(n);
       if (e.role_changed && hooks.role_changed) hooks.role_changed(i);
       for (bool ok : {false, true}) {
@@ -1061,8 +1070,8 @@
   std::map<Millis, int64_t> acknowledged_at_;
   std::map<std::tuple<Node*, uint64_t, consensus::Index>, std::pair<int64_t, int64_t>> pending_;
   std::map<std::tuple<Node*, uint64_t, consensus::Index>, std::pair<std::string, bool>> ordered_;
-  std::map<std::string, bool> evacuated_;  // as last acknowledged
-  std::map<int64_t, int64_t> built_on_;    // which acknowledged revision, of each base
+  std::map<std::string, bool> drained_zones_;  // as last acknowledged
+  std::map<int64_t, int64_t> built_on_;        // which acknowledged revision, of each base
   std::map<int64_t, uint64_t> winners_;
   std::map<consensus::Index, uint64_t> committed_;
   std::map<consensus::Term, consensus::MemberId> leaders_;
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -38,8 +38,8 @@
         world.Leave(i);
         break;
       case 9:
-        world.Evacuate(std::string(1, static_cast<char>('a' + random.Below(3))),
-                       random.Below(2) == 0);
+        world.DrainZone(std::string(1, static_cast<char>('a' + random.Below(3))),
+                        random.Below(2) == 0);
         break;
       case 0:
         world.Isolate(i, true);
@@ -144,8 +144,8 @@
   // Two of three are enough to elect, to name a holder, and to bring the list round.
   for (size_t i = 0; i < world.size(); ++i) {
     if (static_cast<int>(i) == leader) continue;
-    ASSERT_EQ(world.node(i).disseminator->catalog().servers.size(), 1u);
-    EXPECT_EQ(world.node(i).disseminator->catalog().servers[0].id, "list-1") << i;
+    ASSERT_EQ(world.node(i).disseminator->endpoints().servers.size(), 1u);
+    EXPECT_EQ(world.node(i).disseminator->endpoints().servers[0].id, "list-1") << i;
   }
   world.Start(static_cast<size_t>(leader));
   Settle(&world, 8000, "after its return");
@@ -284,7 +284,7 @@
   uint64_t id = base::Hash(world.node(accused).address.ToString());
   size_t watcher = 0;
   for (size_t i = 0; i < world.size(); ++i) {
-    if (world.node(i).members->self().id == world.node(accused).members->WatchersOf(id)[0]->id) {
+    if (world.node(i).members->self().id == world.node(accused).members->MonitorsOf(id)[0]->id) {
       watcher = i;
     }
   }
@@ -293,9 +293,9 @@
   for (int k = 0; k < 60; ++k) {
     world.Run(50);
     for (size_t i = 0; i < world.size(); ++i) {
-      ring::State state = world.node(i).members->nodes().at(id).state;
-      EXPECT_NE(state, ring::State::kDead) << "at node " << i;
-      suspected |= state == ring::State::kSuspect;
+      membership::State state = world.node(i).members->nodes().at(id).state;
+      EXPECT_NE(state, membership::State::kDead) << "at node " << i;
+      suspected |= state == membership::State::kSuspect;
     }
   }
   EXPECT_TRUE(suspected);  // the watcher did accuse
@@ -304,7 +304,7 @@
 }
 
 TEST(Disseminator, TakesOnlyWhatIsNewer) {
-  ring::Membership members({}, {}, 0);
+  membership::Membership members({}, {}, 0);
   dissemination::Disseminator exchange({}, &members, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
     dissemination::EndpointUpdate news;
@@ -320,17 +320,17 @@
   } steps[] = {{0, 1, "0.1"}, {0, 1, "0.1"}, {2, 3, "2.3"}, {2, 2, "2.3"},
                {1, 9, "2.3"}, {2, 4, "2.4"}, {3, 1, "3.1"}, {0, 1, "3.1"}};
   for (const Step& step : steps) {
-    exchange.OnCatalog(0, {"10.0.0.2", 1}, list(step.epoch, step.sequence));
-    EXPECT_EQ(exchange.catalog().servers[0].id, step.held);
+    exchange.OnEndpointUpdate(0, {"10.0.0.2", 1}, list(step.epoch, step.sequence));
+    EXPECT_EQ(exchange.endpoints().servers[0].id, step.held);
   }
   auto config = [&](int64_t revision, int64_t base, const std::string& body) {
-    exchange.OnConfig(0, {"10.0.0.2", 1}, {revision, base, body});
+    exchange.OnConfigurationUpdate(0, {"10.0.0.2", 1}, {revision, base, body});
     return exchange.revision();
   };
   EXPECT_EQ(config(4, 0, R"({"revision":4,"route-list":[]})"), 4);
   EXPECT_EQ(config(3, 0, R"({"revision":3,"route-list":[]})"), 4);
   EXPECT_EQ(config(6, 4, R"({"revision":6,"upsert":{"route-list":[{"label":"x"}]}})"), 6);
-  EXPECT_NE(exchange.config_text().find("\"label\":\"x\""), std::string::npos);
+  EXPECT_NE(exchange.configuration_text().find("\"label\":\"x\""), std::string::npos);
   exchange.Take();
   // A patch on what this node does not have: it asks for the whole instead.
   EXPECT_EQ(config(9, 8, R"({"revision":9})"), 6);
@@ -450,7 +450,7 @@
       }
       int64_t before = world.acknowledged();
       ASSERT_TRUE(world.Change()) << c.name;
-      world.Evacuate("a", true);
+      world.DrainZone("a", true);
       for (int k = 0; k < 400 && world.acknowledged() == before; ++k) world.Run(10);
       ASSERT_GT(world.acknowledged(), before) << c.name << " seed " << seed;
       size_t first = world.random().Below(static_cast<uint64_t>(c.controllers));
@@ -512,13 +512,13 @@
     world.Run(3000);
     world.Change();
     Settle(&world, 4000, "start");
-    uint64_t holder_id = world.node(0).state.duty.holder;
+    uint64_t holder_id = world.node(0).state.catalog_reader.owner;
     std::vector<size_t> killed;
     for (size_t i = 0; i < 4; ++i) {
-      bool holder = world.node(i).raft->self().id == holder_id;
+      bool owner = world.node(i).raft->self().id == holder_id;
       bool leader = static_cast<int>(i) == world.leader();
-      if ((seed % 4 == 0 && i == 0) || (seed % 4 == 1 && holder) || (seed % 4 == 2 && leader) ||
-          (seed % 4 == 3 && (leader || holder))) {
+      if ((seed % 4 == 0 && i == 0) || (seed % 4 == 1 && owner) || (seed % 4 == 2 && leader) ||
+          (seed % 4 == 3 && (leader || owner))) {
         killed.push_back(i);
       }
     }
@@ -547,14 +547,14 @@
     world.Change();
     Settle(&world, 3000, "start");
     size_t proxy = 3 + seed % 4;
-    for (int life = 0; life < 3; ++life) {
+    for (int boot_id = 0; boot_id < 3; ++boot_id) {
       world.Leave(proxy);
       world.Run(600);
       world.Start(proxy);
       world.Run(1500);
       ASSERT_TRUE(world.Change());
       world.ChangeList();
-      Settle(&world, 3000, "life " + std::to_string(life) + " seed " + std::to_string(seed));
+      Settle(&world, 3000, "life " + std::to_string(boot_id) + " seed " + std::to_string(seed));
     }
   }
 }
@@ -658,14 +658,15 @@
   world.Run(2500);
   int held_dead = 0;
   for (size_t i = 0; i < world.size(); ++i) {
-    if (i != 4) held_dead += world.node(i).members->nodes().at(gone).state == ring::State::kDead;
+    if (i != 4)
+      held_dead += world.node(i).members->nodes().at(gone).state == membership::State::kDead;
   }
   EXPECT_EQ(held_dead, 6);
   world.Freeze(4, false);
   world.Run(100);
   // It slept: that it heard nobody makes nobody suspect.
   for (const auto& [id, node] : world.node(4).members->nodes()) {
-    EXPECT_EQ(node.state, ring::State::kAlive);
+    EXPECT_EQ(node.state, membership::State::kAlive);
   }
   Settle(&world, 4000, "after the thaw");
 }
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -56,12 +56,12 @@
   EXPECT_EQ(state->configuration.revision(), 240);
   EXPECT_EQ(state->configuration.text(),
             *base::ReadFile((kData / "store_0_1_0_configuration.json").string()));
-  EXPECT_EQ(state->orders.zones(), std::vector<std::string>{"z2"});
-  EXPECT_EQ(state->orders.version(), 3u);
+  EXPECT_EQ(state->drained_zones.zones(), std::vector<std::string>{"z2"});
+  EXPECT_EQ(state->drained_zones.version(), 3u);
   ASSERT_NE(state->rollouts.Of("s1"), nullptr);
   EXPECT_EQ(state->rollouts.Of("s1")->order.version, "v2");
   EXPECT_EQ(state->rollouts.Of("s1")->order.over_ms, 3600000);
-  EXPECT_NE(state->duty.holder, 0u);
+  EXPECT_NE(state->catalog_reader.owner, 0u);
 }
 
 // A member that starts on it votes no second time in its term and serves what was committed.
--- a/tests/sync_test.cc
+++ b/tests/sync_test.cc
@@ -86,15 +86,16 @@
 }
 
 TEST(SyncSources, TheVoucherThenControllersByDistance) {
-  ring::Membership::Options options;
+  membership::Membership::Options options;
   options.self.ip = "10.0.0.9";
   options.self.port = 7200;
   options.self.id = base::Hash(options.self.address().ToString());
   options.self.zone = "a";
   options.regions = {{"a", "x"}, {"b", "x"}, {"c", "y"}};
-  ring::Membership members(options, {}, 0);
-  auto add = [&](int i, const char* zone, bool durable, ring::State state, ring::Program program) {
-    ring::Node node;
+  membership::Membership members(options, {}, 0);
+  auto add = [&](int i, const char* zone, bool durable, membership::State state,
+                 membership::Program program) {
+    membership::Node node;
     node.ip = Peer(i).ip;
     node.port = 7200;
     node.id = base::Hash(Peer(i).ToString());
@@ -102,16 +103,16 @@
     node.durable = durable;
     node.state = state;
     node.program = program;
-    members.OnTable(0, Peer(i), ring::Table{{node}, {}});
+    members.OnMembershipUpdate(0, Peer(i), membership::MembershipUpdate{{node}, {}});
   };
-  constexpr auto kController = ring::Program::kController;
-  add(1, "c", true, ring::State::kAlive, kController);
-  add(2, "b", false, ring::State::kAlive, kController);
-  add(3, "b", true, ring::State::kAlive, kController);
-  add(4, "a", true, ring::State::kDead, kController);
-  add(5, "a", false, ring::State::kAlive, kController);
-  add(6, "a", true, ring::State::kLeft, kController);
-  add(7, "a", false, ring::State::kAlive, ring::Program::kProxy);
+  constexpr auto kController = membership::Program::kController;
+  add(1, "c", true, membership::State::kAlive, kController);
+  add(2, "b", false, membership::State::kAlive, kController);
+  add(3, "b", true, membership::State::kAlive, kController);
+  add(4, "a", true, membership::State::kDead, kController);
+  add(5, "a", false, membership::State::kAlive, kController);
+  add(6, "a", true, membership::State::kLeft, kController);
+  add(7, "a", false, membership::State::kAlive, membership::Program::kProxy);
   std::vector<Address> expected = {Peer(1), Peer(5), Peer(3), Peer(2), Peer(4), Peer(8)};
   EXPECT_EQ(SyncSources(members, {Peer(3), Peer(8), Peer(9)}, Peer(1)), expected);
 }
@@ -139,12 +140,12 @@
 // A configuration that can't be used counts as not held, is asked for whole, and nothing older
 // takes its place.
 TEST(Disseminator, ARejectedConfigurationComesOnceMore) {
-  ring::Membership::Options self;
+  membership::Membership::Options self;
   self.self.ip = "10.0.0.9";
   self.self.zone = "a";
-  ring::Membership members(self, {}, 0);
+  membership::Membership members(self, {}, 0);
   Disseminator disseminator(Disseminator::Options(), &members, 0);
-  disseminator.OnConfig(10, Peer(1), {7, 0, kDocument});
+  disseminator.OnConfigurationUpdate(10, Peer(1), {7, 0, kDocument});
   disseminator.VouchForLog(20);
   EXPECT_EQ(disseminator.log_age(30), 10);
   disseminator.RejectConfiguration();
@@ -158,21 +159,21 @@
   Disseminator::Effects effects = disseminator.Take();
   ASSERT_EQ(effects.pulls.size(), 1u);
   EXPECT_EQ(effects.pulls[0].second.revision, 0);
-  disseminator.OnConfig(70, Peer(1), {6, 0, kDocument});
+  disseminator.OnConfigurationUpdate(70, Peer(1), {6, 0, kDocument});
   EXPECT_EQ(disseminator.revision(), 7);
-  EXPECT_FALSE(disseminator.Take().config_adopted);
-  disseminator.OnConfig(80, Peer(1), {7, 0, kDocument});
-  EXPECT_TRUE(disseminator.Take().config_adopted);
+  EXPECT_FALSE(disseminator.Take().configuration_adopted);
+  disseminator.OnConfigurationUpdate(80, Peer(1), {7, 0, kDocument});
+  EXPECT_TRUE(disseminator.Take().configuration_adopted);
   EXPECT_EQ(disseminator.log_age(90), 50);
 }
 
 // Whoever is some steps behind is sent them, before the answer; one that is too far behind learns
 // that there is more.
 TEST(Disseminator, SendsWhatIsSmallBeforeItsAnswer) {
-  ring::Membership::Options self;
+  membership::Membership::Options self;
   self.self.ip = "10.0.0.9";
   self.self.zone = "a";
-  ring::Membership members(self, {}, 0);
+  membership::Membership members(self, {}, 0);
   Disseminator disseminator(Disseminator::Options(), &members, 0);
   std::string routes;
   for (int i = 0; i < 60; ++i) {
@@ -180,12 +181,12 @@
               R"(","host":"h.example","path-prefix":"/p)" + std::to_string(i) +
               R"(/","variant":"idempotent","timeout-ms":500,"target":"s"})";
   }
-  disseminator.OnConfig(0, Peer(1),
-                        {1, 0,
-                         R"({"revision":1,"route-list":[)" + routes +
-                             R"(],"service-list":[{"label":"s","max-conns":10}]})"});
+  disseminator.OnConfigurationUpdate(0, Peer(1),
+                                     {1, 0,
+                                      R"({"revision":1,"route-list":[)" + routes +
+                                          R"(],"service-list":[{"label":"s","max-conns":10}]})"});
   for (int64_t revision : {2, 3, 4}) {
-    disseminator.OnConfig(
+    disseminator.OnConfigurationUpdate(
         0, Peer(1),
         {revision, revision - 1,
          R"({"revision":)" + std::to_string(revision) + R"(,"remove":{"route-list":["r)" +
@@ -203,7 +204,7 @@
     request.versions.revision = c.has;
     disseminator.OnSyncRequest(100, Peer(2), request);
     Disseminator::Effects effects = disseminator.Take();
-    EXPECT_EQ(effects.configs.size(), c.sent) << c.has;
+    EXPECT_EQ(effects.configuration_updates.size(), c.sent) << c.has;
     ASSERT_EQ(effects.sync_replies.size(), 1u);
     EXPECT_EQ(effects.sync_replies[0].follows, c.follows) << c.has;
     EXPECT_EQ(effects.sync_replies[0].reply.versions.revision, 4);
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -18,7 +18,7 @@
 #include "configuration/document.h"
 #include "configuration/register.h"
 #include "dissemination/disseminator.h"
-#include "ring/membership.h"
+#include "membership/membership.h"
 #include "wire/frame.h"
 
 namespace elderkeel {
@@ -52,7 +52,7 @@
          Route(route, 1000 + static_cast<int>(revision % 1000)) + "]}}";
 }
 
-size_t Held() { return mallinfo2().uordblks; }
+size_t HeldVersions() { return mallinfo2().uordblks; }
 
 // Times of steps, in microseconds, by name; printed in the order of their first use.
 class Times {
@@ -80,14 +80,14 @@
   std::vector<std::string> order_;
 };
 
-ring::Membership::Options Self(ring::Program program) {
-  ring::Membership::Options options;
+membership::Membership::Options Self(membership::Program program) {
+  membership::Membership::Options options;
   options.self.ip = "127.0.0.1";
   options.self.port = 1;
   options.self.id = 1;
   options.self.program = program;
   options.self.zone = "z";
-  options.self.life = 1;
+  options.self.boot_id = 1;
   return options;
 }
 
@@ -99,10 +99,10 @@
 
 void Measure(int routes, int repeats) {
   Times times;
-  ring::Membership controllers(Self(ring::Program::kController), {}, 0);
-  ring::Membership proxies(Self(ring::Program::kProxy), {}, 0);
+  membership::Membership controllers(Self(membership::Program::kController), {}, 0);
+  membership::Membership proxies(Self(membership::Program::kProxy), {}, 0);
   const base::Address from{"127.0.0.2", 1};
-  size_t before = Held();
+  size_t before = HeldVersions();
   auto leader = std::make_unique<configuration::Register>();
   auto told = std::make_unique<dissemination::Disseminator>(dissemination::Disseminator::Options(),
                                                             &controllers, 0);
@@ -130,21 +130,22 @@
       told->Take();
     });
     times.Add(kind + ", proxy: Exchange::OnConfig", [&] {
-      adopts->OnConfig(0, from, {revision, patch ? base : 0, c.body});
+      adopts->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
       adopts->Take();
     });
     Expect(adopts->revision() == revision, "a change was not adopted");
     times.Add(kind + ", proxy: Table", [&] {
       table = patch ? configuration::Table::Patch(*table, c.body, &names, &regions)
-                    : configuration::Table::Build(adopts->config_text(), &names, &regions);
+                    : configuration::Table::Build(adopts->configuration_text(), &names, &regions);
     });
     Expect(table && table->revision() == revision, "a table is not of the change");
   };
   for (int i = 0; i < std::max(3, repeats / 4); ++i) change("whole", false);
-  size_t after_whole = Held();
+  size_t after_whole = HeldVersions();
   change("first patch", true);
   for (int i = 0; i < repeats; ++i) change("patch", true);
-  Expect(leader->text() == adopts->config_text(), "leader and proxy hold different documents");
+  Expect(leader->text() == adopts->configuration_text(),
+         "leader and proxy hold different documents");
   for (int i = 0; i < std::max(3, repeats / 4); ++i) {
     bool has = false;
     times.Add("HasService", [&] { has = leader->document().HasService("s" + std::to_string(i)); });
@@ -160,16 +161,16 @@
   times.Print(routes);
   std::printf("%6d routes  document %zu bytes\n", routes, leader->text().size());
   change("patch", true);
-  size_t all = Held();
+  size_t all = HeldVersions();
   auto print = [&](const char* what, size_t bytes) {
     std::printf("%6d routes  held: %-38s %10zu bytes\n", routes, what, bytes);
   };
   print("everything after a whole change", after_whole - before);
   print("everything after patches", all - before);
   auto drop = [&](const char* what, auto* of) {
-    size_t full = Held();
+    size_t full = HeldVersions();
     of->reset();
-    print(what, full - Held());
+    print(what, full - HeldVersions());
   };
   drop("table of a proxy", &table);
   drop("news of a proxy", &adopts);
--- a/tools/scale_run.cc
+++ b/tools/scale_run.cc
@@ -38,7 +38,7 @@
 // What hollow nodes tell the measuring process: how many have adopted each step, and when the last.
 struct Shared {
   std::atomic<int64_t> revision_at, catalog_at, rollout_at;
-  std::atomic<int> revisions, catalogs, rollouts;
+  std::atomic<int> revisions, endpoint_updates, rollouts;
   std::atomic<int64_t> wanted_revision;
   std::atomic<uint64_t> wanted_sequence, wanted_rollouts;
 };
@@ -86,18 +86,18 @@
  public:
   Hollow(base::Loop* loop, int node) : settings_(*base::ParseSettings(SettingsText(node, ""))) {
     dissemination::Peers::Hooks hooks;
-    hooks.config_adopted = [this] {
+    hooks.configuration_adopted = [this] {
       if (peers_->disseminator().revision() != shared->wanted_revision) return;
       shared->revision_at = base::SteadyMillis();
       ++shared->revisions;
     };
-    hooks.catalog_adopted = [this] {
-      if (peers_->disseminator().catalog().servers.empty()) return;
-      if (peers_->disseminator().catalog().servers[0].capacity !=
+    hooks.endpoints_adopted = [this] {
+      if (peers_->disseminator().endpoints().servers.empty()) return;
+      if (peers_->disseminator().endpoints().servers[0].capacity !=
           static_cast<int>(shared->wanted_sequence))
         return;
       shared->catalog_at = base::SteadyMillis();
-      ++shared->catalogs;
+      ++shared->endpoint_updates;
     };
     hooks.rollouts_adopted = [this] {
       gate_.Adopt(base::SteadyMillis(), peers_->disseminator().rollouts());
@@ -122,7 +122,8 @@
         peers_->NoteRolloutVersion(from, touch->version);
       }
     };
-    peers_ = std::make_unique<dissemination::Peers>(loop, settings_, ring::Program::kProxy, hooks);
+    peers_ =
+        std::make_unique<dissemination::Peers>(loop, settings_, membership::Program::kProxy, hooks);
     if (!peers_->Start()) std::fprintf(stderr, "hollow node %d can't start\n", node);
     tick_.Repeat(loop, 100, [this] { Tick(); });
   }
@@ -130,7 +131,7 @@
  private:
   void Tick() {
     base::Millis now = base::SteadyMillis();
-    if (!peers_->disseminator().has_catalog() && now > ask_at_) {
+    if (!peers_->disseminator().has_endpoints() && now > ask_at_) {
       ask_at_ = now + 400;
       auto controllers = peers_->Controllers();
       if (!controllers.empty()) {
@@ -138,7 +139,7 @@
       }
     }
     if (!gate_.active() || now < tally_at_) return;
-    size_t proxies = peers_->members().CountPossible(ring::Program::kProxy);
+    size_t proxies = peers_->members().CountNotLeft(membership::Program::kProxy);
     tally_at_ = now + std::max<base::Millis>(250, static_cast<base::Millis>(proxies));
     for (const std::string& service : gate_.ActiveServices()) {
       for (int i = 0; i < 20; ++i) {
@@ -149,7 +150,7 @@
       }
       rollout::Tally tally = gate_.Tell(now, service);
       tally.node = peers_->members().self().id;
-      tally.life = 1;
+      tally.boot_id = 1;
       tally.asks = now % 1000 < 500;
       std::string bytes = wire::Encode(tally);
       for (uint64_t watcher : gate_.RolloutOf(service)->watchers) {
@@ -398,7 +399,7 @@
   int64_t changed = base::SteadyMillis();
   platform.capacity = 2;
   add("list_change_to_last_node_ms",
-      Until(shared->catalogs, shared->catalog_at, hollow, changed, 10000));
+      Until(shared->endpoint_updates, shared->catalog_at, hollow, changed, 10000));
   int calls = platform.calls;
   Sleep(3000);
   add("platform_calls_per_s", (platform.calls - calls) / 3.0);
--- a/tools/trace_digest.cc
+++ b/tools/trace_digest.cc
@@ -89,8 +89,8 @@
     case 7:
       return world->ChangeList();
     case 8:
-      world->Evacuate(std::string(1, static_cast<char>('a' + random.Below(3))),
-                      random.Below(2) == 0);
+      world->DrainZone(std::string(1, static_cast<char>('a' + random.Below(3))),
+                       random.Below(2) == 0);
       return;
     case 9:
       return world->Leave(node);
