--- a/src/configuration/document.cc
+++ b/src/configuration/document.cc
@@ -291,7 +291,7 @@
   return false;
 }
 
-const Route* Table::Match(std::string_view host, std::string_view path) const {
+const Route* RoutingTable::Match(std::string_view host, std::string_view path) const {
   std::string place = Lower(std::string(host.substr(0, host.find(':'))));
   place += '\0';
   size_t prefix = place.size();
@@ -307,7 +307,7 @@
   return nullptr;
 }
 
-uint32_t Table::Pick(const Route& route, uint64_t key) const {
+uint32_t RoutingTable::Pick(const Route& route, uint64_t key) const {
   if (route.targets.size() == 1) return route.targets[0].service;
   uint64_t at = key % route.weight_sum;
   for (const Target& target : route.targets) {
@@ -318,9 +318,9 @@
 }
 
 // Makes routes and services of their JSON.
-class Table::Builder {
+class RoutingTable::Builder {
  public:
-  Builder(Table* table, base::Names* names, base::Names* regions)
+  Builder(RoutingTable* table, base::Names* names, base::Names* regions)
       : table_(table), names_(names), regions_(regions) {}
 
   void Add(const Value& s) {
@@ -346,7 +346,7 @@
     route.prefix = r["path-prefix"].GetString();
     route.idempotent = std::string_view(r["variant"].GetString()) == "idempotent";
     route.timeout_ms = Whole(r, "timeout-ms", 1000);
-    route.aim_ms = Whole(r, "target-latency-ms", route.timeout_ms);
+    route.target_latency_ms = Whole(r, "target-latency-ms", route.timeout_ms);
     route.priority = static_cast<int>(Whole(r, "priority", 0));
     route.max_attempts = static_cast<int>(Whole(r, "max-attempts", 1));
     if (r.HasMember("allowed-regions")) {
@@ -386,16 +386,16 @@
     return place + route.prefix;
   }
 
-  Table* table_;
+  RoutingTable* table_;
   base::Names* names_;
   base::Names* regions_;
 };
 
-std::shared_ptr<const Table> Table::Build(std::string_view text, base::Names* names,
-                                          base::Names* regions) {
+std::shared_ptr<const RoutingTable> RoutingTable::Build(std::string_view text, base::Names* names,
+                                                        base::Names* regions) {
   Document d;
   if (!ReadObject(text, &d)) return nullptr;
-  auto table = std::make_shared<Table>();
+  auto table = std::make_shared<RoutingTable>();
   table->revision_ = Whole(d, "revision", 0);
   if (d.HasMember("limits") && d["limits"].IsObject()) {
     const Value& l = d["limits"];
@@ -411,11 +411,12 @@
   return table;
 }
 
-std::shared_ptr<const Table> Table::Patch(const Table& base, std::string_view patch,
-                                          base::Names* names, base::Names* regions) {
+std::shared_ptr<const RoutingTable> RoutingTable::Patch(const RoutingTable& base,
+                                                        std::string_view patch, base::Names* names,
+                                                        base::Names* regions) {
   Document p;
   if (!ReadObject(patch, &p)) return nullptr;
-  auto table = std::make_shared<Table>(base);
+  auto table = std::make_shared<RoutingTable>(base);
   table->revision_ = Whole(p, "revision", 0);
   table->changed_.clear();
   Builder builder(table.get(), names, regions);
--- a/src/configuration/document.h
+++ b/src/configuration/document.h
@@ -48,7 +48,7 @@
   std::string prefix;
   bool idempotent = false;
   int64_t timeout_ms = 0;
-  int64_t aim_ms = 0;
+  int64_t target_latency_ms = 0;
   int priority = 0;
   int max_attempts = 1;
   std::vector<Target> targets;
@@ -100,7 +100,7 @@
 
 // A configuration made ready for routing. Never changed once built; requests hold on to the one
 // that was in force when their head was read.
-class Table {
+class RoutingTable {
  public:
   int64_t revision() const { return revision_; }
   const wire::Limits& limits() const { return limits_; }
@@ -117,12 +117,12 @@
   uint32_t Pick(const Route& route, uint64_t key) const;
 
   // From a valid document; names are mapped through `names`, which outlives all tables.
-  static std::shared_ptr<const Table> Build(std::string_view text, base::Names* names,
-                                            base::Names* regions);
+  static std::shared_ptr<const RoutingTable> Build(std::string_view text, base::Names* names,
+                                                   base::Names* regions);
   // From the table of a valid document and a patch that leads to another valid one; costs what the
   // patch holds. Null if the patch can't be read. The names are those that `base` was built with.
-  static std::shared_ptr<const Table> Patch(const Table& base, std::string_view patch,
-                                            base::Names* names, base::Names* regions);
+  static std::shared_ptr<const RoutingTable> Patch(const RoutingTable& base, std::string_view patch,
+                                                   base::Names* names, base::Names* regions);
 
  private:
   class Builder;
--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -25,7 +25,7 @@
 }
 
 // Takes an order for a roll-out from `body`; what is wrong with it, if anything is.
-std::string ReadOrder(const std::string& body, rollout::Order* order) {
+std::string ReadOrder(const std::string& body, rollout::RolloutOrder* order) {
   static const rapidjson::Document schema = [] {
     rapidjson::Document d;
     d.Parse(R"({
@@ -231,7 +231,7 @@
     rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
     w.StartObject();
     w.Key("status");
-    w.String(rollout::StatusWord(rollout->stage));
+    w.String(rollout::StatusName(rollout->stage));
     w.Key("target-revision");
     w.String(rollout->order.version.c_str());
     w.EndObject();
--- a/src/configuration/operator_api.h
+++ b/src/configuration/operator_api.h
@@ -30,7 +30,7 @@
   // The index of the entry; Applied(index) follows if it is committed.
   virtual std::optional<uint64_t> Propose(const Change& change) = 0;
   virtual std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) = 0;
-  virtual std::optional<uint64_t> Propose(const rollout::Order& order) = 0;
+  virtual std::optional<uint64_t> Propose(const rollout::RolloutOrder& order) = 0;
   // Whether there is such a zone.
   virtual bool HasZone(const std::string& zone) const = 0;
   // Whether the newest configuration has such a service.
@@ -84,7 +84,7 @@
     zone_drain::DrainOrder order;
     bool opposed = false;  // the zone went the other way while this waited
     bool drained = false;  // how the zone was when last seen
-    rollout::Order rollout;
+    rollout::RolloutOrder rollout;
     uint64_t newest = 0;  // the number of the service's newest roll-out on arrival; 0 for none
     base::Millis deadline = 0;
   };
--- a/src/controller/catalog_reader.cc
+++ b/src/controller/catalog_reader.cc
@@ -39,10 +39,10 @@
   resignation.epoch = state_.catalog_reader.epoch;
   // The leader knows best who is heard; a holder that is not the leader leaves the choice to it.
   base::Info("catalog_reader.resigned", {{"epoch", resignation.epoch}, {"reason", why}});
-  TellLeader(now, resignation);
+  SendToLeader(now, resignation);
 }
 
-void Controller::TellLeader(base::Millis now, const singleton::Resignation& resignation) {
+void Controller::SendToLeader(base::Millis now, const singleton::Resignation& resignation) {
   if (is_leader()) {
     if (auto named =
             assignment_.OnResignation(now, state_.catalog_reader, Candidates(now), resignation)) {
@@ -74,7 +74,7 @@
   if (state_.catalog_reader.boot_id != boot_id_) {
     if (now - claimed_at_ < kClaimEveryMs) return;
     claimed_at_ = now;
-    TellLeader(now, {state_.catalog_reader.epoch, replica_->self().id, boot_id_});
+    SendToLeader(now, {state_.catalog_reader.epoch, replica_->self().id, boot_id_});
     return;
   }
   if (watched_epoch_ != state_.catalog_reader.epoch) {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -178,11 +178,11 @@
   replica_ = std::make_unique<consensus::Replica>(loop_, std::move(log));
   auto started = peers_->Start();
   if (!started) return started;
-  rollout::Watcher::Options watcher;
-  watcher.self = peers_->members().self().id;
-  watcher.boot_id = boot_id_;
-  watcher.canary_share = rollout::Gate({settings_.canary_share}).CanaryShare();
-  watcher_ = std::make_unique<rollout::Watcher>(watcher);
+  rollout::Observer::Options observer;
+  observer.self = peers_->members().self().id;
+  observer.boot_id = boot_id_;
+  observer.canary_share = rollout::CanaryPolicy({settings_.canary_share}).CanaryShare();
+  observer_ = std::make_unique<rollout::Observer>(observer);
   Begin();
   begin_.Repeat(loop_, kBeginMs, [this] {
     if (Begin()) begin_.Cancel();
@@ -302,11 +302,11 @@
       }
       break;
     }
-    case wire::Kind::kTally:
-      if (auto m = wire::Decode<rollout::Tally>(payload)) OnTally(from, *m);
+    case wire::Kind::kProxyReport:
+      if (auto m = wire::Decode<rollout::ProxyReport>(payload)) OnProxyReport(from, *m);
       break;
     case wire::Kind::kVote:
-      if (auto m = wire::Decode<rollout::Vote>(payload)) conductor_.OnVote(now, *m);
+      if (auto m = wire::Decode<rollout::Vote>(payload)) coordinator_.OnVote(now, *m);
       break;
     default:
       break;
@@ -413,7 +413,7 @@
     ReviewCatalogReader(now);
     ReviewRollouts(now);
   }
-  if (watcher_->active()) TellVotes(now);
+  if (observer_->active()) SendVotes(now);
   WatchPlatform(now);
   Vouch(now);
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -14,9 +14,9 @@
 #include "dissemination/confirm.h"
 #include "dissemination/peers.h"
 #include "lifecycle/settings_watcher.h"
-#include "rollout/conductor.h"
-#include "rollout/gate.h"
-#include "rollout/watcher.h"
+#include "rollout/canary_policy.h"
+#include "rollout/coordinator.h"
+#include "rollout/observer.h"
 #include "singleton/assigner.h"
 #include "wire/http_server.h"
 
@@ -58,7 +58,7 @@
   std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
     return replica_->Propose(MakeCommand(Command::Kind::kZoneDrain, order));
   }
-  std::optional<uint64_t> Propose(const rollout::Order& order) override;
+  std::optional<uint64_t> Propose(const rollout::RolloutOrder& order) override;
   bool HasZone(const std::string& zone) const override;
   bool HasService(const std::string& service) const override;
 
@@ -80,16 +80,16 @@
   // The state of the roll-outs changed, by the log or a snapshot.
   void AdoptRollouts(base::Millis now);
   void ReviewRollouts(base::Millis now);
-  void TellVotes(base::Millis now);
-  std::vector<rollout::Candidate> Watchers() const;
-  void OnTally(const base::Address& from, const rollout::Tally& tally);
+  void SendVotes(base::Millis now);
+  std::vector<rollout::Candidate> ObserverCandidates() const;
+  void OnProxyReport(const base::Address& from, const rollout::ProxyReport& report);
   bool HearsLeader(base::Millis now) const;
   void WatchPlatform(base::Millis now);
   void Vouch(base::Millis now);
   void Resign(base::Millis now, const char* why);
   std::vector<singleton::Candidate> Candidates(base::Millis now) const;
   bool IsCatalogReader() const;  // by the log; this life may still have to claim it
-  void TellLeader(base::Millis now, const singleton::Resignation& resignation);
+  void SendToLeader(base::Millis now, const singleton::Resignation& resignation);
   void Diagnose(wire::HttpServer::Ticket ticket, const base::Result<diagnosis::Question>& question);
   void FinishInquiries(base::Millis now);
   void Ask(wire::HttpServer::Ticket ticket, const diagnosis::Question& question);
@@ -114,9 +114,9 @@
   std::unique_ptr<discovery::PlatformClient> platform_;
   std::unique_ptr<lifecycle::SettingsWatcher> watch_;
   singleton::Assigner assignment_;
-  rollout::Conductor conductor_{rollout::Conductor::Options()};
-  std::unique_ptr<rollout::Watcher> watcher_;
-  std::map<std::string, std::string> rollouts_told_;  // on the log, by service
+  rollout::RolloutCoordinator coordinator_{rollout::RolloutCoordinator::Options()};
+  std::unique_ptr<rollout::Observer> observer_;
+  std::map<std::string, std::string> logged_stages_;  // on the log, by service
   base::Timer tick_;
   base::Timer begin_;
   base::Timer leave_;
--- a/src/controller/controller_rollouts.cc
+++ b/src/controller/controller_rollouts.cc
@@ -7,16 +7,16 @@
 constexpr base::Millis kVersionsEveryMs = 500;
 }  // namespace
 
-std::optional<uint64_t> Controller::Propose(const rollout::Order& order) {
+std::optional<uint64_t> Controller::Propose(const rollout::RolloutOrder& order) {
   rollout::Step step;
   step.kind = rollout::Step::Kind::kOrder;
   step.order = order;
-  step.watchers = rollout::NameWatchers(order.service, Watchers());
+  step.observers = rollout::ChooseObservers(order.service, ObserverCandidates());
   return replica_->Propose(MakeCommand(Command::Kind::kRollout, step));
 }
 
 // Controllers that have a part in the log watch, since they hear the leader.
-std::vector<rollout::Candidate> Controller::Watchers() const {
+std::vector<rollout::Candidate> Controller::ObserverCandidates() const {
   std::vector<rollout::Candidate> durable, all;
   auto add = [&](const membership::Node& node) {
     if (node.program != membership::Program::kController || node.state != membership::State::kAlive)
@@ -29,12 +29,12 @@
 }
 
 void Controller::AdoptRollouts(base::Millis now) {
-  conductor_.Adopt(now, state_.rollouts);
-  watcher_->Adopt(state_.rollouts);
+  coordinator_.Adopt(now, state_.rollouts);
+  observer_->Adopt(state_.rollouts);
   for (const auto& [service, rollout] : state_.rollouts.rollouts()) {
     std::string state =
         std::string(rollout::StageName(rollout.stage)) + " " + rollout.order.version;
-    std::string& told = rollouts_told_[service];
+    std::string& told = logged_stages_[service];
     if (told == state) continue;
     told = state;
     base::Info("rollout.stage", {{"service", service},
@@ -52,9 +52,11 @@
 void Controller::ReviewRollouts(base::Millis now) {
   if (!HasCommittedInTerm() || !settings_.VersionsByOrder()) return;
   std::vector<rollout::Step> steps;
-  if (state_.rollouts.Active()) steps = conductor_.Review(now, state_.rollouts, Watchers());
+  if (state_.rollouts.Active())
+    steps = coordinator_.Review(now, state_.rollouts, ObserverCandidates());
   for (rollout::Step& step : steps) {
-    // Watchers know routes by their keys alone; who reads the reason knows them by their labels.
+    // ObserverCandidates know routes by their keys alone; who reads the reason knows them by their
+    // labels.
     for (const std::string& label : state_.configuration.document().RouteLabels()) {
       std::string key = "route " + std::to_string(rollout::RouteKey(label)) + ":";
       size_t at = step.reason.find(key);
@@ -66,27 +68,27 @@
   if (endpoints.epoch == 0 || now < versions_at_) return;
   versions_at_ = now + kVersionsEveryMs;
   rollout::Step found;
-  found.found = rollout::FindVersions(state_.rollouts, endpoints);
+  found.found = rollout::DetectVersions(state_.rollouts, endpoints);
   if (!found.found.empty()) replica_->Propose(MakeCommand(Command::Kind::kRollout, found));
 }
 
-void Controller::OnTally(const base::Address& from, const rollout::Tally& tally) {
+void Controller::OnProxyReport(const base::Address& from, const rollout::ProxyReport& report) {
   base::Millis now = base::SteadyMillis();
-  if (!watcher_->OnTally(now, tally) || !tally.asks || !HearsLeader(now)) return;
-  peers_->mesh().SendDatagram(from, wire::Kind::kTouch,
-                              rollout::Touch{tally.number, state_.rollouts.version()});
+  if (!observer_->OnProxyReport(now, report) || !report.wants_renewal || !HearsLeader(now)) return;
+  peers_->mesh().SendDatagram(from, wire::Kind::kLeaseRenewal,
+                              rollout::LeaseRenewal{report.number, state_.rollouts.version()});
 }
 
-void Controller::TellVotes(base::Millis now) {
-  std::vector<rollout::Watcher::InSight> proxies;
+void Controller::SendVotes(base::Millis now) {
+  std::vector<rollout::Observer::KnownProxy> proxies;
   for (const auto& [id, node] : peers_->members().nodes()) {
     if (node.program != membership::Program::kProxy || node.state == membership::State::kLeft)
       continue;
     proxies.push_back({id, node.reachable()});
   }
-  for (const rollout::Vote& vote : watcher_->Tick(now, proxies)) {
+  for (const rollout::Vote& vote : observer_->Tick(now, proxies)) {
     if (is_leader()) {
-      conductor_.OnVote(now, vote);
+      coordinator_.OnVote(now, vote);
     } else if (auto leader = replica_->raft().leader()) {
       peers_->mesh().Send(leader->address(), wire::Kind::kVote, vote);
     }
--- a/src/controller/controller_status.cc
+++ b/src/controller/controller_status.cc
@@ -85,7 +85,7 @@
   for (const std::string& label : state_.configuration.document().RouteLabels()) {
     labels[rollout::RouteKey(label)] = label;
   }
-  auto counts = [&](const char* key, const rollout::Counts& c) {
+  auto counts = [&](const char* key, const rollout::VersionCounters& c) {
     w.Key(key);
     w.StartObject();
     number("answers", c.answers);
@@ -116,30 +116,30 @@
     text("service", name);
     text("version", rollout.order.version);
     text("from", rollout.from.empty() ? "unknown" : rollout.from);
-    text("status", rollout::StatusWord(rollout.stage));
+    text("status", rollout::StatusName(rollout.stage));
     text("stage", rollout::StageName(rollout.stage));
     text("reason", rollout.reason);
     number("number", static_cast<int64_t>(rollout.number));
     number("over-ms", rollout.order.over_ms);
-    number("elapsed-ms", ended ? rollout.elapsed_ms : conductor_.Age(now, rollout));
+    number("elapsed-ms", ended ? rollout.elapsed_ms : coordinator_.Age(now, rollout));
     w.Key("watchers");
     w.StartArray();
-    for (uint64_t watcher : rollout.watchers) {
+    for (uint64_t observer : rollout.observers) {
       w.StartObject();
-      text("address", address(watcher));
-      auto told = conductor_.VotesOn(rollout.number).find(watcher);
-      bool known = told != conductor_.VotesOn(rollout.number).end();
+      text("address", address(observer));
+      auto told = coordinator_.VotesOn(rollout.number).find(observer);
+      bool known = told != coordinator_.VotesOn(rollout.number).end();
       text("vote", known ? rollout::OpinionName(told->second.vote.opinion) : "unknown");
       if (known) {
         const rollout::Vote& vote = told->second.vote;
         number("ago-ms", now - told->second.at);
         text("why", vote.why);
         number("proxies-heard", vote.heard);
-        number("proxies-in-sight", vote.in_sight);
+        number("proxies-in-sight", vote.known_proxies);
         number("requests", static_cast<int64_t>(vote.requests));
         number("sent-to-new", static_cast<int64_t>(vote.exposed));
-        number("not-confirmed", vote.unmoved);
-        number("not-heard", vote.unheard);
+        number("not-confirmed", vote.unconfirmed);
+        number("not-heard", vote.not_reporting);
         w.Key("missing");
         w.StartArray();
         for (uint64_t id : vote.missing) w.String(address(id).c_str());
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -46,7 +46,7 @@
   std::string control;
   bool json = false;
   std::string attempt, server, revision;
-  auto asks = [&](CLI::App* verb) {
+  auto wants_renewal = [&](CLI::App* verb) {
     verb->add_option(
         "--control", control,
         "Address and port of a controller (default: listeners.control of the settings)");
@@ -54,10 +54,10 @@
     verb->add_flag("--json", json, "Show the answer as JSON");
   };
   CLI::App* status = app.add_subcommand("status", "Show the fleet as a controller sees it");
-  asks(status);
+  wants_renewal(status);
   CLI::App* diagnose =
       app.add_subcommand("diagnose", "Ask the records of all proxies what happened");
-  asks(diagnose);
+  wants_renewal(diagnose);
   auto* about = diagnose->add_option_group("about");
   about->add_option("--attempt", attempt, "A request, by its attempt id");
   about->add_option("--server", server, "A server, by its id");
@@ -65,12 +65,12 @@
   about->require_option(1);
   CLI::App* rollout =
       app.add_subcommand("rollout", "Show the roll-outs of versions, their votes and evidence");
-  asks(rollout);
+  wants_renewal(rollout);
   std::string service;
   rollout->add_option("service", service, "Only this service's");
   CLI::App* failures =
       app.add_subcommand("failures", "Show which requests failed, from the records of all proxies");
-  asks(failures);
+  wants_renewal(failures);
   std::string route, zone;
   int64_t last_s = 0;
   failures->add_option("--route", route, "Only those of this route");
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "demand/demand.h"
 #include "discovery/endpoints.h"
+#include "load/load_tracker.h"
 #include "rollout/rollouts.h"
 #include "zone_drain/drained_zones.h"
 
@@ -23,11 +23,11 @@
   int32_t endpoints_read_age_ms = -1;  // since the platform was last read for it; -1 for never
   bool answer = false;                 // the sender would like the receiver's digest
   bool reliable = false;               // sent, and to be answered, over a connection
-  demand::Report demand;               // rides along; a proxy's alone
+  load::LoadReport load;               // rides along; a proxy's alone
   template <class A>
   void serialize(A& a) {
     a(revision, epoch, sequence, zone_drains, rollouts, endpoints_read_age_ms, answer, reliable,
-      demand);
+      load);
   }
 };
 
--- a/src/dissemination/peers.cc
+++ b/src/dissemination/peers.cc
@@ -209,7 +209,7 @@
       take(Digest(), [&](const auto& m) {
         // Levelling takes two: what is told back is what was here before the other's was heard.
         if (m.answer && hooks_.load_report) reply_report_ = {from, hooks_.load_report()};
-        if (hooks_.load_report_received && !m.demand.empty()) hooks_.load_report_received(m.demand);
+        if (hooks_.load_report_received && !m.load.empty()) hooks_.load_report_received(m.load);
         disseminator_.OnDigest(now, from, m);
       });
       break;
@@ -245,9 +245,9 @@
 
 void Peers::SendDigest(const base::Address& to, Digest digest) {
   if (digest.answer) {
-    if (hooks_.load_report) digest.demand = hooks_.load_report();
+    if (hooks_.load_report) digest.load = hooks_.load_report();
   } else if (to == reply_report_.first) {
-    digest.demand = std::move(reply_report_.second);
+    digest.load = std::move(reply_report_.second);
     reply_report_ = {};
   }
   if (digest.reliable || !mesh_.SendDatagram(to, wire::Kind::kDigest, digest)) {
--- a/src/dissemination/peers.h
+++ b/src/dissemination/peers.h
@@ -20,8 +20,8 @@
     std::function<void()> rollouts_adopted;
     std::function<void(const membership::Node&)> node_changed;
     // What digests carry of how busy the zones are.
-    std::function<demand::Report()> load_report;
-    std::function<void(const demand::Report&)> load_report_received;
+    std::function<load::LoadReport()> load_report;
+    std::function<void(const load::LoadReport&)> load_report_received;
     // Messages of the other slices.
     std::function<void(const base::Address&, wire::Kind, std::string_view)> other;
   };
@@ -75,7 +75,7 @@
   Disseminator disseminator_;
   base::Timer tick_;
   base::Millis tick_at_ = 0;
-  std::pair<base::Address, demand::Report> reply_report_;  // goes with the answer to a digest
+  std::pair<base::Address, load::LoadReport> reply_report_;  // goes with the answer to a digest
   bool pumping_ = false;
 };
 
--- a/src/forwarding/servers.h
+++ b/src/forwarding/load_balancer.h
@@ -10,7 +10,7 @@
 #include "base/random.h"
 #include "base/settings.h"
 #include "discovery/endpoints.h"
-#include "rollout/gate.h"
+#include "rollout/canary_policy.h"
 
 namespace elderkeel::forwarding {
 
@@ -28,7 +28,7 @@
   uint32_t version = 0;
   // Whether its version may be sent to: as any, by those requests alone that are drawn for it, or
   // not at all.
-  enum class Part : uint8_t { kMain, kSide, kBarred } part = Part::kMain;
+  enum class Part : uint8_t { kPrimary, kSecondary, kExcluded } part = Part::kPrimary;
   int capacity = 1;
   bool listed = false;
   bool draining = false;
@@ -38,23 +38,24 @@
   double allowance = 0;  // sends that it may get while cold, as of `allowed_at`
   base::Millis allowed_at = 0;
 
-  double turn = 0;  // 0 to 1: how late it comes in this node's own order of its zone's servers
+  double rank = 0;  // 0 to 1: how late it comes in this node's own order of its zone's servers
 
   int in_flight = 0;
   std::vector<base::Millis> begun;  // of the sends in flight
   double limit = 1;                 // sends that this node keeps in flight here
-  double pace = 1;  // EWMA of its latency against that of all servers for the same route
+  double latency_ratio = 1;  // EWMA of its latency against that of all servers for the same route
   int failures = 0;
-  base::Millis held_until = 0;  // 0: not held out; else a probe is due then
-  int bad_probes = 0;
+  base::Millis ejected_until = 0;  // 0: not held out; else a probe is due then
+  int failed_probes = 0;
   bool probing = false;
-  bool on_trial = false;
+  bool probation = false;
 
-  bool Takes(bool side) const {
-    return listed && !draining && !zone_drained && part == (side ? Part::kSide : Part::kMain);
+  bool Takes(bool secondary) const {
+    return listed && !draining && !zone_drained &&
+           part == (secondary ? Part::kSecondary : Part::kPrimary);
   }
   bool Usable() const { return Takes(false); }
-  bool Open() const { return Usable() && held_until == 0; }
+  bool Open() const { return Usable() && ejected_until == 0; }
 };
 
 enum class Signal : uint8_t {
@@ -66,7 +67,7 @@
 };
 
 // The servers in sight, by dense index, and the choice among them. Pure: time comes in.
-class Servers {
+class LoadBalancer {
  public:
   struct Options {
     std::string zone;
@@ -74,30 +75,30 @@
     std::map<std::string, std::string> regions;  // of zones
     double far_penalty = 0.6;     // a server elsewhere must be better by so much of a mean latency
     double region_penalty = 1.5;  // the same, on top, for one in another region
-    double turn_penalty = 0.3;    // for the last server in this node's own order
-    base::Millis hold_first = 400;
-    base::Millis hold_most = 6000;
+    double rank_penalty = 0.3;    // for the last server in this node's own order
+    base::Millis first_ejection = 400;
+    base::Millis longest_ejection = 6000;
   };
   struct Change {
     uint32_t server;
     enum class What : uint8_t { kNew, kDraining, kGone } what;
   };
 
-  Servers(Options options, base::Names* services, base::Names* regions, uint64_t seed)
+  LoadBalancer(Options options, base::Names* services, base::Names* regions, uint64_t seed)
       : options_(std::move(options)), services_(services), regions_(regions), random_(seed) {}
 
   std::vector<Change> Adopt(base::Millis now, const discovery::EndpointSnapshot& endpoints);
 
   // This node is number `place` of `places` proxies of its zone. Proxies don't see each other's
   // sends; each begins its order of the servers at another one, so that their first choices differ.
-  void SetPlace(size_t place, size_t places);
+  void SetRank(size_t place, size_t places);
   size_t places() const { return places_; }
 
   // The ids of this zone's proxies, this one's included, and its own: who may send to a cold server
   // follows from them.
-  void SetPeers(uint64_t self, std::vector<uint64_t> peers);
-  // Zones emptied by order. Servers of one taken back may have turned cold meanwhile: they are held
-  // for cold for `doubt`, until a newer list says more.
+  void SetZoneProxies(uint64_t self, std::vector<uint64_t> peers);
+  // Zones emptied by order. LoadBalancer of one taken back may have turned cold meanwhile: they are
+  // held for cold for `doubt`, until a newer list says more.
   void SetDrainedZones(base::Millis now, const std::vector<std::string>& zones, base::Millis doubt);
   // For each service, what part of the requests goes to which zone first (by index); all to this
   // node's own where nothing is said.
@@ -115,9 +116,10 @@
   const std::string& ZoneName(uint32_t zone) const { return zones_.Name(zone); }
 
   // Which of the service's versions may be sent to. The servers that may not be any more are told.
-  std::vector<uint32_t> SetVersions(uint32_t service, const rollout::Rule& rule, double few_share);
+  std::vector<uint32_t> SetVersions(uint32_t service, const rollout::Rule& rule,
+                                    double limited_share);
   const std::string& VersionOf(uint32_t server) const {
-    return versions_.Name(servers_[server].version);
+    return versions_.Name(balancer_[server].version);
   }
   // Sends in flight at servers of one version; those that are gone count too.
   uint32_t InFlight(uint32_t service, const std::string& version) const;
@@ -132,7 +134,7 @@
   // `regions`: the only ones allowed, if there are any.
   uint32_t Choose(base::Millis now, uint32_t service, double mean_ms,
                   const std::vector<uint32_t>& tried, bool idempotent,
-                  const std::vector<uint32_t>& regions, bool side = false);
+                  const std::vector<uint32_t>& regions, bool secondary = false);
   // Whether any server of the service could take a request, now or when it has room again.
   bool Any(uint32_t service, const std::vector<uint32_t>& regions) const;
 
@@ -141,18 +143,18 @@
   void End(base::Millis now, uint32_t server, base::Millis begun, Signal signal, double latency_ms,
            double mean_ms);
   // The caller gave the send up: no answer came within its age.
-  void Abandon(base::Millis now, uint32_t server, base::Millis begun, double mean_ms);
+  void OnAttemptAbandoned(base::Millis now, uint32_t server, base::Millis begun, double mean_ms);
   std::vector<uint32_t> DueProbes(base::Millis now);
-  void Probed(base::Millis now, uint32_t server, bool good);
+  void OnProbeResult(base::Millis now, uint32_t server, bool good);
 
-  Server& at(uint32_t index) { return servers_[index]; }
-  const Server& at(uint32_t index) const { return servers_[index]; }
-  size_t size() const { return servers_.size(); }
+  Server& at(uint32_t index) { return balancer_[index]; }
+  const Server& at(uint32_t index) const { return balancer_[index]; }
+  size_t size() const { return balancer_.size(); }
 
  private:
   void Remove(uint32_t server, base::Millis begun);
-  static void Learn(Server* s, double pace);
-  void Hold(base::Millis now, Server* s);
+  static void Learn(Server* s, double latency_ratio);
+  void Eject(base::Millis now, Server* s);
   void OrderServers();
   uint32_t DrawZone(uint32_t service);
   void NameOwners();
@@ -174,7 +176,7 @@
   base::Names versions_;
   struct Versions {
     rollout::Rule rule;
-    double few_share = 0;
+    double limited_share = 0;
   };
   std::vector<Versions> rules_;  // by service
   std::vector<std::string> drained_zones_;
@@ -184,7 +186,7 @@
   std::vector<uint64_t> peers_;
   base::Random random_;
   base::Names ids_;
-  std::vector<Server> servers_;
+  std::vector<Server> balancer_;
   std::vector<std::vector<uint32_t>> by_service_;  // those that are listed
   size_t place_ = 0, places_ = 1;
 };
--- a/src/forwarding/front.h
+++ b/src/forwarding/request_router.h
@@ -8,13 +8,13 @@
 #include "base/loop.h"
 #include "base/names.h"
 #include "base/settings.h"
-#include "budget/budget.h"
 #include "configuration/document.h"
-#include "demand/demand.h"
 #include "discovery/endpoints.h"
-#include "forwarding/ledger.h"
-#include "forwarding/servers.h"
-#include "rollout/gate.h"
+#include "forwarding/attempt_log.h"
+#include "forwarding/load_balancer.h"
+#include "forwarding/retry_budget.h"
+#include "load/load_tracker.h"
+#include "rollout/canary_policy.h"
 #include "telemetry/recorder.h"
 #include "wire/http_client.h"
 #include "wire/http_server.h"
@@ -23,40 +23,40 @@
 namespace elderkeel::forwarding {
 
 // Takes requests from clients and sees each one to its answer.
-class Front {
+class RequestRouter {
  public:
-  Front(base::Loop* loop, const base::Settings& settings, telemetry::Recorder* recorder);
-  ~Front();
+  RequestRouter(base::Loop* loop, const base::Settings& settings, telemetry::Recorder* recorder);
+  ~RequestRouter();
 
   base::Status Listen();
   // Every table that is made from the one in force must be adopted: only its changes are looked at.
-  void Adopt(std::shared_ptr<const configuration::Table> table);
+  void Adopt(std::shared_ptr<const configuration::RoutingTable> table);
   // The table in force; null before the first.
-  const std::shared_ptr<const configuration::Table>& table() const { return table_; }
+  const std::shared_ptr<const configuration::RoutingTable>& table() const { return table_; }
   void Adopt(const discovery::EndpointSnapshot& endpoints);
   void Adopt(const zone_drain::DrainedZones& drained_zones);
   void Adopt(const rollout::Rollouts& rollouts);
   // What the watchers of each roll-out under way are told; who tells it is left to the caller.
   struct Told {
-    rollout::Tally tally;
-    std::vector<uint64_t> watchers;
+    rollout::ProxyReport report;
+    std::vector<uint64_t> observers;
   };
-  std::vector<Told> TellTallies();
-  bool rolling_out() const { return gate_.active(); }
-  bool moving() const { return gate_.moving(); }
-  void Heard(const rollout::Touch& touch);
+  std::vector<Told> MakeProxyReports();
+  bool rolling_out() const { return canary_policy_.active(); }
+  bool IsShifting() const { return canary_policy_.IsShifting(); }
+  void OnLeaseRenewal(const rollout::LeaseRenewal& renewal);
   // Proxies in sight, this one included, share the servers' connections; those that may exist, the
   // budgets.
   void SetProxies(size_t proxies, size_t possible);
   // Which one of its zone's proxies this is.
-  void SetPlace(size_t place, size_t places) { servers_.SetPlace(place, places); }
+  void SetRank(size_t place, size_t places) { balancer_.SetRank(place, places); }
   // This one's id and those of its zone's proxies.
-  void SetPeers(uint64_t self, std::vector<uint64_t> peers) {
-    servers_.SetPeers(self, std::move(peers));
+  void SetZoneProxies(uint64_t self, std::vector<uint64_t> peers) {
+    balancer_.SetZoneProxies(self, std::move(peers));
   }
   // How busy the zones are, for the peers and from them.
-  demand::Report TellDemand();
-  void HearDemand(const demand::Report& report);
+  load::LoadReport MakeLoadReport();
+  void MergeLoadReport(const load::LoadReport& report);
   // Until a configuration and a catalog are there, requests get 503; and, where versions get
   // traffic by order, until it is known which, or nobody is there to say it.
   bool able() const {
@@ -98,11 +98,11 @@
     std::unique_ptr<wire::HttpConnection> connection;
   };
 
-  struct Exchange {
-    Exchange(bool idempotent, int attempts) : ledger(idempotent, attempts) {}
+  struct PendingRequest {
+    PendingRequest(bool idempotent, int attempts) : attempt_log(idempotent, attempts) {}
     Ticket ticket = 0;
     wire::Message request;
-    std::shared_ptr<const configuration::Table> table;  // pinned when the head was read
+    std::shared_ptr<const configuration::RoutingTable> table;  // pinned when the head was read
     const configuration::Route* route = nullptr;
     uint32_t route_index = 0;
     uint32_t service = 0;
@@ -111,8 +111,8 @@
     base::Millis arrived = 0;
     base::Millis deadline = 0;
     base::Millis wait_until = 0;
-    base::Millis second_at = 0;  // when a second send is due; 0 for never
-    Ledger ledger;
+    base::Millis hedge_at = 0;  // when a second send is due; 0 for never
+    AttemptLog attempt_log;
     std::vector<Send> sends;  // those in flight
     std::vector<uint32_t> tried;
     bool queued = false;
@@ -135,77 +135,79 @@
   void Reject(Ticket ticket, int status, const char* reason, const std::string& attempt,
               bool close = false);
   // Sends to the best server, or waits for one.
-  void Place(Exchange* x);
-  bool SendTo(Exchange* x, uint32_t server);
+  void Place(PendingRequest* x);
+  bool SendTo(PendingRequest* x, uint32_t server);
   void OnOutcome(Ticket ticket, uint64_t send, wire::HttpConnection::Outcome&& outcome);
-  void After(Exchange* x);
-  void Arm(Exchange* x);
+  void HandleAttemptFailure(PendingRequest* x);
+  void Arm(PendingRequest* x);
   void OnTimer(Ticket ticket);
-  void SecondSend(Exchange* x);
-  void Finish(Exchange* x, const wire::Message& answer, telemetry::Step step,
+  void SendHedge(PendingRequest* x);
+  void Finish(PendingRequest* x, const wire::Message& answer, telemetry::Step step,
               const std::string& reason, bool failed);
-  void GiveUp(Exchange* x, telemetry::Step step, const std::string& reason, bool deadline);
+  void FailRequest(PendingRequest* x, telemetry::Step step, const std::string& reason,
+                   bool deadline);
   // Gives up what is in flight, but for one.
-  void DropSends(Exchange* x, uint64_t except = 0);
-  void Erase(Exchange* x);
-  void Queue(Exchange* x);
-  void Unqueue(Exchange* x);
+  void AbandonAttempts(PendingRequest* x, uint64_t except = 0);
+  void Erase(PendingRequest* x);
+  void Queue(PendingRequest* x);
+  void Unqueue(PendingRequest* x);
   void PumpQueue(uint32_t service);
   wire::HttpConnection::BodySink Stream(Ticket ticket, uint64_t send, const wire::Message& so_far,
                                         int64_t length);
-  std::unique_ptr<wire::HttpConnection> TakeConnection(uint32_t server, bool idempotent);
-  void GiveBack(uint32_t server, std::unique_ptr<wire::HttpConnection> connection);
+  std::unique_ptr<wire::HttpConnection> AcquireConnection(uint32_t server, bool idempotent);
+  void ReleaseConnection(uint32_t server, std::unique_ptr<wire::HttpConnection> connection);
   void Discard(uint32_t server, std::unique_ptr<wire::HttpConnection> connection);
-  std::string RequestBytes(const Exchange& x, const std::string& server_id) const;
+  std::string RequestBytes(const PendingRequest& x, const std::string& server_id) const;
   // Empty if the answer may go to the client as it is; else what is wrong with it.
-  std::string AnswerFault(const Exchange& x, const wire::Message& answer) const;
+  std::string AnswerFault(const PendingRequest& x, const wire::Message& answer) const;
   double& MeanOf(uint32_t route);
   void Tick();
   void Probe(uint32_t server);
-  void Record(const Exchange& x, int status, telemetry::Step step, const std::string& reason,
+  void Record(const PendingRequest& x, int status, telemetry::Step step, const std::string& reason,
               bool failed);
 
   base::Loop* loop_;
   const base::Settings& settings_;
   telemetry::Recorder* recorder_;
-  bool MayOvertake(const wire::Message& request) const;
-  uint32_t ChooseFor(base::Millis now, const Exchange& x);
+  bool MayRunOutOfOrder(const wire::Message& request) const;
+  uint32_t ChooseFor(base::Millis now, const PendingRequest& x);
   // Puts in force what the roll-outs allow now.
   void ReviewVersions(base::Millis now);
-  // Counts how a send ended, for the watchers of its service's roll-out.
-  void Count(const Exchange& x, const Send& send, rollout::Gate::Ending ending, base::Millis took);
-  // After how long a second send of a late request is due.
-  static base::Millis SecondAfter(double mean, const configuration::Route& route) {
-    return std::max<base::Millis>(static_cast<base::Millis>(mean * 2), route.aim_ms / 2);
+  // VersionCounters how a send ended, for the watchers of its service's roll-out.
+  void Count(const PendingRequest& x, const Send& send, rollout::CanaryPolicy::Outcome ending,
+             base::Millis took);
+  // HandleAttemptFailure how long a second send of a late request is due.
+  static base::Millis HedgeAfter(double mean, const configuration::Route& route) {
+    return std::max<base::Millis>(static_cast<base::Millis>(mean * 2), route.target_latency_ms / 2);
   }
-  void DropIdle(uint32_t server);
+  void CloseIdleConnections(uint32_t server);
   // One send less is in flight there, and the choice has learnt how it ended.
-  void Ended(base::Millis now, uint32_t server);
-  void ShareOut(base::Millis now);
-  uint32_t DemandKey(uint32_t service);
+  void OnAttemptEnded(base::Millis now, uint32_t server);
+  void SplitByCapacity(base::Millis now);
+  uint32_t LoadKey(uint32_t service);
 
   base::Names services_;
   base::Names regions_;
   base::Names routes_;
-  std::shared_ptr<const configuration::Table> table_;
+  std::shared_ptr<const configuration::RoutingTable> table_;
   base::Millis has_endpoints_at_ = -1;
   bool serving_ = false;
   bool rejecting_ = false;
   std::function<bool()> may_deny_;
   uint64_t versions_ = 0;  // of the state of the roll-outs
   static constexpr base::Millis kVersionsPatienceMs = 1500;
-  Servers servers_;
-  demand::Demand demand_;
-  std::vector<uint32_t> demand_keys_;  // of the services, by index
+  LoadBalancer balancer_;
+  load::LoadTracker load_tracker_;
+  std::vector<uint32_t> load_keys_;  // of the services, by index
   base::Millis share_at_ = 0;
-  rollout::Gate gate_;
+  rollout::CanaryPolicy canary_policy_;
   std::map<std::string, rollout::Rule> rules_;  // as they were last put in force, by service
-  budget::Budget budget_;
+  forwarding::RetryBudget budget_;
   wire::HttpServer server_;
   std::vector<Pool> pools_;
   std::vector<double> means_;  // of a route's latency at its servers, EWMA, ms
-  std::unordered_map<Ticket, std::unique_ptr<Exchange>> exchanges_;
-  std::vector<std::list<Exchange*>> queues_;  // by service; by priority, then arrival
+  std::unordered_map<Ticket, std::unique_ptr<PendingRequest>> requests_;
+  std::vector<std::list<PendingRequest*>> queues_;  // by service; by priority, then arrival
   std::unordered_map<uint32_t, std::unique_ptr<wire::HttpCall>> probes_;
   size_t proxies_ = 1;
   uint64_t next_send_ = 1;
--- a/src/budget/budget.h
+++ b/src/forwarding/retry_budget.h
@@ -5,7 +5,7 @@
 
 #include "base/clock.h"
 
-namespace elderkeel::budget {
+namespace elderkeel::forwarding {
 
 // This node's part of the budget for further sends that all nodes share. Over any window, all nodes
 // together may send `ratio` x requests + `slack` arrivals past the first of each request.
@@ -14,7 +14,7 @@
 // slack. What a node spends in a window is then at most what it earned in that window plus what it
 // had saved, and the savings of all nodes together stay below the slack. A node that just started
 // has saved nothing: its former life may have spent its part.
-class Budget {
+class RetryBudget {
  public:
   struct Bounds {
     double ratio = 0.1;
@@ -22,40 +22,42 @@
     double share = 0.75;  // of the ratio: some requests are counted in another window than earned
   };
 
-  explicit Budget(Bounds bounds) : bounds_(bounds) {}
+  explicit RetryBudget(Bounds bounds) : bounds_(bounds) {}
 
   // `nodes`: how many may exist, at least those in sight.
   void SetNodes(size_t nodes) {
     cap_ = bounds_.slack * 0.8 / static_cast<double>(std::max<size_t>(1, nodes));
-    for (double& saved : saved_) saved = std::min(saved, cap_);
+    for (double& tokens : tokens_) tokens = std::min(tokens, cap_);
   }
-  void Earn(uint32_t service) {
-    double& saved = At(service);
-    saved = std::min(cap_, saved + bounds_.ratio * bounds_.share);
+  void Deposit(uint32_t service) {
+    double& tokens = At(service);
+    tokens = std::min(cap_, tokens + bounds_.ratio * bounds_.share);
   }
-  bool Spend(uint32_t service) { return Take(service, 0); }
+  bool TryWithdraw(uint32_t service) { return Take(service, 0); }
   // For sends that matter less than those after a failure: one of these stays saved, or, where a
   // node may not save as much as two, nothing is taken unless all that may be saved is there.
-  bool SpendIfCalm(uint32_t service) { return Take(service, std::clamp(cap_ - 1, 0.0, 1.0)); }
+  bool TryWithdrawForHedge(uint32_t service) {
+    return Take(service, std::clamp(cap_ - 1, 0.0, 1.0));
+  }
   // What was spent was not sent after all.
-  void Return(uint32_t service) { At(service) = std::min(cap_, At(service) + 1); }
+  void Refund(uint32_t service) { At(service) = std::min(cap_, At(service) + 1); }
   double cap() const { return cap_; }
 
  private:
   bool Take(uint32_t service, double reserve) {
-    double& saved = At(service);
-    if (saved < 1 + reserve) return false;
-    saved -= 1;
+    double& tokens = At(service);
+    if (tokens < 1 + reserve) return false;
+    tokens -= 1;
     return true;
   }
   double& At(uint32_t service) {
-    if (service >= saved_.size()) saved_.resize(service + 1, 0);
-    return saved_[service];
+    if (service >= tokens_.size()) tokens_.resize(service + 1, 0);
+    return tokens_[service];
   }
 
   Bounds bounds_;
   double cap_ = 1;
-  std::vector<double> saved_;
+  std::vector<double> tokens_;
 };
 
-}  // namespace elderkeel::budget
+}  // namespace elderkeel::forwarding
--- a/src/demand/demand.cc
+++ b/src/load/load_tracker.cc
@@ -1,13 +1,13 @@
-#include "demand/demand.h"
+#include "load/load_tracker.h"
 
 #include <algorithm>
 
 #include "base/random.h"
 
-namespace elderkeel::demand {
+namespace elderkeel::load {
 namespace {
 constexpr double kMeasureWeight = 0.3;    // of what was measured since the last tick
-constexpr double kPullRequest = 0.08;     // of the mean towards this proxy's own, at each tick
+constexpr double kPullToOwn = 0.08;       // of the mean towards this proxy's own, at each tick
 constexpr base::Millis kForgetMs = 5000;  // what was heard of a zone counts for so long
 constexpr base::Millis kLeastMs = 100;    // between two ticks: less measures nothing
 constexpr size_t kMostNames = 256;        // services and zones that a report may name
@@ -15,7 +15,7 @@
 
 uint32_t Key(const std::string& name) { return static_cast<uint32_t>(base::Hash(name)); }
 
-void Demand::Count(base::Millis now, uint32_t service, int change) {
+void LoadTracker::Count(base::Millis now, uint32_t service, int change) {
   Measured& m = measured_[service];
   base::Millis since = std::max(m.at, tick_at_);
   if (now > since) m.area += static_cast<double>(m.in_flight) * static_cast<double>(now - since);
@@ -23,7 +23,7 @@
   m.in_flight += change;
 }
 
-void Demand::Tick(base::Millis now) {
+void LoadTracker::Tick(base::Millis now) {
   if (tick_at_ == 0) tick_at_ = now;
   if (now - tick_at_ < kLeastMs) return;
   double span = static_cast<double>(now - tick_at_);
@@ -44,14 +44,14 @@
     }
     double before = m.smooth;
     m.smooth += kMeasureWeight * (measured - m.smooth);
-    mean = std::max(0.0, mean + m.smooth - before + kPullRequest * (m.smooth - mean));
+    mean = std::max(0.0, mean + m.smooth - before + kPullToOwn * (m.smooth - mean));
   }
   known_ = true;
   tick_at_ = now;
 }
 
-Report Demand::Tell(base::Millis now, size_t proxies) const {
-  Report report;
+LoadReport LoadTracker::MakeReport(base::Millis now, size_t proxies) const {
+  LoadReport report;
   auto tell = [&](uint32_t zone, base::Millis age, size_t of, const auto& means) {
     report.push_back({zone,
                       static_cast<uint32_t>(age),
@@ -68,9 +68,9 @@
   return report;
 }
 
-void Demand::Hear(base::Millis now, const Report& report) {
+void LoadTracker::MergeReport(base::Millis now, const LoadReport& report) {
   if (report.size() > kMostNames) return;
-  for (const ZoneDemand& heard : report) {
+  for (const ZoneLoad& heard : report) {
     if (heard.means.size() > kMostNames) continue;
     if (heard.zone == zone_) {
       if (heard.age_ms > 0) continue;  // this zone's own mean is told by its proxies alone
@@ -96,7 +96,8 @@
   }
 }
 
-double Demand::Of(base::Millis now, uint32_t zone, uint32_t service, size_t own_proxies) const {
+double LoadTracker::Of(base::Millis now, uint32_t zone, uint32_t service,
+                       size_t own_proxies) const {
   if (zone == zone_) {
     auto at = own_.find(service);
     return at == own_.end() ? 0 : at->second * static_cast<double>(own_proxies);
@@ -107,33 +108,34 @@
   return mean == at->second.means.end() ? 0 : mean->second * at->second.proxies;
 }
 
-std::vector<double> ShareOut(const std::vector<Place>& places, size_t home, double home_share) {
-  std::vector<double> shares(places.size(), 0);
+std::vector<double> SplitByCapacity(const std::vector<ZoneCapacity>& zones, size_t home,
+                                    double home_share) {
+  std::vector<double> shares(zones.size(), 0);
   shares[home] = 1;
-  double slots = 0, demand = 0;
-  for (const Place& place : places) {
-    if (place.demand < 0) continue;
-    slots += place.slots;
-    demand += place.demand;
+  double slots = 0, load = 0;
+  for (const ZoneCapacity& zone : zones) {
+    if (zone.load < 0) continue;
+    slots += zone.slots;
+    load += zone.load;
   }
-  double wanted = places[home].demand;
+  double wanted = zones[home].load;
   if (slots <= 0 || wanted <= 0) return shares;
-  double mark = std::max(home_share, demand / slots);
-  double beyond = wanted - mark * places[home].slots;
+  double mark = std::max(home_share, load / slots);
+  double beyond = wanted - mark * zones[home].slots;
   if (beyond <= 0) return shares;
   auto room = [&](size_t i) {
-    if (i == home || places[i].demand < 0) return 0.0;
-    return std::max(0.0, mark * places[i].slots - places[i].demand);
+    if (i == home || zones[i].load < 0) return 0.0;
+    return std::max(0.0, mark * zones[i].slots - zones[i].load);
   };
   double rooms = 0;
-  for (size_t i = 0; i < places.size(); ++i) rooms += room(i);
+  for (size_t i = 0; i < zones.size(); ++i) rooms += room(i);
   if (rooms <= 0) return shares;
   double away = std::min(1.0, std::min(beyond, rooms) / wanted);
   shares[home] = 1 - away;
-  for (size_t i = 0; i < places.size(); ++i) {
+  for (size_t i = 0; i < zones.size(); ++i) {
     if (i != home) shares[i] = away * room(i) / rooms;
   }
   return shares;
 }
 
-}  // namespace elderkeel::demand
+}  // namespace elderkeel::load
--- a/src/demand/demand.h
+++ b/src/load/load_tracker.h
@@ -9,10 +9,10 @@
 
 #include "base/clock.h"
 
-namespace elderkeel::demand {
+namespace elderkeel::load {
 
 // What the clients of one zone ask of each service: sends in flight, as the mean of its proxies.
-struct ZoneDemand {
+struct ZoneLoad {
   uint32_t zone = 0;  // Key() of its name
   uint32_t age_ms = 0;
   uint16_t proxies = 0;
@@ -22,7 +22,7 @@
     a(zone, age_ms, proxies, means);
   }
 };
-using Report = std::vector<ZoneDemand>;
+using LoadReport = std::vector<ZoneLoad>;
 
 uint32_t Key(const std::string& name);
 
@@ -30,9 +30,9 @@
 // send to the same servers; so each one's own sends go into a mean that pairs of proxies level with
 // every digest they exchange, and the means of other zones are passed on, the youngest counts.
 // Pure.
-class Demand {
+class LoadTracker {
  public:
-  explicit Demand(const std::string& zone) : zone_(Key(zone)) {}
+  explicit LoadTracker(const std::string& zone) : zone_(Key(zone)) {}
 
   // One more send of the service is in flight, or one less.
   void Begin(base::Millis now, uint32_t service) { Count(now, service, 1); }
@@ -41,9 +41,9 @@
   // Takes what was measured since the last call into the mean.
   void Tick(base::Millis now);
   // What is told to a peer; `proxies`: of this zone, in sight.
-  Report Tell(base::Millis now, size_t proxies) const;
+  LoadReport MakeReport(base::Millis now, size_t proxies) const;
   // What a peer told.
-  void Hear(base::Millis now, const Report& report);
+  void MergeReport(base::Millis now, const LoadReport& report);
 
   // Sends in flight for the service by all proxies of the zone; less than 0 if that is not known.
   double Of(base::Millis now, uint32_t zone, uint32_t service, size_t own_proxies) const;
@@ -74,11 +74,12 @@
 // How a zone's requests for one service are shared out. The zone's own servers get them up to
 // `home_share` of their slots, or up to what all zones are filled to on the whole if that is more.
 // What goes beyond is sent where there is room below the same mark, in proportion to the room.
-struct Place {
-  double slots = 0;    // of the servers there that may be used
-  double demand = -1;  // of the clients there; less than 0: not known, no room is seen there
+struct ZoneCapacity {
+  double slots = 0;  // of the servers there that may be used
+  double load = -1;  // of the clients there; less than 0: not known, no room is seen there
 };
-// The share for each place, that at `home` included; they add up to 1.
-std::vector<double> ShareOut(const std::vector<Place>& places, size_t home, double home_share);
+// The share for each zone, that at `home` included; they add up to 1.
+std::vector<double> SplitByCapacity(const std::vector<ZoneCapacity>& zones, size_t home,
+                                    double home_share);
 
-}  // namespace elderkeel::demand
+}  // namespace elderkeel::load
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -19,9 +19,9 @@
 constexpr base::Millis kStartupProbeForMs =
     3000;  // after the start; a core that is settled has confirmed
 constexpr base::Millis kFirstEndpointsMs = 1500;  // a node that has none asks for itself after this
-constexpr base::Millis kTallyEveryMs = 250;
-constexpr base::Millis kMovingTallyEveryMs = 100;  // while traffic moves to a new version
-constexpr base::Millis kTouchEveryMs = 600;
+constexpr base::Millis kReportEveryMs = 250;
+constexpr base::Millis kShiftingReportEveryMs = 100;  // while traffic moves to a new version
+constexpr base::Millis kRenewLeaseEveryMs = 600;
 constexpr size_t kTelemetryFileBytes = 4u << 20;
 
 }  // namespace
@@ -51,8 +51,8 @@
   telemetry::Recorder::Options telemetry;
   telemetry.flush_ms = settings_.telemetry_flush_ms;
   recorder_ = std::make_unique<telemetry::Recorder>(telemetry, MakeSink());
-  front_ = std::make_unique<forwarding::Front>(loop_, settings_, recorder_.get());
-  front_->SetDenialGuard([this] {
+  router_ = std::make_unique<forwarding::RequestRouter>(loop_, settings_, recorder_.get());
+  router_->SetDenialGuard([this] {
     base::Millis age = peers_->disseminator().log_age(base::SteadyMillis());
     return age >= 0 && age <= settings_.PropagationMs();
   });
@@ -62,17 +62,19 @@
   hooks.configuration_adopted = [this] { ApplyConfiguration(); };
   hooks.endpoints_adopted = [this] { ApplyEndpoints(); };
   hooks.zone_drains_adopted = [this] {
-    front_->Adopt(peers_->disseminator().drained_zones());
+    router_->Adopt(peers_->disseminator().drained_zones());
     base::Info("zone_drain.adopted",
                {{"version", peers_->disseminator().drained_zones().version()}});
   };
   hooks.rollouts_adopted = [this] {
-    front_->Adopt(peers_->disseminator().rollouts());
-    tally_at_ = 0;
+    router_->Adopt(peers_->disseminator().rollouts());
+    report_at_ = 0;
     base::Info("rollouts.adopted", {{"version", peers_->disseminator().rollouts().version()}});
   };
-  hooks.load_report = [this] { return front_->TellDemand(); };
-  hooks.load_report_received = [this](const demand::Report& report) { front_->HearDemand(report); };
+  hooks.load_report = [this] { return router_->MakeLoadReport(); };
+  hooks.load_report_received = [this](const load::LoadReport& report) {
+    router_->MergeLoadReport(report);
+  };
   hooks.node_changed = [this](const membership::Node&) { peers_changed_ = true; };
   hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
     OnMessage(from, kind, payload);
@@ -96,7 +98,7 @@
       });
   auto listening = ready_server_->Listen(settings_.readiness);
   if (!listening) return listening;
-  listening = front_->Listen();
+  listening = router_->Listen();
   if (!listening) return listening;
   watch_ = std::make_unique<lifecycle::SettingsWatcher>(
       loop_, settings_path_, [this](const base::Settings& taken) {
@@ -117,26 +119,27 @@
 
 void Proxy::ApplyConfiguration() {
   const dissemination::Disseminator& disseminator = peers_->disseminator();
-  std::shared_ptr<const configuration::Table> table;
-  if (front_->table() && !disseminator.configuration_patch().empty() &&
-      front_->table()->revision() == disseminator.configuration_base()) {
-    table = configuration::Table::Patch(*front_->table(), disseminator.configuration_patch(),
-                                        front_->names(), front_->regions());
+  std::shared_ptr<const configuration::RoutingTable> table;
+  if (router_->table() && !disseminator.configuration_patch().empty() &&
+      router_->table()->revision() == disseminator.configuration_base()) {
+    table =
+        configuration::RoutingTable::Patch(*router_->table(), disseminator.configuration_patch(),
+                                           router_->names(), router_->regions());
   }
   if (!table) {
-    table = configuration::Table::Build(disseminator.configuration_text(), front_->names(),
-                                        front_->regions());
+    table = configuration::RoutingTable::Build(disseminator.configuration_text(), router_->names(),
+                                               router_->regions());
   }
   if (!table) {
     base::Warn("configuration.rejected", {{"revision", peers_->disseminator().revision()}});
     peers_->RejectConfiguration();
     return;
   }
-  front_->Adopt(std::move(table));
+  router_->Adopt(std::move(table));
   base::Info("configuration.adopted", {{"revision", peers_->disseminator().revision()}});
 }
 
-void Proxy::ApplyEndpoints() { front_->Adopt(peers_->disseminator().endpoints()); }
+void Proxy::ApplyEndpoints() { router_->Adopt(peers_->disseminator().endpoints()); }
 
 void Proxy::Answer(const base::Address& from, const diagnosis::Query& query) {
   diagnosis::Question question;
@@ -146,7 +149,7 @@
   uint64_t nonce = query.nonce;
   if (query.about == diagnosis::Question::About::kNode) {
     base::Millis now = base::SteadyMillis();
-    telemetry::Recorder::Counts counts = recorder_->counts();
+    telemetry::Recorder::VersionCounters counts = recorder_->counts();
     diagnosis::Reply reply;
     reply.nonce = nonce;
     reply.node = settings_.node_name;
@@ -156,7 +159,7 @@
         " catalog_epoch=" + std::to_string(peers_->disseminator().endpoints().epoch) +
         " catalog_age_ms=" + std::to_string(peers_->disseminator().endpoints_read_age(now)) +
         " ready=" + (lifecycle_.Ready(now) ? "yes" : "no") +
-        " busy=" + std::to_string(front_->busy()) +
+        " busy=" + std::to_string(router_->busy()) +
         " records_lost=" + std::to_string(counts.lost + counts.unsent));
     peers_->mesh().Send(from, wire::Kind::kQueryReply, reply);
     return;
@@ -184,10 +187,10 @@
     if (auto query = wire::Decode<diagnosis::Query>(payload)) Answer(from, *query);
     return;
   }
-  if (kind == wire::Kind::kTouch) {
-    if (auto touch = wire::Decode<rollout::Touch>(payload)) {
-      front_->Heard(*touch);
-      peers_->NoteRolloutVersion(from, touch->version);
+  if (kind == wire::Kind::kLeaseRenewal) {
+    if (auto renewal = wire::Decode<rollout::LeaseRenewal>(payload)) {
+      router_->OnLeaseRenewal(*renewal);
+      peers_->NoteRolloutVersion(from, renewal->version);
     }
     return;
   }
@@ -210,8 +213,8 @@
     peers_->VouchForLog(confirmation_.known_at());
     base::Info("configuration.confirmed", {{"revision", disseminator.revision()}});
   }
-  if (front_->able()) lifecycle_.Able(now);
-  front_->SetServing(lifecycle_.Serving(now));
+  if (router_->able()) lifecycle_.Able(now);
+  router_->SetServing(lifecycle_.Serving(now));
 }
 
 void Proxy::AskConfirmation(base::Millis now) {
@@ -232,7 +235,7 @@
   if (disseminator.revision() < std::max<int64_t>(1, wanted.revision) ||
       disseminator.drained_zones().version() < wanted.zone_drains ||
       disseminator.rollouts().version() < wanted.rollouts || !disseminator.has_endpoints() ||
-      (settings_.VersionsByOrder() && !front_->versions_known())) {
+      (settings_.VersionsByOrder() && !router_->versions_known())) {
     peers_->AskDigest(to);
   }
 }
@@ -266,22 +269,22 @@
 }
 
 void Proxy::ReportMetrics(base::Millis now) {
-  if (!front_->rolling_out() || now < tally_at_) return;
+  if (!router_->rolling_out() || now < report_at_) return;
   // The watchers hear all proxies; with many, each speaks more seldom.
   size_t proxies = peers_->members().CountNotLeft(membership::Program::kProxy);
-  base::Millis every = front_->moving() ? kMovingTallyEveryMs : kTallyEveryMs;
-  tally_at_ = now + std::max<base::Millis>(every, static_cast<base::Millis>(proxies));
-  bool ask = now >= ask_touch_at_;
-  if (ask) ask_touch_at_ = now + kTouchEveryMs;
-  for (forwarding::Front::Told& told : front_->TellTallies()) {
-    told.tally.node = peers_->members().self().id;
-    told.tally.boot_id = peers_->members().self().boot_id;
-    told.tally.asks = ask;
-    std::string bytes = wire::Encode(told.tally);
-    for (uint64_t watcher : told.watchers) {
-      auto node = peers_->members().nodes().find(watcher);
+  base::Millis every = router_->IsShifting() ? kShiftingReportEveryMs : kReportEveryMs;
+  report_at_ = now + std::max<base::Millis>(every, static_cast<base::Millis>(proxies));
+  bool ask = now >= renew_lease_at_;
+  if (ask) renew_lease_at_ = now + kRenewLeaseEveryMs;
+  for (forwarding::RequestRouter::Told& told : router_->MakeProxyReports()) {
+    told.report.node = peers_->members().self().id;
+    told.report.boot_id = peers_->members().self().boot_id;
+    told.report.wants_renewal = ask;
+    std::string bytes = wire::Encode(told.report);
+    for (uint64_t observer : told.observers) {
+      auto node = peers_->members().nodes().find(observer);
       if (node == peers_->members().nodes().end()) continue;
-      peers_->SendSmall(node->second.address(), wire::Kind::kTally, bytes);
+      peers_->SendSmall(node->second.address(), wire::Kind::kProxyReport, bytes);
     }
   }
 }
@@ -290,7 +293,7 @@
 void Proxy::ProbeStartup() {
   base::Millis now = base::SteadyMillis();
   if (started_at_ == 0) started_at_ = now;
-  bool done = front_->able() && (lifecycle_.confirmed() || now - started_at_ > kStartupProbeForMs);
+  bool done = router_->able() && (lifecycle_.confirmed() || now - started_at_ > kStartupProbeForMs);
   if (done || lifecycle_.leaving()) return;
   ask_at_ = std::min(ask_at_, now + kStartupProbeMs);
   AskConfirmation(now);
@@ -302,8 +305,8 @@
   if (!peers_changed_) return;
   peers_changed_ = false;
   const membership::Membership& members = peers_->members();
-  front_->SetProxies(members.CountAlive(membership::Program::kProxy),
-                     members.CountNotLeft(membership::Program::kProxy));
+  router_->SetProxies(members.CountAlive(membership::Program::kProxy),
+                      members.CountNotLeft(membership::Program::kProxy));
   size_t place = 0, places = 0;
   std::vector<uint64_t> peers;
   for (const auto& [id, node] : members.nodes()) {
@@ -315,8 +318,8 @@
     ++places;
     if (id < members.self().id) ++place;
   }
-  front_->SetPlace(place, places);
-  front_->SetPeers(members.self().id, std::move(peers));
+  router_->SetRank(place, places);
+  router_->SetZoneProxies(members.self().id, std::move(peers));
 }
 
 void Proxy::Tick() {
@@ -329,17 +332,17 @@
     ReadForItself(now);
   }
   peers_->SetReady(lifecycle_.Ready(now));
-  if (AdvanceShutdown(lifecycle_.At(now, front_->busy()), front_.get())) {
-    base::Info("proxy.stopped", {{"busy", front_->busy()}});
+  if (AdvanceShutdown(lifecycle_.At(now, router_->busy()), router_.get())) {
+    base::Info("proxy.stopped", {{"busy", router_->busy()}});
     loop_->Stop();
   }
 }
 
 void Proxy::Terminate() {
   if (lifecycle_.leaving()) return;
-  base::Info("proxy.stopping", {{"busy", front_->busy()}});
+  base::Info("proxy.stopping", {{"busy", router_->busy()}});
   lifecycle_.Leave(base::SteadyMillis());
-  front_->SetLeaving();
+  router_->SetLeaving();
   peers_->Leave();
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -8,7 +8,7 @@
 #include "discovery/platform_client.h"
 #include "dissemination/confirm.h"
 #include "dissemination/peers.h"
-#include "forwarding/front.h"
+#include "forwarding/request_router.h"
 #include "lifecycle/lifecycle.h"
 #include "lifecycle/settings_watcher.h"
 #include "telemetry/recorder.h"
@@ -46,7 +46,7 @@
   std::string settings_path_;
   std::unique_ptr<telemetry::Recorder> recorder_;
   std::unique_ptr<dissemination::Peers> peers_;
-  std::unique_ptr<forwarding::Front> front_;
+  std::unique_ptr<forwarding::RequestRouter> router_;
   std::unique_ptr<wire::HttpServer> ready_server_;
   std::unique_ptr<discovery::PlatformClient> platform_;
   std::unique_ptr<lifecycle::SettingsWatcher> watch_;
@@ -61,8 +61,8 @@
   base::Millis confirm_at_ = 0;
   size_t next_controller_ = 0;
   base::Millis read_at_ = 0;
-  base::Millis tally_at_ = 0;
-  base::Millis ask_touch_at_ = 0;
+  base::Millis report_at_ = 0;
+  base::Millis renew_lease_at_ = 0;
 };
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/shutdown.cc
+++ b/src/proxy/shutdown.cc
@@ -2,7 +2,7 @@
 
 namespace elderkeel::proxy {
 
-bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::Front* front) {
+bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::RequestRouter* front) {
   using Phase = lifecycle::Lifecycle::Phase;
   switch (phase) {
     case Phase::kServing:
--- /dev/null
+++ b/src/rollout/coordinator.cc
@@ -0,0 +1,220 @@
+#include "rollout/coordinator.h"
+
+#include <algorithm>
+#include <set>
+
+#include "base/random.h"
+
+namespace elderkeel::rollout {
+namespace {
+constexpr size_t kObservers = 3;
+constexpr base::Millis kMinPromotionMs = 2500;
+constexpr base::Millis kMaxPromotionMs = 4500;
+constexpr base::Millis kNoVerdictMs = 1500;  // before the term: it can't be completed any more
+constexpr base::Millis kLeaveOutMs =
+    700;  // before the term: those not heard are waited for no more
+}  // namespace
+
+std::vector<uint64_t> ChooseObservers(const std::string& service,
+                                      const std::vector<Candidate>& candidates,
+                                      const std::vector<uint64_t>& keep) {
+  std::vector<uint64_t> named;
+  std::set<std::string> zones;
+  std::vector<std::pair<uint64_t, const Candidate*>> order;
+  uint64_t key = base::Hash(service);
+  for (const Candidate& candidate : candidates) {
+    if (std::find(keep.begin(), keep.end(), candidate.id) != keep.end()) {
+      named.push_back(candidate.id);
+      zones.insert(candidate.zone);
+    } else {
+      order.push_back({base::Random(key ^ candidate.id).Next(), &candidate});
+    }
+  }
+  std::sort(order.begin(), order.end());
+  for (bool other_zones : {true, false}) {
+    for (const auto& [draw, candidate] : order) {
+      if (named.size() >= kObservers) return named;
+      if (std::find(named.begin(), named.end(), candidate->id) != named.end()) continue;
+      if (other_zones && !zones.insert(candidate->zone).second) continue;
+      named.push_back(candidate->id);
+    }
+  }
+  return named;
+}
+
+base::Millis RolloutCoordinator::PromotionTime(base::Millis term) {
+  return std::min(term / 2,
+                  std::clamp<base::Millis>(term * 3 / 10, kMinPromotionMs, kMaxPromotionMs));
+}
+
+void RolloutCoordinator::Adopt(base::Millis now, const Rollouts& rollouts) {
+  std::map<uint64_t, TrackedRollout> tracked;
+  for (const auto& [service, rollout] : rollouts.rollouts()) {
+    auto before = tracked_.find(rollout.number);
+    TrackedRollout next;
+    if (before != tracked_.end()) {
+      next = std::move(before->second);
+    } else {
+      next.since = now - rollout.elapsed_ms;
+      next.stage = rollout.stage;
+      next.stage_at = now;
+    }
+    if (next.stage != rollout.stage) {
+      next.stage = rollout.stage;
+      next.stage_at = now;
+    }
+    tracked[rollout.number] = std::move(next);
+  }
+  tracked_ = std::move(tracked);
+}
+
+void RolloutCoordinator::OnVote(base::Millis now, const Vote& vote) {
+  auto at = tracked_.find(vote.number);
+  if (at == tracked_.end()) return;
+  TrackedRollout& tracked = at->second;
+  tracked.since = std::min(tracked.since, now - static_cast<base::Millis>(vote.age_ms));
+  auto received = tracked.votes.find(vote.observer);
+  if (received == tracked.votes.end()) {
+    if (tracked.votes.size() < 64) tracked.votes[vote.observer] = {vote, now, {}};
+    return;
+  }
+  // The word of a life that another has followed counts no more, however late it comes.
+  ReceivedVote& last = received->second;
+  std::vector<uint64_t>& former = last.former_boot_ids;
+  if (std::find(former.begin(), former.end(), vote.boot_id) != former.end()) return;
+  if (vote.boot_id != last.vote.boot_id) {
+    if (former.size() >= 16) former.erase(former.begin());
+    former.push_back(last.vote.boot_id);
+  }
+  last.vote = vote;
+  last.at = now;
+}
+
+base::Millis RolloutCoordinator::Age(base::Millis now, const Rollout& rollout) const {
+  auto at = tracked_.find(rollout.number);
+  return at == tracked_.end() ? 0 : now - at->second.since;
+}
+
+const std::map<uint64_t, RolloutCoordinator::ReceivedVote>& RolloutCoordinator::VotesOn(
+    uint64_t number) const {
+  static const std::map<uint64_t, ReceivedVote> none;
+  auto at = tracked_.find(number);
+  return at == tracked_.end() ? none : at->second.votes;
+}
+
+RolloutCoordinator::VoteCount RolloutCoordinator::CountVotes(base::Millis now,
+                                                             const Rollout& rollout,
+                                                             const TrackedRollout& tracked,
+                                                             uint64_t version) const {
+  VoteCount votes;
+  std::string doubt;
+  bool moved_heard = false, still_moving = false;
+  for (uint64_t observer : rollout.observers) {
+    auto at = tracked.votes.find(observer);
+    if (at == tracked.votes.end() || now - at->second.at > options_.fresh) continue;
+    const Vote& vote = at->second.vote;
+    ++votes.heard;
+    if (vote.opinion == Opinion::kGood) ++votes.good;
+    if (vote.opinion == Opinion::kBad) {
+      ++votes.bad;
+      votes.why = vote.why;
+    } else if (!vote.why.empty()) {
+      doubt = vote.why;
+    }
+    if (vote.version < version || vote.known_proxies == 0) continue;
+    bool all = vote.unconfirmed == 0 && vote.not_reporting == 0;
+    votes.confirmed |= all;
+    moved_heard |= vote.heard * 2 >= vote.known_proxies;
+    still_moving |= vote.unconfirmed > 0;
+    if (!all) {
+      votes.missing = std::to_string(vote.unconfirmed) + " of those heard and " +
+                      std::to_string(vote.not_reporting) + " not heard have not confirmed";
+    }
+  }
+  // A watcher that is cut off itself hears few who could still be moving.
+  votes.moved_heard = moved_heard && !still_moving;
+  if (votes.why.empty()) votes.why = doubt;
+  return votes;
+}
+
+std::pair<Stage, std::string> RolloutCoordinator::NextStage(base::Millis now,
+                                                            const Rollout& rollout,
+                                                            const TrackedRollout& tracked,
+                                                            const VoteCount& votes) const {
+  base::Millis term = rollout.order.over_ms;
+  base::Millis age = now - tracked.since;
+  bool bad = votes.bad * 2 > votes.heard;
+  bool good = votes.good * 2 > rollout.observers.size();
+  switch (rollout.stage) {
+    case Stage::kCanary:
+      if (bad) return {Stage::kReverting, "voted bad: " + votes.why};
+      if (age >= term - std::min(kNoVerdictMs, term / 4)) {
+        return {Stage::kReverting,
+                "no verdict by the term: " + (votes.why.empty() ? "no vote" : votes.why)};
+      }
+      if (age >= term - PromotionTime(term) && good) return {Stage::kPromoting, "voted good"};
+      break;
+    case Stage::kPromoting:
+      if (bad) return {Stage::kReverting, "voted bad while it was promoted: " + votes.why};
+      if (votes.confirmed) return {Stage::kCompleted, "all proxies have moved"};
+      // Those that can't be heard learn of it when they are; nothing of theirs can be waited for.
+      if (age >= term - kLeaveOutMs && votes.moved_heard) {
+        return {Stage::kCompleted, "all proxies that are heard have moved; " + votes.missing};
+      }
+      if (age >= term + options_.overtime) {
+        return {Stage::kCompleted, "waited long enough; " + votes.missing};
+      }
+      break;
+    case Stage::kReverting:
+      if (votes.confirmed) return {Stage::kReverted, rollout.reason};
+      if (now - tracked.stage_at >= options_.revert) {
+        return {Stage::kReverted,
+                rollout.reason + (votes.missing.empty() ? "" : "; " + votes.missing)};
+      }
+      break;
+    case Stage::kCompleted:
+    case Stage::kReverted:
+      break;
+  }
+  return {rollout.stage, ""};
+}
+
+std::vector<Step> RolloutCoordinator::Review(base::Millis now, const Rollouts& rollouts,
+                                             const std::vector<Candidate>& candidates) {
+  std::vector<Step> steps;
+  for (const auto& [service, rollout] : rollouts.rollouts()) {
+    if (Ended(rollout.stage)) continue;
+    auto at = tracked_.find(rollout.number);
+    if (at == tracked_.end()) continue;
+    TrackedRollout& tracked = at->second;
+    if (tracked.proposed_version == rollouts.version() &&
+        now - tracked.proposed_at < options_.propose) {
+      continue;
+    }
+    VoteCount votes = CountVotes(now, rollout, tracked, rollouts.version());
+    auto [stage, why] = NextStage(now, rollout, tracked, votes);
+    Step step;
+    step.number = rollout.number;
+    step.elapsed_ms = now - tracked.since;
+    if (stage != rollout.stage) {
+      step.kind = Step::Kind::kStage;
+      step.stage = stage;
+      step.reason = why;
+    } else {
+      step.kind = Step::Kind::kObservers;
+      step.observers = ChooseObservers(service, candidates, rollout.observers);
+      // A watcher that is lost is replaced; one more than are there can't be named.
+      if (step.observers == rollout.observers || step.observers.empty()) continue;
+      std::vector<uint64_t> sorted = step.observers, before = rollout.observers;
+      std::sort(sorted.begin(), sorted.end());
+      std::sort(before.begin(), before.end());
+      if (sorted == before) continue;
+    }
+    tracked.proposed_at = now;
+    tracked.proposed_version = rollouts.version();
+    steps.push_back(std::move(step));
+  }
+  return steps;
+}
+
+}  // namespace elderkeel::rollout
--- a/src/rollout/conductor.h
+++ b/src/rollout/coordinator.h
@@ -17,13 +17,13 @@
 };
 // The watchers of a service's next roll-out: those that the ring names for it, from as many zones
 // as there are. `keep`: those of before that are still there.
-std::vector<uint64_t> NameWatchers(const std::string& service,
-                                   const std::vector<Candidate>& candidates,
-                                   const std::vector<uint64_t>& keep = {});
+std::vector<uint64_t> ChooseObservers(const std::string& service,
+                                      const std::vector<Candidate>& candidates,
+                                      const std::vector<uint64_t>& keep = {});
 
 // The leader's part: takes the votes and decides when a roll-out enters its next stage. Every
 // controller follows along, so that a new leader knows how old each order is. Pure.
-class Conductor {
+class RolloutCoordinator {
  public:
   struct Options {
     base::Millis fresh = 1300;     // a vote, for so long
@@ -31,7 +31,7 @@
     base::Millis revert = 1500;    // that `kReverting` may take
     base::Millis overtime = 5000;  // past the term, until proxies that confirm nothing are left out
   };
-  explicit Conductor(Options options) : options_(options) {}
+  explicit RolloutCoordinator(Options options) : options_(options) {}
 
   // The state after each entry.
   void Adopt(base::Millis now, const Rollouts& rollouts);
@@ -41,42 +41,43 @@
                            const std::vector<Candidate>& candidates);
 
   base::Millis Age(base::Millis now, const Rollout& rollout) const;
-  struct Told {
+  struct ReceivedVote {
     Vote vote;
     base::Millis at = 0;
     std::vector<uint64_t> former_boot_ids;  // of the watcher, the last 16
   };
   // By watcher; of the newest life of each.
-  const std::map<uint64_t, Told>& VotesOn(uint64_t number) const;
+  const std::map<uint64_t, ReceivedVote>& VotesOn(uint64_t number) const;
 
   // How long before its term a roll-out moves its traffic at the latest. All that is sent after
   // that to a version which then turns bad counts in full, so it is as late as the move allows.
-  static base::Millis MoveTime(base::Millis term);
+  static base::Millis PromotionTime(base::Millis term);
 
  private:
-  struct Known {
+  struct TrackedRollout {
     base::Millis since = 0;
     Stage stage = Stage::kCanary;
     base::Millis stage_at = 0;
-    std::map<uint64_t, Told> votes;
+    std::map<uint64_t, ReceivedVote> votes;
     base::Millis proposed_at = -100000;
     uint64_t proposed_version = 0;
   };
-  struct Count {
+  struct VoteCount {
     size_t heard = 0, good = 0, bad = 0;
     std::string why;           // of a vote that says bad, or of one that can't say good
-    bool moved = false;        // some watcher has heard it of every proxy
+    bool confirmed = false;    // some watcher has heard it of every proxy
     bool moved_heard = false;  // or at least of every proxy whose word comes
     std::string missing;
   };
-  Count CountVotes(base::Millis now, const Rollout& rollout, const Known& known,
-                   uint64_t version) const;
+  VoteCount CountVotes(base::Millis now, const Rollout& rollout, const TrackedRollout& tracked,
+                       uint64_t version) const;
   // The next stage and why; the same stage if it is not time.
-  std::pair<Stage, std::string> Next(base::Millis now, const Rollout& rollout, const Known& known,
-                                     const Count& count) const;
+  std::pair<Stage, std::string> NextStage(base::Millis now, const Rollout& rollout,
+                                          const TrackedRollout& tracked,
+                                          const VoteCount& votes) const;
 
   Options options_;
-  std::map<uint64_t, Known> known_;  // by number
+  std::map<uint64_t, TrackedRollout> tracked_;  // by number
 };
 
 }  // namespace elderkeel::rollout
--- a/src/rollout/messages.cc
+++ b/src/rollout/messages.cc
@@ -4,9 +4,9 @@
 
 namespace elderkeel::rollout {
 
-Counts Counts::Since(const Counts& before) const {
+VersionCounters VersionCounters::Since(const VersionCounters& before) const {
   auto more = [](uint32_t now, uint32_t then) { return now > then ? now - then : 0; };
-  Counts since;
+  VersionCounters since;
   since.answers = more(answers, before.answers);
   since.failed = more(failed, before.failed);
   since.broken = more(broken, before.broken);
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -10,7 +10,7 @@
 
 // What became of the sends to one version, on one route. Numbers only rise within a proxy's life,
 // so that telling them twice, or out of order, changes nothing.
-struct Counts {
+struct VersionCounters {
   uint32_t answers = 0;  // whole or not; what was turned away unrun is none
   uint32_t failed = 0;   // failures of the server's own
   uint32_t broken = 0;   // cut, garbled, of another request, or silent to the end
@@ -21,7 +21,7 @@
   uint64_t broken_at = 0;
   uint64_t late_at = 0;
 
-  void Add(const Counts& o) {
+  void Add(const VersionCounters& o) {
     answers += o.answers;
     failed += o.failed;
     broken += o.broken;
@@ -32,7 +32,7 @@
     late_at |= o.late_at;
   }
   // What came on top of `before`, which was told by the same life.
-  Counts Since(const Counts& before) const;
+  VersionCounters Since(const VersionCounters& before) const;
   template <class A>
   void serialize(A& a) {
     a(answers, failed, broken, late, timed, seen, broken_at, late_at);
@@ -41,7 +41,7 @@
 
 struct Row {
   uint32_t route = 0;  // RouteKey of its label
-  Counts old_version, new_version;
+  VersionCounters old_version, new_version;
   template <class A>
   void serialize(A& a) {
     a(route, old_version, new_version);
@@ -50,29 +50,29 @@
 uint32_t RouteKey(const std::string& label);
 
 // A proxy's word to the watchers of one roll-out.
-struct Tally {
+struct ProxyReport {
   uint64_t node = 0;  // its id on the ring
   uint64_t boot_id = 0;
-  uint64_t number = 0;    // of the roll-out
-  uint64_t version = 0;   // of the state that it acts by
-  uint32_t age_ms = 0;    // since it knows of the order
-  uint32_t requests = 0;  // for the service since then
-  uint32_t exposed = 0;   // sends to the new version since then
-  uint32_t old_busy = 0;  // sends in flight at servers of the old version
-  uint32_t new_busy = 0;  // and of the new one
-  bool moved = false;     // sends nothing new to the version that the stage moves away from
-  bool asks = false;      // would like to be told the newest version of the state
+  uint64_t number = 0;         // of the roll-out
+  uint64_t version = 0;        // of the state that it acts by
+  uint32_t age_ms = 0;         // since it knows of the order
+  uint32_t requests = 0;       // for the service since then
+  uint32_t exposed = 0;        // sends to the new version since then
+  uint32_t old_in_flight = 0;  // sends in flight at servers of the old version
+  uint32_t new_in_flight = 0;  // and of the new one
+  bool confirmed = false;      // sends nothing new to the version that the stage moves away from
+  bool wants_renewal = false;  // would like to be told the newest version of the state
   std::vector<Row> rows;
   template <class A>
   void serialize(A& a) {
-    a(node, boot_id, number, version, age_ms, requests, exposed, old_busy, new_busy, moved, asks,
-      rows);
+    a(node, boot_id, number, version, age_ms, requests, exposed, old_in_flight, new_in_flight,
+      confirmed, wants_renewal, rows);
   }
 };
 
 // A watcher's answer to a tally, sent as long as the watcher itself hears a leader. A proxy that
 // gets none is out of touch and sends nothing to a version that is not proven.
-struct Touch {
+struct LeaseRenewal {
   uint64_t number = 0;
   uint64_t version = 0;
   template <class A>
@@ -87,24 +87,24 @@
 // What a watcher tells the leader.
 struct Vote {
   uint64_t number = 0;
-  uint64_t watcher = 0;
+  uint64_t observer = 0;
   uint64_t boot_id = 0;
   uint64_t version = 0;  // of the state that it watches by
   Opinion opinion = Opinion::kAbstains;
   std::string why;
   uint32_t age_ms = 0;  // of the order, by the oldest knowledge of any proxy
   uint32_t heard = 0;   // proxies whose word is fresh
-  uint32_t in_sight = 0;
+  uint32_t known_proxies = 0;
   uint64_t requests = 0;          // for the service, by all of them
   uint64_t exposed = 0;           // sends to the new version
-  uint32_t unmoved = 0;           // proxies heard that have not confirmed the stage's move
-  uint32_t unheard = 0;           // proxies that have not, and whose word does not come
+  uint32_t unconfirmed = 0;       // proxies heard that have not confirmed the stage's move
+  uint32_t not_reporting = 0;     // proxies that have not, and whose word does not come
   std::vector<uint64_t> missing;  // some of both, by id
   std::vector<Row> rows;          // the sums
   template <class A>
   void serialize(A& a) {
-    a(number, watcher, boot_id, version, opinion, why, age_ms, heard, in_sight, requests, exposed,
-      unmoved, unheard, missing, rows);
+    a(number, observer, boot_id, version, opinion, why, age_ms, heard, known_proxies, requests,
+      exposed, unconfirmed, not_reporting, missing, rows);
   }
 };
 
--- a/src/rollout/watcher.cc
+++ b/src/rollout/observer.cc
@@ -1,4 +1,4 @@
-#include "rollout/watcher.h"
+#include "rollout/observer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -47,7 +47,7 @@
   sum_ = std::max(0.0, sum_ + gain);
 }
 
-void Comparison::Lately::Take(const Counts& more) {
+void Comparison::Lately::Take(const VersionCounters& more) {
   answers += more.answers;
   failed += more.failed;
   broken += more.broken;
@@ -62,8 +62,8 @@
   route->sums.new_version.Add(more.new_version);
   route->old_version.Take(more.old_version);
   const Lately& old = route->old_version;
-  const Counts& now = more.new_version;
-  const Counts& sum = route->sums.new_version;
+  const VersionCounters& now = more.new_version;
+  const VersionCounters& sum = route->sums.new_version;
   auto test = [&](ChangeTest* change, uint32_t all, uint32_t yes, double old_all, double old_yes,
                   const Rate& rate) {
     double usual = (old_yes + kPrior * rate.floor / rate.allowance) / (old_all + kPrior);
@@ -95,7 +95,7 @@
 }
 
 std::string Comparison::Missing(double canary_share) const {
-  const Counts& sum = all_.sums.new_version;
+  const VersionCounters& sum = all_.sums.new_version;
   if (sum.answers < kFewAnswers) return "too few answers";
   if (sum.timed < kFewAnswers) return "too few answers of servers that are warm";
   auto doubtful = [](const Route& r) {
@@ -118,12 +118,12 @@
   return rows;
 }
 
-void Watcher::Adopt(const Rollouts& rollouts) {
+void Observer::Adopt(const Rollouts& rollouts) {
   version_ = rollouts.version();
   std::map<uint64_t, Watch> watches;
   for (const auto& [service, rollout] : rollouts.rollouts()) {
     if (Ended(rollout.stage)) continue;
-    const auto& named = rollout.watchers;
+    const auto& named = rollout.observers;
     if (std::find(named.begin(), named.end(), options_.self) == named.end()) continue;
     auto before = watches_.find(rollout.number);
     Watch& watch = watches[rollout.number];
@@ -133,21 +133,21 @@
   watches_ = std::move(watches);
 }
 
-bool Watcher::OnTally(base::Millis now, const Tally& tally) {
-  auto at = watches_.find(tally.number);
+bool Observer::OnProxyReport(base::Millis now, const ProxyReport& report) {
+  auto at = watches_.find(report.number);
   if (at == watches_.end()) return false;
   Watch& watch = at->second;
-  Heard& heard = watch.proxies[tally.node];
-  bool same_boot = heard.tally.boot_id == tally.boot_id;
+  ReceivedReport& heard = watch.proxies[report.node];
+  bool same_boot = heard.report.boot_id == report.boot_id;
   // Datagrams overtake each other; an older word says nothing new.
-  if (same_boot && (tally.age_ms < heard.tally.age_ms || tally.version < heard.tally.version)) {
+  if (same_boot && (report.age_ms < heard.report.age_ms || report.version < heard.report.version)) {
     return true;
   }
   std::map<uint32_t, Row> before;
   if (same_boot) {
-    for (const Row& row : heard.tally.rows) before[row.route] = row;
+    for (const Row& row : heard.report.rows) before[row.route] = row;
   }
-  for (const Row& row : tally.rows) {
+  for (const Row& row : report.rows) {
     Row more;
     more.route = row.route;
     more.old_version = row.old_version.Since(before[row.route].old_version);
@@ -155,41 +155,42 @@
     if (more.old_version.answers + more.new_version.answers > 0) watch.comparison.Take(more);
   }
   watch.requests +=
-      tally.requests - (same_boot ? std::min(tally.requests, heard.tally.requests) : 0);
-  watch.exposed += tally.exposed - (same_boot ? std::min(tally.exposed, heard.tally.exposed) : 0);
-  heard = {tally, now};
+      report.requests - (same_boot ? std::min(report.requests, heard.report.requests) : 0);
+  watch.exposed +=
+      report.exposed - (same_boot ? std::min(report.exposed, heard.report.exposed) : 0);
+  heard = {report, now};
   return true;
 }
 
-Vote Watcher::Judge(base::Millis now, const Watch& watch,
-                    const std::vector<InSight>& proxies) const {
+Vote Observer::Judge(base::Millis now, const Watch& watch,
+                     const std::vector<KnownProxy>& proxies) const {
   Vote vote;
   vote.number = watch.rollout.number;
-  vote.watcher = options_.self;
+  vote.observer = options_.self;
   vote.boot_id = options_.boot_id;
   vote.version = version_;
   vote.requests = watch.requests;
   vote.exposed = watch.exposed;
   for (const auto& [id, heard] : watch.proxies) {
     vote.age_ms =
-        std::max(vote.age_ms, static_cast<uint32_t>(heard.tally.age_ms + (now - heard.at)));
+        std::max(vote.age_ms, static_cast<uint32_t>(heard.report.age_ms + (now - heard.at)));
   }
-  for (const InSight& proxy : proxies) {
-    vote.in_sight += proxy.reachable;
+  for (const KnownProxy& proxy : proxies) {
+    vote.known_proxies += proxy.reachable;
     auto at = watch.proxies.find(proxy.id);
     bool heard = at != watch.proxies.end() && now - at->second.at < options_.fresh;
     vote.heard += heard && proxy.reachable;
     bool confirmed = false;
-    if (heard && at->second.tally.version >= version_) {
-      const Tally& t = at->second.tally;
-      confirmed = watch.rollout.stage == Stage::kPromoting   ? t.moved && t.old_busy == 0
-                  : watch.rollout.stage == Stage::kReverting ? t.new_busy == 0
+    if (heard && at->second.report.version >= version_) {
+      const ProxyReport& t = at->second.report;
+      confirmed = watch.rollout.stage == Stage::kPromoting   ? t.confirmed && t.old_in_flight == 0
+                  : watch.rollout.stage == Stage::kReverting ? t.new_in_flight == 0
                                                              : true;
     }
     if (confirmed) continue;
     // What counts is whether its word comes, whatever the ring says of it: it may be cut off from
     // the watchers alone.
-    ++(heard ? vote.unmoved : vote.unheard);
+    ++(heard ? vote.unconfirmed : vote.not_reporting);
     if (vote.missing.size() < 8) vote.missing.push_back(proxy.id);
   }
   vote.rows = watch.comparison.PartDigests();
@@ -198,7 +199,7 @@
   } else if (!watch.comparison.bad().empty()) {
     vote.opinion = Opinion::kBad;
     vote.why = watch.comparison.bad();
-  } else if (vote.heard * 2 < vote.in_sight || vote.in_sight == 0) {
+  } else if (vote.heard * 2 < vote.known_proxies || vote.known_proxies == 0) {
     vote.why = "hears too few proxies";
   } else {
     vote.why = watch.comparison.Missing(options_.canary_share);
@@ -207,18 +208,19 @@
   return vote;
 }
 
-std::vector<Vote> Watcher::Tick(base::Millis now, const std::vector<InSight>& proxies) {
+std::vector<Vote> Observer::Tick(base::Millis now, const std::vector<KnownProxy>& proxies) {
   if (ticked_at_ != 0 && now - ticked_at_ > options_.gap) awake_at_ = now;
   ticked_at_ = now;
   std::vector<Vote> votes;
   for (auto& [number, watch] : watches_) {
     Vote vote = Judge(now, watch, proxies);
-    bool changed = vote.opinion != watch.told.opinion || vote.version != watch.told.version ||
-                   (vote.unmoved == 0) != (watch.told.unmoved == 0) ||
-                   (vote.unheard == 0) != (watch.told.unheard == 0);
-    if (!changed && now - watch.told_at < options_.vote_every) continue;
-    watch.told = vote;
-    watch.told_at = now;
+    bool changed = vote.opinion != watch.last_vote.opinion ||
+                   vote.version != watch.last_vote.version ||
+                   (vote.unconfirmed == 0) != (watch.last_vote.unconfirmed == 0) ||
+                   (vote.not_reporting == 0) != (watch.last_vote.not_reporting == 0);
+    if (!changed && now - watch.voted_at < options_.vote_every) continue;
+    watch.last_vote = vote;
+    watch.voted_at = now;
     votes.push_back(std::move(vote));
   }
   return votes;
--- a/src/rollout/watcher.h
+++ b/src/rollout/observer.h
@@ -39,7 +39,7 @@
   // How often the old version's answers were bad lately: older ones count less.
   struct Lately {
     double answers = 0, failed = 0, broken = 0, timed = 0, late = 0;
-    void Take(const Counts& more);
+    void Take(const VersionCounters& more);
   };
   struct Route {
     Row sums;
@@ -54,7 +54,7 @@
 };
 
 // A watcher's part: it sums what the proxies tell, compares, and votes. Pure.
-class Watcher {
+class Observer {
  public:
   struct Options {
     uint64_t self = 0;  // its id on the ring
@@ -64,33 +64,33 @@
     base::Millis fresh = 1500;      // a proxy's word, for so long
     base::Millis gap = 1000;        // a longer pause of its own means that it slept
   };
-  explicit Watcher(Options options) : options_(options) {}
+  explicit Observer(Options options) : options_(options) {}
 
   void Adopt(const Rollouts& rollouts);
   bool active() const { return !watches_.empty(); }
   // True if it is one that this node watches.
-  bool OnTally(base::Millis now, const Tally& tally);
-  struct InSight {
+  bool OnProxyReport(base::Millis now, const ProxyReport& report);
+  struct KnownProxy {
     uint64_t id = 0;
     bool reachable = true;
   };
   // The votes that are due; `proxies`: all that have not left.
-  std::vector<Vote> Tick(base::Millis now, const std::vector<InSight>& proxies);
+  std::vector<Vote> Tick(base::Millis now, const std::vector<KnownProxy>& proxies);
 
  private:
-  struct Heard {
-    Tally tally;
+  struct ReceivedReport {
+    ProxyReport report;
     base::Millis at = 0;
   };
   struct Watch {
     Rollout rollout;
-    std::map<uint64_t, Heard> proxies;
+    std::map<uint64_t, ReceivedReport> proxies;
     Comparison comparison;
     uint64_t requests = 0, exposed = 0;
-    Vote told;
-    base::Millis told_at = 0;
+    Vote last_vote;
+    base::Millis voted_at = 0;
   };
-  Vote Judge(base::Millis now, const Watch& watch, const std::vector<InSight>& proxies) const;
+  Vote Judge(base::Millis now, const Watch& watch, const std::vector<KnownProxy>& proxies) const;
 
   Options options_;
   uint64_t version_ = 0;
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -23,7 +23,7 @@
   return "unknown";
 }
 
-const char* StatusWord(Stage stage) {
+const char* StatusName(Stage stage) {
   return stage == Stage::kCompleted  ? "completed"
          : stage == Stage::kReverted ? "reverted"
                                      : "in_progress";
@@ -53,7 +53,7 @@
 
 // The same order again is a repeated call, also after it came to its end: callers that heard no
 // answer send it anew, and must not begin it anew.
-Rollouts::Verdict Rollouts::Judge(const Order& order) const {
+Rollouts::Verdict Rollouts::Judge(const RolloutOrder& order) const {
   const Rollout* known = Of(order.service);
   if (known && known->order == order) return {200, ""};
   if (known && !Ended(known->stage)) {
@@ -66,7 +66,7 @@
 bool Rollouts::Apply(const Step& step) {
   bool changed = false;
   switch (step.kind) {
-    case Step::Kind::kFound:
+    case Step::Kind::kDetected:
       for (const auto& [service, version] : step.found) {
         const Rollout* known = Of(service);
         // An order that is under way says what is in force, unless it began without knowing.
@@ -85,7 +85,7 @@
       next.number = ++newest_number_;
       next.order = step.order;
       next.from = InForce(step.order.service);
-      next.watchers = step.watchers;
+      next.observers = step.observers;
       next.reason = "ordered";
       if (next.from == step.order.version) {
         next.stage = Stage::kCompleted;
@@ -111,10 +111,10 @@
       changed = true;
       break;
     }
-    case Step::Kind::kWatchers: {
+    case Step::Kind::kObservers: {
       Rollout* rollout = Find(step.number);
-      if (!rollout || Ended(rollout->stage) || rollout->watchers == step.watchers) break;
-      rollout->watchers = step.watchers;
+      if (!rollout || Ended(rollout->stage) || rollout->observers == step.observers) break;
+      rollout->observers = step.observers;
       changed = true;
       break;
     }
@@ -123,7 +123,7 @@
   return changed;
 }
 
-std::vector<std::pair<std::string, std::string>> FindVersions(
+std::vector<std::pair<std::string, std::string>> DetectVersions(
     const Rollouts& state, const discovery::EndpointSnapshot& endpoints) {
   std::map<std::string, std::map<std::string, int>> counts;
   for (const discovery::Server& server : endpoints.servers) {
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -20,16 +20,16 @@
 enum class Stage : uint8_t { kCanary, kPromoting, kCompleted, kReverting, kReverted };
 const char* StageName(Stage stage);
 // The word that the operator's interface has for it.
-const char* StatusWord(Stage stage);
+const char* StatusName(Stage stage);
 inline bool Ended(Stage stage) { return stage == Stage::kCompleted || stage == Stage::kReverted; }
 
 // What the operator asks for: the service's traffic moved to servers of `version` within
 // `over_ms`.
-struct Order {
+struct RolloutOrder {
   std::string service;
   std::string version;
   int64_t over_ms = 0;
-  bool operator==(const Order& o) const {
+  bool operator==(const RolloutOrder& o) const {
     return service == o.service && version == o.version && over_ms == o.over_ms;
   }
   template <class A>
@@ -41,37 +41,37 @@
 // One service's roll-out.
 struct Rollout {
   uint64_t number = 0;  // rises with each order
-  Order order;
+  RolloutOrder order;
   std::string from;  // the version in force before; empty if none was known
   Stage stage = Stage::kCanary;
-  std::string reason;              // of the last step
-  int64_t elapsed_ms = 0;          // from the order to the last step
-  std::vector<uint64_t> watchers;  // ids on the ring
+  std::string reason;               // of the last step
+  int64_t elapsed_ms = 0;           // from the order to the last step
+  std::vector<uint64_t> observers;  // ids on the ring
   template <class A>
   void serialize(A& a) {
-    a(number, order, from, stage, reason, elapsed_ms, watchers);
+    a(number, order, from, stage, reason, elapsed_ms, observers);
   }
 };
 
 // An entry of the log about versions.
 struct Step {
   enum class Kind : uint8_t {
-    kFound,     // versions in force, as the list shows them where no order says it
-    kOrder,     // an operator's order
-    kStage,     // a roll-out's next stage
-    kWatchers,  // who watches a roll-out from now on
+    kDetected,   // versions in force, as the list shows them where no order says it
+    kOrder,      // an operator's order
+    kStage,      // a roll-out's next stage
+    kObservers,  // who watches a roll-out from now on
   };
-  Kind kind = Kind::kFound;
+  Kind kind = Kind::kDetected;
   std::vector<std::pair<std::string, std::string>> found;  // service, version
-  Order order;
+  RolloutOrder order;
   uint64_t number = 0;
   Stage stage = Stage::kCanary;
   std::string reason;
   int64_t elapsed_ms = 0;
-  std::vector<uint64_t> watchers;
+  std::vector<uint64_t> observers;
   template <class A>
   void serialize(A& a) {
-    a(kind, found, order, number, stage, reason, elapsed_ms, watchers);
+    a(kind, found, order, number, stage, reason, elapsed_ms, observers);
   }
 };
 
@@ -85,7 +85,7 @@
     int status = 0;
     std::string reason;
   };
-  Verdict Judge(const Order& order) const;
+  Verdict Judge(const RolloutOrder& order) const;
   // True if it changed something.
   bool Apply(const Step& step);
 
@@ -127,7 +127,7 @@
 // gets the one that most of its servers have, an ordered one apart; a service whose version in
 // force has no server left gets the one that most of the others have. An empty result asks for no
 // entry.
-std::vector<std::pair<std::string, std::string>> FindVersions(
+std::vector<std::pair<std::string, std::string>> DetectVersions(
     const Rollouts& state, const discovery::EndpointSnapshot& endpoints);
 
 }  // namespace elderkeel::rollout
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -152,14 +152,14 @@
   return "unknown";
 }
 
-void NameBook::Set(Kind kind, uint32_t index, const std::string& name) {
+void NameTable::Set(Kind kind, uint32_t index, const std::string& name) {
   std::lock_guard<std::mutex> lock(mutex_);
   auto& names = names_[kind];
   if (index >= names.size()) names.resize(index + 1);
   names[index] = name;
 }
 
-std::string NameBook::Get(Kind kind, uint32_t index) const {
+std::string NameTable::Get(Kind kind, uint32_t index) const {
   std::lock_guard<std::mutex> lock(mutex_);
   return index < names_[kind].size() ? names_[kind][index] : std::string("none");
 }
@@ -209,8 +209,8 @@
 
 void Recorder::Flush() { Export(); }
 
-Recorder::Counts Recorder::counts() const {
-  Counts counts;
+Recorder::VersionCounters Recorder::counts() const {
+  VersionCounters counts;
   counts.lost = failures_.lost() + control_.lost();
   counts.unsent = unsent_.load(std::memory_order_relaxed);
   counts.exported = exported_.load(std::memory_order_relaxed);
@@ -313,10 +313,10 @@
   Add(out, "status", r.status);
   Add(out, "step", StepName(r.step));
   Add(out, "reason", std::string_view(r.reason));
-  Add(out, "route", names_.Get(NameBook::kRoute, r.route));
-  Add(out, "service", names_.Get(NameBook::kService, r.service));
-  Add(out, "server", names_.Get(NameBook::kServer, r.server));
-  if (r.version != UINT32_MAX) Add(out, "version", names_.Get(NameBook::kVersion, r.version));
+  Add(out, "route", names_.Get(NameTable::kRoute, r.route));
+  Add(out, "service", names_.Get(NameTable::kService, r.service));
+  Add(out, "server", names_.Get(NameTable::kServer, r.server));
+  if (r.version != UINT32_MAX) Add(out, "version", names_.Get(NameTable::kVersion, r.version));
   Add(out, "sends", r.sends);
   Add(out, "total_us", r.total_us);
   Add(out, "waited_us", r.waited_us);
@@ -327,7 +327,7 @@
 void Recorder::Line(const ControlRecord& r, uint64_t time, std::string* out) const {
   out->append("event=").append(WhatName(r.what));
   Add(out, "at_us", static_cast<int64_t>(time / 1000));
-  if (r.server != UINT32_MAX) Add(out, "server", names_.Get(NameBook::kServer, r.server));
+  if (r.server != UINT32_MAX) Add(out, "server", names_.Get(NameTable::kServer, r.server));
   Add(out, "good", r.good);
   Add(out, "number", r.number);
   out->push_back('\n');
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -65,7 +65,7 @@
 };
 
 // Names of dense indices, for the exporter. Written when a name is new, never on a request's path.
-class NameBook {
+class NameTable {
  public:
   enum Kind { kRoute, kService, kServer, kVersion, kKinds };
   void Set(Kind kind, uint32_t index, const std::string& name);
@@ -141,7 +141,7 @@
     if (failed) failures_.Write(record);
   }
   void Control(const ControlRecord& record) { control_.Write(record); }
-  NameBook& names() { return names_; }
+  NameTable& names() { return names_; }
 
   // What is kept in memory, as lines.
   struct Kept {
@@ -153,12 +153,12 @@
   void TakeRecords(std::function<void(Kept)> done);
   // One export now, by the caller, when no exporter runs; for the end of a process.
   void Flush();
-  struct Counts {
+  struct VersionCounters {
     uint64_t lost = 0;      // records that found no place
     uint64_t unsent = 0;    // lines that the sink did not take
     uint64_t exported = 0;  // lines that it took
   };
-  Counts counts() const;
+  VersionCounters counts() const;
 
  private:
   void Run();
@@ -168,7 +168,7 @@
   void Line(const ControlRecord& r, uint64_t time, std::string* out) const;
 
   Options options_;
-  NameBook names_;
+  NameTable names_;
   Channel requests_, failures_, control_;
   std::unique_ptr<Sink> sink_;
   std::atomic<uint64_t> unsent_{0}, exported_{0};
--- a/src/wire/http_server.cc
+++ b/src/wire/http_server.cc
@@ -197,7 +197,8 @@
   buffered_ -= c->counted;
   c->counted = 0;
   if (!request.keep_alive) c->no_more = true;
-  if (!c->slots.empty() && !(options_.may_overtake && options_.may_overtake(request))) {
+  if (!c->slots.empty() &&
+      !(options_.may_run_out_of_order && options_.may_run_out_of_order(request))) {
     c->waiting = std::make_unique<Message>(std::move(request));
     c->no_more = false;  // looked at again when its turn comes
     return true;
--- a/src/wire/http_server.h
+++ b/src/wire/http_server.h
@@ -21,10 +21,10 @@
     // are taken only if their clients still are there.
     bool notice_sleep = false;
     size_t max_connections = 1000;
-    // So many requests of one connection are under way at once, if `may_overtake` says of each but
-    // the first that it may be begun before those in front of it are answered.
+    // So many requests of one connection are under way at once, if `may_run_out_of_order` says of
+    // each but the first that it may be begun before those in front of it are answered.
     size_t pipeline = 1;
-    std::function<bool(const Message&)> may_overtake;
+    std::function<bool(const Message&)> may_run_out_of_order;
     size_t max_buffered_bytes = 64u << 20;  // all bodies being read, together
   };
   using Handler = std::function<void(Ticket, Message&&)>;
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "forwarding/front.h"
+#include "forwarding/request_router.h"
 #include "stand_in.h"
 #include "wire/http_client.h"
 
@@ -71,12 +71,12 @@
   void Open() {
     for (uint16_t port = 23000; port < 24000; ++port) {
       settings_.front = {"127.0.0.1", port};
-      front_ = std::make_unique<forwarding::Front>(&loop_, settings_, &recorder_);
-      front_->SetServing(true);
-      if (front_->Listen().has_value()) break;
+      router_ = std::make_unique<forwarding::RequestRouter>(&loop_, settings_, &recorder_);
+      router_->SetServing(true);
+      if (router_->Listen().has_value()) break;
     }
-    front_->Adopt(configuration::Table::Build(stand_in::ConfigurationText(2000, 60, idle_ms_),
-                                              front_->names(), front_->regions()));
+    router_->Adopt(configuration::RoutingTable::Build(
+        stand_in::ConfigurationText(2000, 60, idle_ms_), router_->names(), router_->regions()));
   }
   void List(const std::vector<Server*>& servers) {
     discovery::EndpointSnapshot endpoints{1, ++sequence_, {}};
@@ -85,7 +85,7 @@
       endpoints.servers.push_back({s->id(), "s", s->address().ToString(),
                                    s == servers.front() ? "a" : "b", "v", 4, false, 0, 0});
     }
-    front_->Adopt(endpoints);
+    router_->Adopt(endpoints);
   }
   // The status that a client of its own gets, 0 for a closed connection; checks whose answer it is.
   int Ask(bool idempotent, const std::string& attempt, int remaining_ms, size_t bytes = 4) {
@@ -121,7 +121,7 @@
   }
 
   // Some requests at a server that is well, so that there is budget for further sends.
-  void Earn() {
+  void Deposit() {
     Server other(&loop_, "i-other", 24000);
     List({&other});
     for (int i = 0; i < 5; ++i) Ask(true, "earn", 2000);
@@ -132,7 +132,7 @@
   base::Loop loop_;
   base::Settings settings_;
   telemetry::Recorder recorder_;
-  std::unique_ptr<forwarding::Front> front_;
+  std::unique_ptr<forwarding::RequestRouter> router_;
   uint64_t sequence_ = 0;
   int64_t idle_ms_ = 3000;
 };
@@ -143,7 +143,7 @@
                (idempotent ? " repeatable" : " once"));
   Open();
   Server bad(&loop_, "i-bad", 24000), good(&loop_, "i-good", 24000);
-  Earn();
+  Deposit();
   auto play = [&](const char* attempt) {
     bad.choose = [=](const wire::Message& request) {
       const std::string* id = request.Find(stand_in::kAttempt);
@@ -269,7 +269,7 @@
       SCOPED_TRACE(std::string(pooled ? "pooled" : "new") + (idempotent ? " repeatable" : " once"));
       Open();
       Server bad(&loop_, "i-bad", 24000), good(&loop_, "i-good", 24000);
-      Earn();
+      Deposit();
       List({&bad});
       if (pooled) {
         EXPECT_EQ(Ask(true, "before", 2000), 200);
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -86,7 +86,7 @@
   EXPECT_EQ(RevisionOf(patched.text), 9);
   EXPECT_NE(patched.text.find("\"note\":\"kept\""), std::string::npos);
   base::Names names, regions;
-  auto table = Table::Build(patched.text, &names, &regions);
+  auto table = RoutingTable::Build(patched.text, &names, &regions);
   ASSERT_TRUE(table);
   EXPECT_EQ(table->Match("h.example", "/b/x"), nullptr);
   EXPECT_EQ(table->Match("h.example", "/a/x"), nullptr);
@@ -100,7 +100,7 @@
 
 TEST(Configuration, MatchesTheLongestPrefixAndSplitsByWeight) {
   base::Names names, regions;
-  auto table = Table::Build(
+  auto table = RoutingTable::Build(
       Document(
           1,
           Route("short", "/a/", R"("target":"s1")") + "," +
@@ -263,7 +263,7 @@
     drained_zones_.push_back(order);
     return proposed_.size() + drained_zones_.size();
   }
-  std::optional<uint64_t> Propose(const rollout::Order& order) override {
+  std::optional<uint64_t> Propose(const rollout::RolloutOrder& order) override {
     rollouts_.push_back(order);
     return proposed_.size() + drained_zones_.size() + rollouts_.size();
   }
@@ -276,7 +276,7 @@
   std::vector<uint64_t> reads_;
   std::vector<Change> proposed_;
   std::vector<zone_drain::DrainOrder> drained_zones_;
-  std::vector<rollout::Order> rollouts_;
+  std::vector<rollout::RolloutOrder> rollouts_;
 };
 
 class OperatorApiTest : public ::testing::Test {
@@ -761,9 +761,9 @@
   rollout::Step step;
   step.kind = rollout::Step::Kind::kOrder;
   step.order = {"s", "v2", 12000};
-  step.watchers = {3, 4};
+  step.observers = {3, 4};
   state.Apply(controller::MakeCommand(controller::Command::Kind::kRollout, step));
-  step.kind = rollout::Step::Kind::kFound;
+  step.kind = rollout::Step::Kind::kDetected;
   step.found = {{"s", "v1"}, {"t", "v5"}};
   state.Apply(controller::MakeCommand(controller::Command::Kind::kRollout, step));
   auto read = controller::ControlState::Read(wire::Encode(state));
@@ -773,7 +773,7 @@
   EXPECT_TRUE(read->drained_zones.IsDrained("a"));
   ASSERT_TRUE(read->rollouts.Of("s"));
   EXPECT_EQ(read->rollouts.Of("s")->from, "v1");
-  EXPECT_EQ(read->rollouts.Of("s")->watchers, (std::vector<uint64_t>{3, 4}));
+  EXPECT_EQ(read->rollouts.Of("s")->observers, (std::vector<uint64_t>{3, 4}));
   EXPECT_EQ(read->rollouts.InForce("t"), "v5");
   EXPECT_EQ(read->rollouts.version(), 2u);
   // Before there were roll-outs a snapshot ended with the evacuations.
--- a/tests/cut_test.cc
+++ b/tests/cut_test.cc
@@ -247,7 +247,7 @@
 
 // A proxy's lease on the new version is renewed by a watcher that knows at least as much, of the
 // same roll-out, and by nobody else.
-TEST(Gate, TakesNoWordOfAWatcherThatIsBehind) {
+TEST(CanaryPolicy, TakesNoWordOfAWatcherThatIsBehind) {
   struct Case {
     const char* name;
     uint64_t number;  // beyond that of the roll-out
@@ -266,16 +266,16 @@
     ASSERT_TRUE(state.Apply(found));
     order.kind = rollout::Step::Kind::kOrder;
     order.order = {"s", "v2", 10000};
-    order.watchers = {1, 2, 3};
+    order.observers = {1, 2, 3};
     ASSERT_TRUE(state.Apply(order));
-    rollout::Gate gate{rollout::Gate::Options{}};
+    rollout::CanaryPolicy gate{rollout::CanaryPolicy::Options{}};
     gate.Adopt(0, state);
-    EXPECT_EQ(gate.RuleOf(0, "s").side, "v2");
+    EXPECT_EQ(gate.RuleOf(0, "s").secondary, "v2");
     uint64_t version = static_cast<uint64_t>(static_cast<int64_t>(state.version()) + c.version);
     for (Millis now = 100; now <= 20000; now += 100) {
-      gate.Heard(now, {state.Of("s")->number + c.number, version});
+      gate.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
     }
-    EXPECT_EQ(gate.RuleOf(20000, "s").side == "v2", c.tries) << c.name;
+    EXPECT_EQ(gate.RuleOf(20000, "s").secondary == "v2", c.tries) << c.name;
   }
 }
 
@@ -381,7 +381,7 @@
     std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
       return Put(controller::Command::Kind::kZoneDrain, order);
     }
-    std::optional<uint64_t> Propose(const rollout::Order&) override { return std::nullopt; }
+    std::optional<uint64_t> Propose(const rollout::RolloutOrder&) override { return std::nullopt; }
     bool HasZone(const std::string&) const override { return true; }
     bool HasService(const std::string&) const override { return true; }
 
@@ -669,9 +669,9 @@
   void CheckLocation(const Caller& c, const std::string& ip) {
     // "10.0.0.N/elderkeel/...", as the desks name nodes.
     size_t at = static_cast<size_t>(std::stoi(ip.substr(14))) - 1;
-    bool unheard = at == member_ && case_.how != How::kIn && cut_at_ > 0 &&
-                   c.asked > cut_at_ + kStaleMs && c.at != member_;
-    if (unheard) world_.fault = "sent to " + ip + ", which nobody hears";
+    bool not_reporting = at == member_ && case_.how != How::kIn && cut_at_ > 0 &&
+                         c.asked > cut_at_ + kStaleMs && c.at != member_;
+    if (not_reporting) world_.fault = "sent to " + ip + ", which nobody hears";
     if (world_.now - led_at_[at] > 800) world_.fault = "sent to " + ip + ", which leads no more";
   }
 
--- a/tests/demand_test.cc
+++ b/tests/demand_test.cc
@@ -1,18 +1,17 @@
-#include "demand/demand.h"
-
 #include <gtest/gtest.h>
 
 #include <memory>
 
 #include "base/random.h"
+#include "load/load_tracker.h"
 
-namespace elderkeel::demand {
+namespace elderkeel::load {
 namespace {
 
-TEST(ShareOut, FillsItsOwnZoneFirstThenWhereThereIsRoom) {
+TEST(SplitByCapacity, FillsItsOwnZoneFirstThenWhereThereIsRoom) {
   struct Case {
     const char* name;
-    std::vector<Place> places;  // home first
+    std::vector<ZoneCapacity> zones;  // home first
     std::vector<double> shares;
   } cases[] = {
       {"enough at home", {{10, 6}, {10, 1}}, {1, 0}},
@@ -27,7 +26,7 @@
       {"no slots anywhere", {{0, 4}, {0, 1}}, {1, 0}},
   };
   for (const Case& c : cases) {
-    std::vector<double> shares = ShareOut(c.places, 0, 0.7);
+    std::vector<double> shares = SplitByCapacity(c.zones, 0, 0.7);
     ASSERT_EQ(shares.size(), c.shares.size()) << c.name;
     for (size_t i = 0; i < shares.size(); ++i) {
       EXPECT_NEAR(shares[i], c.shares[i], 1e-9) << c.name << " " << i;
@@ -36,54 +35,54 @@
 }
 
 // All that flows to a zone by everybody's shares stays at the common mark, wherever it comes from.
-TEST(ShareOut, TheSumOverAllZonesStaysAtTheMark) {
+TEST(SplitByCapacity, TheSumOverAllZonesStaysAtTheMark) {
   base::Random random(3);
   for (int round = 0; round < 500; ++round) {
-    std::vector<Place> places(2 + random.Below(6));
-    double slots = 0, demand = 0;
-    for (Place& place : places) {
-      place = {static_cast<double>(1 + random.Below(100)), static_cast<double>(random.Below(90))};
-      slots += place.slots;
-      demand += place.demand;
+    std::vector<ZoneCapacity> zones(2 + random.Below(6));
+    double slots = 0, load = 0;
+    for (ZoneCapacity& zone : zones) {
+      zone = {static_cast<double>(1 + random.Below(100)), static_cast<double>(random.Below(90))};
+      slots += zone.slots;
+      load += zone.load;
     }
-    std::vector<double> arriving(places.size(), 0);
-    for (size_t from = 0; from < places.size(); ++from) {
-      std::vector<double> shares = ShareOut(places, from, 0.7);
+    std::vector<double> arriving(zones.size(), 0);
+    for (size_t from = 0; from < zones.size(); ++from) {
+      std::vector<double> shares = SplitByCapacity(zones, from, 0.7);
       double sum = 0;
-      for (size_t to = 0; to < places.size(); ++to) {
-        arriving[to] += shares[to] * places[from].demand;
+      for (size_t to = 0; to < zones.size(); ++to) {
+        arriving[to] += shares[to] * zones[from].load;
         sum += shares[to];
       }
       EXPECT_NEAR(sum, 1, 1e-9);
     }
-    for (size_t to = 0; to < places.size(); ++to) {
-      EXPECT_LE(arriving[to], std::max(0.7, demand / slots) * places[to].slots + 1e-6);
+    for (size_t to = 0; to < zones.size(); ++to) {
+      EXPECT_LE(arriving[to], std::max(0.7, load / slots) * zones[to].slots + 1e-6);
     }
   }
 }
 
 // Five zones of forty proxies with uneven loads, peers drawn by chance, some reports lost,
 // some proxies started anew: everybody comes to know every zone's demand, and its change.
-TEST(Demand, AllComeToKnowWhatEachZoneAsksFor) {
+TEST(LoadTracker, AllComeToKnowWhatEachZoneAsksFor) {
   constexpr size_t kZones = 5, kProxies = 40;
   base::Random random(7);
   uint32_t service = Key("orders");
   struct Node {
-    std::unique_ptr<Demand> demand;
+    std::unique_ptr<LoadTracker> load;
     int in_flight = 0;
   };
   std::vector<Node> nodes(kZones * kProxies);
   auto name = [](size_t zone) { return "zone-" + std::to_string(zone); };
   auto zone_of = [](size_t i) { return i / kProxies; };
-  auto start = [&](size_t i) { nodes[i].demand = std::make_unique<Demand>(name(zone_of(i))); };
+  auto start = [&](size_t i) { nodes[i].load = std::make_unique<LoadTracker>(name(zone_of(i))); };
   for (size_t i = 0; i < nodes.size(); ++i) start(i);
   double truth[kZones] = {};
   auto load = [&](base::Millis now, double factor) {
     for (double& zone : truth) zone = 0;
     for (size_t i = 0; i < nodes.size(); ++i) {
       int want = static_cast<int>(static_cast<double>(random.Below(4 + 2 * zone_of(i))) * factor);
-      for (; nodes[i].in_flight < want; ++nodes[i].in_flight) nodes[i].demand->Begin(now, service);
-      for (; nodes[i].in_flight > want; --nodes[i].in_flight) nodes[i].demand->End(now, service);
+      for (; nodes[i].in_flight < want; ++nodes[i].in_flight) nodes[i].load->Begin(now, service);
+      for (; nodes[i].in_flight > want; --nodes[i].in_flight) nodes[i].load->End(now, service);
       truth[zone_of(i)] += want;
     }
   };
@@ -91,21 +90,21 @@
   auto run = [&](base::Millis span) {
     for (base::Millis end = now + span; now < end; now += 400) {
       for (size_t i = 0; i < nodes.size(); ++i) {
-        nodes[i].demand->Tick(now);
+        nodes[i].load->Tick(now);
         size_t first = random.Below(8) == 0 ? 0 : zone_of(i) * kProxies;
         size_t peer = first + random.Below(first == 0 && zone_of(i) != 0 ? nodes.size() : kProxies);
         if (peer == i) continue;
-        Report there = nodes[i].demand->Tell(now, kProxies);
-        Report back = nodes[peer].demand->Tell(now, kProxies);
-        if (random.Below(25) > 0) nodes[peer].demand->Hear(now, there);
-        if (random.Below(25) > 0) nodes[i].demand->Hear(now, back);
+        LoadReport there = nodes[i].load->MakeReport(now, kProxies);
+        LoadReport back = nodes[peer].load->MakeReport(now, kProxies);
+        if (random.Below(25) > 0) nodes[peer].load->MergeReport(now, there);
+        if (random.Below(25) > 0) nodes[i].load->MergeReport(now, back);
       }
     }
   };
   auto check = [&](const char* when) {
     for (size_t i = 0; i < nodes.size(); ++i) {
       for (size_t zone = 0; zone < kZones; ++zone) {
-        double seen = nodes[i].demand->Of(now, Key(name(zone)), service, kProxies);
+        double seen = nodes[i].load->Of(now, Key(name(zone)), service, kProxies);
         EXPECT_NEAR(seen, truth[zone], truth[zone] * 0.3 + 2)
             << when << ": " << i << " of " << zone;
       }
@@ -123,36 +122,36 @@
   run(8000);
   check("after the change");
   // Of a zone that nobody hears of any more nothing is claimed.
-  EXPECT_LT(nodes[0].demand->Of(now + 6000, Key(name(1)), service, kProxies), 0);
+  EXPECT_LT(nodes[0].load->Of(now + 6000, Key(name(1)), service, kProxies), 0);
 }
 
 // What a proxy that died had told stays in the means of its peers; it must wear off.
-TEST(Demand, ForgetsWhatAProxyThatDiedHadTold) {
-  Demand busy("here"), idle("here");
+TEST(LoadTracker, ForgetsWhatAProxyThatDiedHadTold) {
+  LoadTracker busy("here"), idle("here");
   uint32_t service = Key("orders");
   base::Millis now = 1000;
   for (int i = 0; i < 10; ++i) busy.Begin(now, service);
   for (int i = 0; i < 60; ++i, now += 400) {
     busy.Tick(now);
     idle.Tick(now);
-    Report there = busy.Tell(now, 2), back = idle.Tell(now, 2);
-    idle.Hear(now, there);
-    busy.Hear(now, back);
+    LoadReport there = busy.MakeReport(now, 2), back = idle.MakeReport(now, 2);
+    idle.MergeReport(now, there);
+    busy.MergeReport(now, back);
   }
   EXPECT_NEAR(idle.Of(now, Key("here"), service, 2), 10, 1.5);
   for (int i = 0; i < 60; ++i, now += 400) idle.Tick(now);
   EXPECT_LT(idle.Of(now, Key("here"), service, 1), 0.1);
 }
 
-TEST(Demand, TakesNothingAbsurdFromAPeer) {
-  Demand demand("here");
-  Report report{{Key("there"), 0, 10, {{1, -5.0f}}}, {Key("here"), 0, 10, {{1, -5.0f}}}};
-  demand.Hear(1000, report);
-  EXPECT_EQ(demand.Of(1000, Key("there"), 1, 10), 0);
-  EXPECT_EQ(demand.Of(1000, Key("here"), 1, 10), 0);
-  demand.Hear(1000, Report(1000, ZoneDemand{5, 0, 10, {{1, 9.0f}}}));
-  EXPECT_LT(demand.Of(1000, 5, 1, 10), 0);
+TEST(LoadTracker, TakesNothingAbsurdFromAPeer) {
+  LoadTracker load("here");
+  LoadReport report{{Key("there"), 0, 10, {{1, -5.0f}}}, {Key("here"), 0, 10, {{1, -5.0f}}}};
+  load.MergeReport(1000, report);
+  EXPECT_EQ(load.Of(1000, Key("there"), 1, 10), 0);
+  EXPECT_EQ(load.Of(1000, Key("here"), 1, 10), 0);
+  load.MergeReport(1000, LoadReport(1000, ZoneLoad{5, 0, 10, {{1, 9.0f}}}));
+  EXPECT_LT(load.Of(1000, 5, 1, 10), 0);
 }
 
 }  // namespace
-}  // namespace elderkeel::demand
+}  // namespace elderkeel::load
--- a/tests/forwarding_test.cc
+++ b/tests/forwarding_test.cc
@@ -3,53 +3,69 @@
 #include <map>
 #include <set>
 
-#include "budget/budget.h"
-#include "forwarding/ledger.h"
-#include "forwarding/servers.h"
+#include "forwarding/attempt_log.h"
+#include "forwarding/load_balancer.h"
+#include "forwarding/retry_budget.h"
 #include "lifecycle/lifecycle.h"
 
 namespace elderkeel {
 namespace {
 
-using forwarding::Fate;
-using forwarding::Ledger;
+using forwarding::AttemptLog;
+using forwarding::AttemptOutcome;
+using forwarding::LoadBalancer;
 using forwarding::Server;
-using forwarding::Servers;
 using forwarding::Signal;
 
-TEST(Ledger, SaysWhatMayFollow) {
+TEST(AttemptLog, SaysWhatMayFollow) {
   struct Case {
     const char* name;
     bool idempotent;
     int attempts;
-    std::vector<Fate> fates;
+    std::vector<AttemptOutcome> fates;
     bool may_send;
     bool may_promise;
   } cases[] = {
       {"nothing sent", false, 2, {}, true, true},
-      {"not sent", false, 2, {Fate::kNotSent}, true, true},
-      {"turned away", false, 2, {Fate::kNotRun}, true, true},
-      {"turned away by all", false, 2, {Fate::kNotRun, Fate::kNotRun}, false, true},
+      {"not sent", false, 2, {AttemptOutcome::kNotSent}, true, true},
+      {"turned away", false, 2, {AttemptOutcome::kNotRun}, true, true},
+      {"turned away by all",
+       false,
+       2,
+       {AttemptOutcome::kNotRun, AttemptOutcome::kNotRun},
+       false,
+       true},
       {"unreached ones do not count",
        false,
        2,
-       {Fate::kNotSent, Fate::kNotSent, Fate::kNotRun},
+       {AttemptOutcome::kNotSent, AttemptOutcome::kNotSent, AttemptOutcome::kNotRun},
        true,
        true},
-      {"in flight", false, 2, {Fate::kPending}, false, false},
-      {"may have run", false, 2, {Fate::kMaybeRun}, false, false},
-      {"turned away, then may have run", false, 3, {Fate::kNotRun, Fate::kMaybeRun}, false, false},
-      {"ran", false, 2, {Fate::kRun}, false, false},
-      {"repeatable in flight", true, 2, {Fate::kPending}, true, false},
-      {"repeatable may have run", true, 2, {Fate::kMaybeRun}, true, false},
-      {"repeatable spent", true, 2, {Fate::kMaybeRun, Fate::kMaybeRun}, false, false},
-      {"repeatable, one attempt", true, 1, {Fate::kNotRun}, false, true},
+      {"in flight", false, 2, {AttemptOutcome::kPending}, false, false},
+      {"may have run", false, 2, {AttemptOutcome::kMaybeRun}, false, false},
+      {"turned away, then may have run",
+       false,
+       3,
+       {AttemptOutcome::kNotRun, AttemptOutcome::kMaybeRun},
+       false,
+       false},
+      {"ran", false, 2, {AttemptOutcome::kRun}, false, false},
+      {"repeatable in flight", true, 2, {AttemptOutcome::kPending}, true, false},
+      {"repeatable may have run", true, 2, {AttemptOutcome::kMaybeRun}, true, false},
+      {"repeatable spent",
+       true,
+       2,
+       {AttemptOutcome::kMaybeRun, AttemptOutcome::kMaybeRun},
+       false,
+       false},
+      {"repeatable, one attempt", true, 1, {AttemptOutcome::kNotRun}, false, true},
   };
   for (const Case& c : cases) {
-    Ledger ledger(c.idempotent, c.attempts);
-    for (Fate fate : c.fates) ledger.End(ledger.Begin(), fate);
-    EXPECT_EQ(ledger.MaySend(), c.may_send) << c.name;
-    EXPECT_EQ(ledger.MayPromise(), c.may_promise) << c.name;
+    AttemptLog attempt_log(c.idempotent, c.attempts);
+    for (AttemptOutcome outcome_of_attempt : c.fates)
+      attempt_log.End(attempt_log.Begin(), outcome_of_attempt);
+    EXPECT_EQ(attempt_log.MayAttempt(), c.may_send) << c.name;
+    EXPECT_EQ(attempt_log.IsCertainlyNotRun(), c.may_promise) << c.name;
   }
 }
 
@@ -63,9 +79,9 @@
 
 class ServersTest : public ::testing::Test {
  protected:
-  ServersTest() : servers_(Options(), &names_, &regions_, 1) {}
-  static Servers::Options Options() {
-    Servers::Options options;
+  ServersTest() : balancer_(Options(), &names_, &regions_, 1) {}
+  static LoadBalancer::Options Options() {
+    LoadBalancer::Options options;
     options.zone = "here";
     return options;
   }
@@ -74,129 +90,129 @@
                                      std::vector<uint32_t> tried = {}) {
     std::map<std::string, int> counts;
     for (int i = 0; i < 200; ++i) {
-      uint32_t s = servers_.Choose(now, names_.Find("s"), 100, tried, idempotent, allowed_);
-      ++counts[s == Servers::kNone ? "none" : servers_.at(s).id];
+      uint32_t s = balancer_.Choose(now, names_.Find("s"), 100, tried, idempotent, allowed_);
+      ++counts[s == LoadBalancer::kNone ? "none" : balancer_.at(s).id];
     }
     return counts;
   }
   base::Names names_, regions_;
   std::vector<uint32_t> allowed_;
-  Servers servers_;
+  LoadBalancer balancer_;
 };
 
 TEST_F(ServersTest, PrefersItsZoneAndSpillsWhenThatIsBusy) {
-  servers_.Adopt(0, MakeCatalog({Entry("near", "here"), Entry("far", "there")}));
+  balancer_.Adopt(0, MakeCatalog({Entry("near", "here"), Entry("far", "there")}));
   EXPECT_EQ(Choices(0)["near"], 200);
   uint32_t near = 0;
-  servers_.Begin(0, near);
-  servers_.Begin(0, near);
+  balancer_.Begin(0, near);
+  balancer_.Begin(0, near);
   EXPECT_EQ(Choices(1)["far"], 200);
 }
 
 TEST_F(ServersTest, NeverChoosesWhatDrainsIsGoneOrWasTried) {
-  servers_.Adopt(0,
-                 MakeCatalog({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
-  auto changes = servers_.Adopt(
+  balancer_.Adopt(0,
+                  MakeCatalog({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
+  auto changes = balancer_.Adopt(
       0, MakeCatalog({Entry("a", "here", true), Entry("b", "here", true), Entry("c", "there")}));
   ASSERT_EQ(changes.size(), 1u);
-  EXPECT_EQ(changes[0].what, Servers::Change::What::kDraining);
+  EXPECT_EQ(changes[0].what, LoadBalancer::Change::What::kDraining);
   EXPECT_EQ(Choices(1)["c"], 200);
   EXPECT_EQ(Choices(1, true, {2})["none"], 200);
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here", true)}));
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here", true)}));
   EXPECT_EQ(Choices(2)["none"], 200);
-  EXPECT_FALSE(servers_.Any(names_.Find("s"), {}));
+  EXPECT_FALSE(balancer_.Any(names_.Find("s"), {}));
 }
 
 TEST_F(ServersTest, HoldsOutWhatFailsAndLetsItBackByATrial) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
-  servers_.Begin(0, 0);
-  servers_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
+  balancer_.Begin(0, 0);
+  balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["b"], 200);
-  EXPECT_TRUE(servers_.DueProbes(20).empty());
+  EXPECT_TRUE(balancer_.DueProbes(20).empty());
   EXPECT_EQ(Choices(10000)["b"], 200);  // time alone does not let it back
-  ASSERT_EQ(servers_.DueProbes(10000).size(), 1u);
-  servers_.Probed(10000, 0, true);
+  ASSERT_EQ(balancer_.DueProbes(10000).size(), 1u);
+  balancer_.OnProbeResult(10000, 0, true);
   EXPECT_EQ(Choices(10001, true)["a"], 200);   // shows itself with what may be repeated
   EXPECT_EQ(Choices(10001, false)["b"], 200);  // not with what may run once only
-  servers_.Begin(10001, 0);
+  balancer_.Begin(10001, 0);
   EXPECT_EQ(Choices(10002, true)["b"], 200);  // one at a time
-  servers_.End(10100, 0, 10001, Signal::kGood, 99, 100);
+  balancer_.End(10100, 0, 10001, Signal::kGood, 99, 100);
   EXPECT_EQ(Choices(10101, false)["a"], 200);
 }
 
 TEST_F(ServersTest, AnswersOutweighProbesThatLie) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
   base::Millis now = 0;
-  servers_.Begin(now, 0);
-  servers_.End(now, 0, now, Signal::kUnreachable, -1, 100);
+  balancer_.Begin(now, 0);
+  balancer_.End(now, 0, now, Signal::kUnreachable, -1, 100);
   // A health answer that stays bad does not keep a server out for ever: it gets a trial.
   int probes = 0;
-  while (!servers_.at(0).on_trial && probes < 10) {
+  while (!balancer_.at(0).probation && probes < 10) {
     now += 100000;
-    for (uint32_t s : servers_.DueProbes(now)) servers_.Probed(now, s, false);
+    for (uint32_t s : balancer_.DueProbes(now)) balancer_.OnProbeResult(now, s, false);
     ++probes;
   }
   EXPECT_EQ(probes, 2);
   // And one that stays good does not keep an ill server in.
-  servers_.Begin(now, 0);
-  servers_.End(now + 5, 0, now, Signal::kBroken, -1, 100);
+  balancer_.Begin(now, 0);
+  balancer_.End(now + 5, 0, now, Signal::kBroken, -1, 100);
   EXPECT_EQ(Choices(now + 6)["b"], 200);
 }
 
 TEST_F(ServersTest, UsesTheCondemnedWhenThereIsNothingElse) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here")}));
-  servers_.Begin(0, 0);
-  servers_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here")}));
+  balancer_.Begin(0, 0);
+  balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["a"], 200);
 }
 
 TEST_F(ServersTest, AvoidsTheSlowTheColdAndTheSilent) {
-  servers_.Adopt(
+  balancer_.Adopt(
       0, MakeCatalog({Entry("a", "here"), Entry("b", "here"), Entry("cold", "here", false, 3000)}));
   EXPECT_EQ(Choices(1)["cold"], 0);
   for (int i = 0; i < 30; ++i) {
-    servers_.Begin(i, 0);
-    servers_.End(i, 0, i, Signal::kGood, 500, 100);
+    balancer_.Begin(i, 0);
+    balancer_.End(i, 0, i, Signal::kGood, 500, 100);
   }
   EXPECT_EQ(Choices(100)["a"], 0);
-  servers_.Begin(100, 1);
+  balancer_.Begin(100, 1);
   EXPECT_EQ(Choices(5000)["b"], 0);  // out for long without an answer
 }
 
 // A server that has gone dark on connections that are there says nothing; sends given up do.
 TEST_F(ServersTest, HoldsOutWhatStaysSilent) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
   auto silence = [&](base::Millis now, base::Millis age) {
-    servers_.Begin(now - age, 0);
-    servers_.Abandon(now, 0, now - age, 100);
+    balancer_.Begin(now - age, 0);
+    balancer_.OnAttemptAbandoned(now, 0, now - age, 100);
   };
   silence(1000, 150);  // the client left early: nothing is learnt
   silence(1000, 150);
-  EXPECT_EQ(servers_.at(0).held_until, 0);
+  EXPECT_EQ(balancer_.at(0).ejected_until, 0);
   silence(2000, 400);
-  servers_.Begin(2000, 0);
-  servers_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // an answer speaks for it
+  balancer_.Begin(2000, 0);
+  balancer_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // an answer speaks for it
   silence(3000, 400);
-  EXPECT_EQ(servers_.at(0).held_until, 0);
+  EXPECT_EQ(balancer_.at(0).ejected_until, 0);
   silence(3500, 400);
   EXPECT_EQ(Choices(3501)["b"], 200);
-  EXPECT_EQ(servers_.DueProbes(100000).size(), 1u);
+  EXPECT_EQ(balancer_.DueProbes(100000).size(), 1u);
 }
 
 TEST_F(ServersTest, GoesWhereItsZonesSharesSay) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
-  auto zones = servers_.SlotsByZone(names_.Find("s"));
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
+  auto zones = balancer_.SlotsByZone(names_.Find("s"));
   ASSERT_EQ(zones.size(), 3u);
-  EXPECT_EQ(servers_.ZoneName(zones[0].zone), "here");
+  EXPECT_EQ(balancer_.ZoneName(zones[0].zone), "here");
   EXPECT_EQ(zones[1].slots, 2);
-  servers_.SetShares(names_.Find("s"), {{zones[0].zone, 0.5}, {zones[1].zone, 0.5}});
+  balancer_.SetShares(names_.Find("s"), {{zones[0].zone, 0.5}, {zones[1].zone, 0.5}});
   auto choices = Choices(1);
   EXPECT_NEAR(choices["a"], 100, 30);
   EXPECT_NEAR(choices["b"], 100, 30);
   EXPECT_EQ(choices["c"], 0);
 }
 
-TEST(Budget, LateSendsLeaveSomethingForFailures) {
+TEST(RetryBudget, LateSendsLeaveSomethingForFailures) {
   struct Case {
     double slack;  // of ten nodes
     int earned;    // requests before it is asked
@@ -210,28 +226,28 @@
       {11, 30, false, false},  // not one whole retry may be saved
   };
   for (const Case& c : cases) {
-    budget::Budget b({0.2, c.slack, 0.75});
+    forwarding::RetryBudget b({0.2, c.slack, 0.75});
     b.SetNodes(10);
-    for (int i = 0; i < c.earned; ++i) b.Earn(0);
-    budget::Budget same = b;
-    EXPECT_EQ(b.SpendIfCalm(0), c.calm) << c.slack << " " << c.earned;
-    EXPECT_EQ(same.Spend(0), c.spend) << c.slack << " " << c.earned;
+    for (int i = 0; i < c.earned; ++i) b.Deposit(0);
+    forwarding::RetryBudget same = b;
+    EXPECT_EQ(b.TryWithdrawForHedge(0), c.calm) << c.slack << " " << c.earned;
+    EXPECT_EQ(same.TryWithdraw(0), c.spend) << c.slack << " " << c.earned;
   }
 }
 
-TEST(Budget, AllNodesTogetherStayWithinTheBound) {
+TEST(RetryBudget, AllNodesTogetherStayWithinTheBound) {
   // Many nodes, uneven load, nodes that restart and forget, and every further send that is allowed
   // is made: the sum over any window stays within ratio x requests + slack.
   const double ratio = 0.2, slack = 30;
   const size_t nodes = 12;
   const int window = 100;
   base::Random random(42);
-  budget::Budget::Bounds bounds;
+  forwarding::RetryBudget::Bounds bounds;
   bounds.ratio = ratio;
   bounds.slack = slack;
-  std::vector<budget::Budget> budgets;
+  std::vector<forwarding::RetryBudget> budgets;
   auto fresh = [&] {
-    budget::Budget b(bounds);
+    forwarding::RetryBudget b(bounds);
     b.SetNodes(nodes);
     return b;
   };
@@ -245,11 +261,11 @@
       int count = static_cast<int>(random.Below(burst ? 12 : 3));
       for (int k = 0; k < count; ++k) {
         ++asked;
-        budgets[i].Earn(0);
+        budgets[i].Deposit(0);
       }
       // Savings are spent all at once every now and then, which is the worst case.
       if (t % 150 > 100) {
-        while (budgets[i].Spend(0)) ++spent;
+        while (budgets[i].TryWithdraw(0)) ++spent;
       }
     }
     requests.push_back(asked);
@@ -264,14 +280,14 @@
   }
 }
 
-TEST(Budget, AStartedNodeHasSavedNothing) {
-  budget::Budget b({0.2, 60, 0.75});
+TEST(RetryBudget, AStartedNodeHasSavedNothing) {
+  forwarding::RetryBudget b({0.2, 60, 0.75});
   b.SetNodes(10);
-  EXPECT_FALSE(b.Spend(0));
-  for (int i = 0; i < 7; ++i) b.Earn(0);
-  EXPECT_TRUE(b.Spend(0));
-  EXPECT_FALSE(b.Spend(0));
-  EXPECT_FALSE(b.Spend(1));  // each service has its own
+  EXPECT_FALSE(b.TryWithdraw(0));
+  for (int i = 0; i < 7; ++i) b.Deposit(0);
+  EXPECT_TRUE(b.TryWithdraw(0));
+  EXPECT_FALSE(b.TryWithdraw(0));
+  EXPECT_FALSE(b.TryWithdraw(1));  // each service has its own
 }
 
 TEST(Lifecycle, StepsOfALife) {
@@ -308,24 +324,24 @@
 }
 
 TEST_F(ServersTest, KeepsToTheRegionsAllowedAndOutOfEvacuatedZones) {
-  servers_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
+  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
   EXPECT_EQ(Choices(0)["a"], 200);
   allowed_ = {regions_.Intern("there")};  // a zone without a named region is one by itself
   EXPECT_EQ(Choices(0)["b"], 200);
   EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // nor for a further try
   allowed_ = {regions_.Intern("nowhere")};
   EXPECT_EQ(Choices(0)["none"], 200);
-  EXPECT_FALSE(servers_.Any(names_.Find("s"), allowed_));
+  EXPECT_FALSE(balancer_.Any(names_.Find("s"), allowed_));
   allowed_.clear();
-  servers_.SetDrainedZones(100, {"afar", "here"}, 3000);
+  balancer_.SetDrainedZones(100, {"afar", "here"}, 3000);
   EXPECT_EQ(Choices(100)["b"], 200);
-  servers_.SetDrainedZones(200, {"afar", "here", "there"}, 3000);
+  balancer_.SetDrainedZones(200, {"afar", "here", "there"}, 3000);
   EXPECT_EQ(Choices(200)["none"], 200);
-  EXPECT_FALSE(servers_.Any(names_.Find("s"), {}));
+  EXPECT_FALSE(balancer_.Any(names_.Find("s"), {}));
   // Taken back it may be cold, and is used as such.
-  servers_.SetDrainedZones(300, {}, 3000);
-  EXPECT_TRUE(servers_.Any(names_.Find("s"), {}));
-  EXPECT_EQ(servers_.at(0).warm_at, 3300);
+  balancer_.SetDrainedZones(300, {}, 3000);
+  EXPECT_TRUE(balancer_.Any(names_.Find("s"), {}));
+  EXPECT_EQ(balancer_.at(0).warm_at, 3300);
 }
 
 TEST_F(ServersTest, SendsOnlyToVersionsThatAreAllowed) {
@@ -348,57 +364,57 @@
   uint32_t s = names_.Intern("s");
   rollout::Rule rule;
   rule.known = true;
-  rule.main = "v1";
-  rule.side = "v2";
-  rule.few = true;
+  rule.primary = "v1";
+  rule.secondary = "v2";
+  rule.limited = true;
   rule.number = 1;
-  servers_.SetVersions(s, rule, 0.06);
-  servers_.Adopt(0, list(servers));
-  auto versions = [&](bool side) {
+  balancer_.SetVersions(s, rule, 0.06);
+  balancer_.Adopt(0, list(servers));
+  auto versions = [&](bool secondary) {
     std::map<std::string, std::set<std::string>> used;
     for (int i = 0; i < 400; ++i) {
-      uint32_t at = servers_.Choose(0, s, 100, {}, true, {}, side);
-      if (at == Servers::kNone) continue;
-      used[servers_.VersionOf(at)].insert(servers_.at(at).id);
-      servers_.Begin(0, at);
-      servers_.End(0, at, 0, Signal::kGood, -1, 100);
+      uint32_t at = balancer_.Choose(0, s, 100, {}, true, {}, secondary);
+      if (at == LoadBalancer::kNone) continue;
+      used[balancer_.VersionOf(at)].insert(balancer_.at(at).id);
+      balancer_.Begin(0, at);
+      balancer_.End(0, at, 0, Signal::kGood, -1, 100);
     }
     return used;
   };
   EXPECT_EQ(versions(false).count("v1"), 1u);
   EXPECT_EQ(versions(false).size(), 1u);
   EXPECT_EQ(versions(true).size(), 1u);
-  size_t few = 0;
+  size_t limited = 0;
   std::map<uint32_t, int> zones;
-  for (uint32_t i = 0; i < servers_.size(); ++i) {
-    if (servers_.at(i).part != Server::Part::kSide) continue;
-    EXPECT_EQ(servers_.VersionOf(i), "v2");
-    ++zones[servers_.at(i).zone];
-    ++few;
+  for (uint32_t i = 0; i < balancer_.size(); ++i) {
+    if (balancer_.at(i).part != Server::Part::kSecondary) continue;
+    EXPECT_EQ(balancer_.VersionOf(i), "v2");
+    ++zones[balancer_.at(i).zone];
+    ++limited;
   }
-  EXPECT_EQ(few, 4u);  // three at least, spread evenly over two zones
+  EXPECT_EQ(limited, 4u);  // three at least, spread evenly over two zones
   EXPECT_EQ(zones.size(), 2u);
   // Promoted: the other way round, all of both, and only what is barred is told.
-  rule.main = "v2";
-  rule.side = "v1";
-  rule.few = false;
-  EXPECT_EQ(servers_.SetVersions(s, rule, 0.06).size(), 1u);
+  rule.primary = "v2";
+  rule.secondary = "v1";
+  rule.limited = false;
+  EXPECT_EQ(balancer_.SetVersions(s, rule, 0.06).size(), 1u);
   EXPECT_EQ(versions(false).begin()->first, "v2");
   EXPECT_EQ(versions(true).begin()->first, "v1");
-  EXPECT_EQ(servers_.InFlight(s, "v1"), 0u);
-  servers_.Begin(0, servers_.Choose(0, s, 100, {}, true, {}, true));
-  EXPECT_EQ(servers_.InFlight(s, "v1"), 1u);
+  EXPECT_EQ(balancer_.InFlight(s, "v1"), 0u);
+  balancer_.Begin(0, balancer_.Choose(0, s, 100, {}, true, {}, true));
+  EXPECT_EQ(balancer_.InFlight(s, "v1"), 1u);
   // Turned down: never, not even if nothing else is left; another one then is used.
   rule = rollout::Rule();
   rule.known = true;
-  rule.main = "v1";
-  rule.barred = "v2";
-  EXPECT_EQ(servers_.SetVersions(s, rule, 0.06).size(), 41u);
+  rule.primary = "v1";
+  rule.excluded = "v2";
+  EXPECT_EQ(balancer_.SetVersions(s, rule, 0.06).size(), 41u);
   EXPECT_EQ(versions(false).begin()->first, "v1");
   EXPECT_TRUE(versions(true).empty());
-  servers_.Adopt(0, list({{"h2-0", "v2"}, {"hx", "v9"}}));
+  balancer_.Adopt(0, list({{"h2-0", "v2"}, {"hx", "v9"}}));
   EXPECT_EQ(versions(false).begin()->first, "v9");
-  servers_.Adopt(0, list({{"h2-0", "v2"}}));
+  balancer_.Adopt(0, list({{"h2-0", "v2"}}));
   EXPECT_TRUE(versions(false).empty());
 }
 
@@ -410,18 +426,18 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     base::Random random(seed);
     base::Names names, regions;
-    Servers::Options options;
+    LoadBalancer::Options options;
     options.zone = "here";
     std::vector<uint64_t> all;
     for (size_t i = 0; i < kProxies; ++i) all.push_back(random.Next());
-    std::vector<std::unique_ptr<Servers>> proxies(kProxies);
+    std::vector<std::unique_ptr<LoadBalancer>> proxies(kProxies);
     discovery::Server cold{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
     auto start = [&](size_t i, base::Millis now, base::Millis warm_at) {
-      proxies[i] = std::make_unique<Servers>(options, &names, &regions, random.Next());
+      proxies[i] = std::make_unique<LoadBalancer>(options, &names, &regions, random.Next());
       cold.warm_at = warm_at;
       proxies[i]->SetWarmup(names.Intern("s"), kPerS);
       proxies[i]->Adopt(now, MakeCatalog({cold}));
-      proxies[i]->SetPeers(all[i], all);
+      proxies[i]->SetZoneProxies(all[i], all);
     };
     // Each knows of the cold a little earlier or later; the one that starts does not know the rest.
     for (size_t i = 0; i < kProxies; ++i) start(i, 0, 8000);
@@ -433,11 +449,11 @@
         size_t i = random.Below(kProxies);
         std::vector<uint64_t> some = all;
         some.erase(some.begin() + static_cast<long>(random.Below(kProxies)));
-        proxies[i]->SetPeers(all[i], some);
+        proxies[i]->SetZoneProxies(all[i], some);
       }
       for (size_t i = 0; i < kProxies; ++i) {
         uint32_t s = proxies[i]->Choose(now, names.Find("s"), 100, {}, true, {});
-        if (s == Servers::kNone) continue;
+        if (s == LoadBalancer::kNone) continue;
         proxies[i]->Begin(now, s);
         proxies[i]->End(now, s, now, Signal::kGood, 10, 100);
         sent.push_back(now);
--- a/tests/front_test.cc
+++ b/tests/front_test.cc
@@ -1,5 +1,3 @@
-#include "forwarding/front.h"
-
 #include <event2/bufferevent.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -7,6 +5,7 @@
 
 #include <thread>
 
+#include "forwarding/request_router.h"
 #include "proxy/shutdown.h"
 #include "wire/socket.h"
 
@@ -105,41 +104,41 @@
     settings_.connect_ms = 150;
     for (uint16_t port = 20000; port < 21000; ++port) {
       settings_.front = {"127.0.0.1", port};
-      front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
-      front_->SetServing(true);
-      if (front_->Listen().has_value()) break;
+      router_ = std::make_unique<RequestRouter>(&loop_, settings_, &recorder_);
+      router_->SetServing(true);
+      if (router_->Listen().has_value()) break;
     }
   }
 
   StandIn* Serve(const std::string& id, StandIn::Script script) {
-    servers_.push_back(std::make_unique<StandIn>(&loop_, std::move(script)));
-    Add(id, servers_.back()->address().ToString());
-    return servers_.back().get();
+    balancer_.push_back(std::make_unique<StandIn>(&loop_, std::move(script)));
+    Add(id, balancer_.back()->address().ToString());
+    return balancer_.back().get();
   }
   void Add(const std::string& id, const std::string& address) {
     // The first one is preferred: it is in this node's zone.
     endpoints_.servers.push_back(
         {id, "s", address, endpoints_.servers.empty() ? "a" : "b", "v", 2, false, 0, 0});
   }
-  void Configure(int64_t timeout_ms = 1000, int64_t aim_ms = 2000) {
+  void Configure(int64_t timeout_ms = 1000, int64_t target_latency_ms = 2000) {
     auto route = [&](const char* label, const char* prefix, const char* variant) {
       return std::string(R"({"label":")") + label + R"(","host":"h.example","path-prefix":")" +
              prefix + R"(","variant":")" + variant + R"(","timeout-ms":)" +
-             std::to_string(timeout_ms) + R"(,"target-latency-ms":)" + std::to_string(aim_ms) +
-             R"(,"max-attempts":2,"target":"s"})";
+             std::to_string(timeout_ms) + R"(,"target-latency-ms":)" +
+             std::to_string(target_latency_ms) + R"(,"max-attempts":2,"target":"s"})";
     };
     std::string text =
         R"({"revision":1,"route-list":[)" + route("get", "/get/", "idempotent") + "," +
         route("post", "/post/", "effectful") +
         R"(],"service-list":[{"label":"s","max-conns":100}],"limits":{"max-header-bytes":600,"max-body-bytes":1000,"header-timeout-ms":200,"idle-timeout-ms":3000}})";
-    front_->Adopt(configuration::Table::Build(text, front_->names(), front_->regions()));
-    front_->Adopt(endpoints_);
+    router_->Adopt(configuration::RoutingTable::Build(text, router_->names(), router_->regions()));
+    router_->Adopt(endpoints_);
     // Some requests first, so that there is budget for further sends.
-    for (int i = 0; i < 4; ++i) Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
+    for (int i = 0; i < 4; ++i) PendingRequest("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
   }
 
   // Sends bytes on a new connection and returns all that comes until the end, or `ms` have passed.
-  std::string Exchange(const std::string& bytes, int ms = 1500) {
+  std::string PendingRequest(const std::string& bytes, int ms = 1500) {
     int fd = wire::StartConnect(settings_.front, 0);
     std::string answer;
     bool sent = false;
@@ -195,15 +194,15 @@
   std::mutex mutex_;
   std::string records_;
   telemetry::Recorder recorder_;
-  std::vector<std::unique_ptr<StandIn>> servers_;
+  std::vector<std::unique_ptr<StandIn>> balancer_;
   discovery::EndpointSnapshot endpoints_{1, 1, {}};
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<RequestRouter> router_;
 };
 
 TEST_F(FrontTest, ForwardsUnchangedWithDeadlineAndExpectedServer) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
-  std::string answer = Exchange(
+  std::string answer = PendingRequest(
       "POST /post/x?y=%20z HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a7\r\n"
       "Elderkeel-Remaining-Ms: 500\r\nConnection: X-Hop, Elderkeel-Attempt-Id\r\nX-Hop: "
       "1\r\nX-Kept: 2\r\n"
@@ -298,23 +297,23 @@
   for (const Case& c : cases) {
     for (const char* kind : {"get", "post"}) {
       settings_.front.port += 1;
-      front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
-      while (!front_->Listen().has_value()) {
+      router_ = std::make_unique<RequestRouter>(&loop_, settings_, &recorder_);
+      while (!router_->Listen().has_value()) {
         settings_.front.port += 1;
-        front_ = std::make_unique<Front>(&loop_, settings_, &recorder_);
+        router_ = std::make_unique<RequestRouter>(&loop_, settings_, &recorder_);
       }
-      front_->SetServing(true);
+      router_->SetServing(true);
       endpoints_.servers.clear();
       auto* bad = Serve("i-bad", c.bad);
       auto* good = Serve("i-good", [](const std::string& r) { return Good(r); });
       Configure();
-      for (int i = 0; i < 3; ++i) Exchange(Ask("get", "warm-" + std::to_string(i)));
+      for (int i = 0; i < 3; ++i) PendingRequest(Ask("get", "warm-" + std::to_string(i)));
       // The warm-up may have taught the node to avoid the bad server: a fresh view, with the
       // budget.
       endpoints_.servers[0].id = "i-bad-2";
-      front_->Adopt(endpoints_);
+      router_->Adopt(endpoints_);
       size_t before = bad->requests.size() + good->requests.size();
-      std::string answer = Exchange(Ask(kind));
+      std::string answer = PendingRequest(Ask(kind));
       std::string want =
           kind == std::string("get") ? std::to_string(c.get_status) : std::to_string(c.post_status);
       EXPECT_EQ(std::to_string(Status(answer)), want) << c.name << " " << kind << ": " << answer;
@@ -328,11 +327,11 @@
 TEST_F(FrontTest, ServesNothingUntilWhatItHoldsIsConfirmed) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
-  front_->SetServing(false);
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);
+  router_->SetServing(false);
+  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 503);
   EXPECT_TRUE(server->requests.empty());
-  front_->SetServing(true);
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);
+  router_->SetServing(true);
+  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 200);
 }
 
 // That a route does not exist is said only by what is known to be recent.
@@ -340,14 +339,14 @@
   Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   bool recent = false;
-  front_->SetDenialGuard([&] { return recent; });
+  router_->SetDenialGuard([&] { return recent; });
   std::string unknown = "GET /got/ HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a\r\n\r\n";
-  std::string answer = Exchange(unknown);
+  std::string answer = PendingRequest(unknown);
   EXPECT_EQ(Status(answer), 503);
   EXPECT_NE(answer.find("Retry-After: "), std::string::npos) << answer;
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);  // what is there is served all the same
+  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 200);  // what is there is served all the same
   recent = true;
-  EXPECT_EQ(Status(Exchange(unknown)), 404);
+  EXPECT_EQ(Status(PendingRequest(unknown)), 404);
 }
 
 // Clients come to a proxy that ends until it is gone, each on a connection of its own, and its
@@ -370,13 +369,13 @@
   lifecycle::Lifecycle readiness(options);
   base::Millis begin = base::SteadyMillis();
   readiness.Leave(begin);
-  front_->SetLeaving();
+  router_->SetLeaving();
   std::vector<Client> clients;
   base::Timer tick, wake;
   bool ended = false;
   tick.Repeat(&loop_, 20, [&] {
     ended |=
-        proxy::AdvanceShutdown(readiness.At(base::SteadyMillis(), front_->busy()), front_.get());
+        proxy::AdvanceShutdown(readiness.At(base::SteadyMillis(), router_->busy()), router_.get());
   });
   auto receive = [](Client* client) {
     char buffer[4096];
@@ -401,7 +400,7 @@
     }
   }
   EXPECT_TRUE(ended);
-  front_.reset();  // as a process that ends
+  router_.reset();  // as a process that ends
   int offered = 0, rejected = 0;
   for (Client& client : clients) {
     receive(&client);
@@ -423,7 +422,7 @@
 TEST_F(FrontTest, RefusesWhatItMustNotForward) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   std::string big(700, 'x');
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);  // nothing known yet
+  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 503);  // nothing known yet
   Configure();
   struct Case {
     const char* name;
@@ -456,14 +455,15 @@
        413},
       {"head too slow", "GET /get/ HTTP/1.1\r\nHost:", 408},
   };
-  for (const Case& c : cases) EXPECT_EQ(Status(Exchange(c.bytes)), c.status) << c.name;
+  for (const Case& c : cases) EXPECT_EQ(Status(PendingRequest(c.bytes)), c.status) << c.name;
   EXPECT_TRUE(server->requests.empty());
 }
 
 TEST_F(FrontTest, AnswersPipelinedRequestsInTheirOrder) {
   Serve("i-1", [](const std::string& r) { return Good(r, HeaderOf(r, "Elderkeel-Attempt-Id")); });
   Configure();
-  std::string answer = Exchange(Ask("get", "first") + Ask("post", "second") + Ask("get", "third"));
+  std::string answer =
+      PendingRequest(Ask("get", "first") + Ask("post", "second") + Ask("get", "third"));
   size_t first = answer.find("\r\n\r\nfirst"), second = answer.find("\r\n\r\nsecond"),
          third = answer.find("\r\n\r\nthird");
   ASSERT_NE(third, std::string::npos) << answer;
@@ -476,7 +476,7 @@
   Serve("i-1", [](const std::string&) { return std::string(); });
   Configure();
   base::Millis begun = base::SteadyMillis();
-  EXPECT_EQ(Status(Exchange(Ask("post", "a", "300"))), 504);
+  EXPECT_EQ(Status(PendingRequest(Ask("post", "a", "300"))), 504);
   base::Millis took = base::SteadyMillis() - begun;
   EXPECT_GE(took, 290);
   EXPECT_LT(took, 600);
@@ -486,11 +486,11 @@
   auto* silent = Serve("i-1", [](const std::string&) { return std::string(); });
   auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure(1000, 200);
-  for (int i = 0; i < 3; ++i) Exchange(Ask("get", "w" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) PendingRequest(Ask("get", "w" + std::to_string(i)));
   endpoints_.servers[0].id = "i-1-again";
-  front_->Adopt(endpoints_);
+  router_->Adopt(endpoints_);
   size_t before = silent->requests.size();
-  EXPECT_EQ(Status(Exchange(Ask("get", "late"))), 200);
+  EXPECT_EQ(Status(PendingRequest(Ask("get", "late"))), 200);
   EXPECT_EQ(silent->requests.size(), before + 1);
   EXPECT_FALSE(well->requests.empty());
 }
@@ -514,12 +514,12 @@
   for (bool in_chunks : {false, true}) {
     chunks = in_chunks;
     cut = false;
-    std::string answer = Exchange(Ask("get", "whole"));
+    std::string answer = PendingRequest(Ask("get", "whole"));
     EXPECT_EQ(Whole(answer), 1) << answer.substr(0, 300);
     EXPECT_GT(answer.size(), large.size());
     EXPECT_EQ(answer.find("chunked") != std::string::npos, in_chunks);
     cut = true;
-    answer = Exchange(Ask("get", "cut"));
+    answer = PendingRequest(Ask("get", "cut"));
     EXPECT_GT(answer.size(), 1000u);
     EXPECT_EQ(Whole(answer), 0);  // never looks complete
   }
@@ -545,8 +545,8 @@
     }
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the loop does not run
-  Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
-  EXPECT_EQ(Status(Exchange(Ask("get", "after"))), 200);
+  PendingRequest("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
+  EXPECT_EQ(Status(PendingRequest(Ask("get", "after"))), 200);
   // Only the one that waited, and the one after.
   EXPECT_EQ(server->requests.size(), 2u);
   for (int fd : clients) close(fd);
@@ -556,18 +556,19 @@
   Add("i-gone", "127.0.0.1:1");
   auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure();
-  EXPECT_EQ(Status(Exchange(Ask("post"))), 200);
+  EXPECT_EQ(Status(PendingRequest(Ask("post"))), 200);
   EXPECT_EQ(well->requests.size(), 1u);
 }
 
 TEST_F(FrontTest, ReusesConnectionsAndRecordsFailures) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(Status(Exchange(Ask("get", "r" + std::to_string(i)))), 200);
+  for (int i = 0; i < 5; ++i)
+    EXPECT_EQ(Status(PendingRequest(Ask("get", "r" + std::to_string(i)))), 200);
   EXPECT_EQ(server->connections, 1);
   endpoints_.servers[0].draining = true;
-  front_->Adopt(endpoints_);
-  std::string answer = Exchange(Ask("get", "nobody-there"));
+  router_->Adopt(endpoints_);
+  std::string answer = PendingRequest(Ask("get", "nobody-there"));
   EXPECT_EQ(Status(answer), 503);
   EXPECT_FALSE(HeaderOf(answer, "Retry-After").empty());
   recorder_.Flush();
--- a/tests/golden_test.cc
+++ b/tests/golden_test.cc
@@ -72,8 +72,8 @@
   return {3, index, consensus::EntryKind::kCommand, "data"};
 }
 
-rollout::Counts MakeCounts(uint32_t first) {
-  rollout::Counts counts;
+rollout::VersionCounters MakeCounts(uint32_t first) {
+  rollout::VersionCounters counts;
   counts.answers = first;
   counts.failed = first + 1;
   counts.broken = first + 2;
@@ -97,7 +97,7 @@
   rollout::Step step;
   step.kind = rollout::Step::Kind::kOrder;
   step.order = {"service", "v2", 60000};
-  step.watchers = {11, 12, 13};
+  step.observers = {11, 12, 13};
   return step;
 }
 
@@ -229,7 +229,7 @@
   digest.endpoints_read_age_ms = 6;
   digest.answer = true;
   digest.reliable = true;
-  digest.demand = {{demand::Key("zone-1"), 10, 3, {{demand::Key("service"), 1.5f}}}};
+  digest.load = {{load::Key("zone-1"), 10, 3, {{load::Key("service"), 1.5f}}}};
   golden.AddEncoded("digest", digest);
   golden.AddEncoded("pull-request", dissemination::PullRequest{1, 2, 3, 4, 5, true});
   golden.AddEncoded("configuration-update", dissemination::ConfigurationUpdate{7, 5, "body"});
@@ -263,35 +263,35 @@
 
 TEST(Golden, RolloutAndDiagnosisFrames) {
   Golden golden("golden_rollout.txt");
-  rollout::Tally tally;
-  tally.node = 1;
-  tally.boot_id = 2;
-  tally.number = 3;
-  tally.version = 4;
-  tally.age_ms = 5;
-  tally.requests = 6;
-  tally.exposed = 7;
-  tally.old_busy = 8;
-  tally.new_busy = 9;
-  tally.moved = true;
-  tally.asks = true;
-  tally.rows = {MakeRow()};
-  golden.AddEncoded("report", tally);
-  golden.AddEncoded("acknowledgement", rollout::Touch{3, 4});
+  rollout::ProxyReport report;
+  report.node = 1;
+  report.boot_id = 2;
+  report.number = 3;
+  report.version = 4;
+  report.age_ms = 5;
+  report.requests = 6;
+  report.exposed = 7;
+  report.old_in_flight = 8;
+  report.new_in_flight = 9;
+  report.confirmed = true;
+  report.wants_renewal = true;
+  report.rows = {MakeRow()};
+  golden.AddEncoded("report", report);
+  golden.AddEncoded("acknowledgement", rollout::LeaseRenewal{3, 4});
   rollout::Vote vote;
   vote.number = 1;
-  vote.watcher = 2;
+  vote.observer = 2;
   vote.boot_id = 3;
   vote.version = 4;
   vote.opinion = rollout::Opinion::kBad;
   vote.why = "reason";
   vote.age_ms = 5;
   vote.heard = 6;
-  vote.in_sight = 7;
+  vote.known_proxies = 7;
   vote.requests = 8;
   vote.exposed = 9;
-  vote.unmoved = 10;
-  vote.unheard = 11;
+  vote.unconfirmed = 10;
+  vote.not_reporting = 11;
   vote.missing = {12, 13};
   vote.rows = {MakeRow()};
   golden.AddEncoded("vote", vote);
@@ -303,7 +303,7 @@
   for (int stage = 0; stage <= static_cast<int>(rollout::Stage::kReverted); ++stage) {
     golden.Add("stage-" + std::to_string(stage),
                std::string(rollout::StageName(static_cast<rollout::Stage>(stage))) + " " +
-                   rollout::StatusWord(static_cast<rollout::Stage>(stage)));
+                   rollout::StatusName(static_cast<rollout::Stage>(stage)));
   }
   for (int opinion = 0; opinion <= static_cast<int>(rollout::Opinion::kBad); ++opinion) {
     golden.Add("opinion-" + std::to_string(opinion),
@@ -318,27 +318,13 @@
 TEST(Golden, FrameKinds) {
   using wire::Kind;
   const std::vector<Kind> kinds = {
-      Kind::kConsensus,
-      Kind::kJoin,
-      Kind::kMembershipUpdate,
-      Kind::kHeartbeat,
-      Kind::kDigest,
-      Kind::kPullRequest,
-      Kind::kConfigurationUpdate,
-      Kind::kEndpointUpdate,
-      Kind::kConfirm,
-      Kind::kConfirmReply,
-      Kind::kResign,
-      Kind::kQuery,
-      Kind::kQueryReply,
-      Kind::kSummary,
-      Kind::kZoneDrainUpdate,
-      Kind::kPartDigests,
-      Kind::kRolloutUpdate,
-      Kind::kTally,
-      Kind::kTouch,
-      Kind::kVote,
-      Kind::kSyncRequest,
+      Kind::kConsensus,           Kind::kJoin,           Kind::kMembershipUpdate,
+      Kind::kHeartbeat,           Kind::kDigest,         Kind::kPullRequest,
+      Kind::kConfigurationUpdate, Kind::kEndpointUpdate, Kind::kConfirm,
+      Kind::kConfirmReply,        Kind::kResign,         Kind::kQuery,
+      Kind::kQueryReply,          Kind::kSummary,        Kind::kZoneDrainUpdate,
+      Kind::kPartDigests,         Kind::kRolloutUpdate,  Kind::kProxyReport,
+      Kind::kLeaseRenewal,        Kind::kVote,           Kind::kSyncRequest,
       Kind::kSyncReply,
   };
   for (size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(static_cast<size_t>(kinds[i]), i + 1);
--- a/tests/indexed_document_test.cc
+++ b/tests/indexed_document_test.cc
@@ -153,7 +153,7 @@
 };
 
 // All that a table tells of the places that the writer writes, and of every service.
-std::string TableTells(const Table& table, const base::Names& names) {
+std::string TableTells(const RoutingTable& table, const base::Names& names) {
   std::string text = std::to_string(table.revision());
   for (int place = 0; place < 60; ++place) {
     for (const char* host : {"h", "a.b"}) {
@@ -184,7 +184,7 @@
     FullRegister full;
     Register state;
     base::Names names, regions;
-    std::shared_ptr<const Table> table;
+    std::shared_ptr<const RoutingTable> table;
     IndexedDocument follower;  // as a proxy's: takes what was accepted without a check
     for (int step = 0; step < 60; ++step) {
       bool patch = full.revision() > 0 ? !writer.OneIn(25) : writer.OneIn(10);
@@ -213,10 +213,10 @@
         follower = IndexedDocument(text);
       }
       // A table made of the one before is as one made of the whole, and leaves that one as it was.
-      auto whole = Table::Build(text, &names, &regions);
+      auto whole = RoutingTable::Build(text, &names, &regions);
       if (patch && table) {
         std::string before = TableTells(*table, names);
-        auto next = Table::Patch(*table, change.body, &names, &regions);
+        auto next = RoutingTable::Patch(*table, change.body, &names, &regions);
         ASSERT_TRUE(next);
         ASSERT_EQ(TableTells(*next, names), TableTells(*whole, names)) << change.body;
         ASSERT_EQ(TableTells(*table, names), before) << change.body;
--- a/tests/once_world.h
+++ b/tests/once_world.h
@@ -12,7 +12,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "forwarding/front.h"
+#include "forwarding/request_router.h"
 #include "stand_in.h"
 
 namespace elderkeel::once {
@@ -55,10 +55,10 @@
   }
 };
 
-// Proxies (processes of their own, each with a real Front), stand-in servers that stutter and
-// clients that leave, all on loopback; proxies are killed, frozen and started again, connections
-// reset, addresses held by another life for a while. Decisions are drawn from the seed; when they
-// take effect is up to the machine, so a run can't be repeated to the letter.
+// Proxies (processes of their own, each with a real RequestRouter), stand-in servers that stutter
+// and clients that leave, all on loopback; proxies are killed, frozen and started again,
+// connections reset, addresses held by another life for a while. Decisions are drawn from the seed;
+// when they take effect is up to the machine, so a run can't be repeated to the letter.
 class World {
  public:
   explicit World(const Options& options) : options_(options), random_(options.seed) {}
@@ -139,8 +139,8 @@
   }
 
   void AddServer(int i) {
-    servers_.push_back(std::make_unique<Server>(&loop_, "i-" + std::to_string(i), 25000));
-    Server* server = servers_.back().get();
+    balancer_.push_back(std::make_unique<Server>(&loop_, "i-" + std::to_string(i), 25000));
+    Server* server = balancer_.back().get();
     server->choose = [this](const wire::Message&) { return Choose(); };
     server->on_connection = [this] {
       static const Deed kDeeds[] = {Deed::kResetFirst, Deed::kHalfCloseFirst, Deed::kSilenceFirst,
@@ -204,8 +204,8 @@
 
   void Start(Proxy* p) {
     std::vector<discovery::Server> list;
-    for (size_t i = 0; i < servers_.size(); ++i) {
-      list.push_back({"i-" + std::to_string(i), "s", servers_[i]->address().ToString(),
+    for (size_t i = 0; i < balancer_.size(); ++i) {
+      list.push_back({"i-" + std::to_string(i), "s", balancer_[i]->address().ToString(),
                       i % 2 ? "b" : "a", "v", 6, false, 0, 0});
     }
     p->pid = fork();
@@ -222,12 +222,12 @@
     settings.connect_ms = 200;
     telemetry::Recorder recorder(telemetry::Recorder::Options(),
                                  telemetry::MakeCallSink([](std::string) { return true; }));
-    forwarding::Front front(&loop, settings, &recorder);
+    forwarding::RequestRouter front(&loop, settings, &recorder);
     front.SetServing(true);
     if (!front.Listen().has_value()) _exit(3);
     front.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
-    front.Adopt(configuration::Table::Build(stand_in::ConfigurationText(1000, 200, 3000),
-                                            front.names(), front.regions()));
+    front.Adopt(configuration::RoutingTable::Build(stand_in::ConfigurationText(1000, 200, 3000),
+                                                   front.names(), front.regions()));
     front.Adopt(discovery::EndpointSnapshot{1, 1, list});
     loop.Run();
     _exit(0);
@@ -241,7 +241,7 @@
 
   void Trouble() {
     Proxy* p = &proxies_[static_cast<size_t>(Draw(options_.proxies))];
-    Server* server = servers_[static_cast<size_t>(Draw(options_.servers))].get();
+    Server* server = balancer_[static_cast<size_t>(Draw(options_.servers))].get();
     // Each kind once, then as it is drawn.
     switch (troubles_++ < 6 ? troubles_ - 1 : Draw(6)) {
       case 0:
@@ -365,7 +365,7 @@
   Options options_;
   std::mt19937_64 random_;
   base::Loop loop_;
-  std::vector<std::unique_ptr<Server>> servers_;
+  std::vector<std::unique_ptr<Server>> balancer_;
   std::deque<Proxy> proxies_;
   std::vector<std::unique_ptr<Caller>> callers_;
   std::vector<std::unique_ptr<base::Timer>> lives_;
--- a/tests/operators.h
+++ b/tests/operators.h
@@ -121,15 +121,15 @@
     std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override {
       return Put(controller::MakeCommand(controller::Command::Kind::kZoneDrain, order));
     }
-    std::optional<uint64_t> Propose(const rollout::Order& order) override {
+    std::optional<uint64_t> Propose(const rollout::RolloutOrder& order) override {
       rollout::Step step;
       step.kind = rollout::Step::Kind::kOrder;
       step.order = order;
-      std::vector<rollout::Candidate> watchers;
+      std::vector<rollout::Candidate> observers;
       for (const auto& [id, n] : node().members->nodes()) {
-        if (n.durable && n.state == membership::State::kAlive) watchers.push_back({id, n.zone});
+        if (n.durable && n.state == membership::State::kAlive) observers.push_back({id, n.zone});
       }
-      step.watchers = rollout::NameWatchers(order.service, watchers);
+      step.observers = rollout::ChooseObservers(order.service, observers);
       return Put(controller::MakeCommand(controller::Command::Kind::kRollout, step));
     }
     bool HasZone(const std::string&) const override { return true; }
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -72,7 +72,7 @@
 
   std::string Ip(int i) const { return "127.0.1." + std::to_string(i + 1); }
   base::Address Control(int i) const { return {Ip(i), static_cast<uint16_t>(port_ + 1)}; }
-  base::Address Front(int i) const { return {Ip(i), static_cast<uint16_t>(port_ + 2)}; }
+  base::Address RequestRouter(int i) const { return {Ip(i), static_cast<uint16_t>(port_ + 2)}; }
   base::Address Ready(int i) const { return {Ip(i), static_cast<uint16_t>(port_ + 3)}; }
 
   std::string Settings(const std::string& name, int i, bool bootstrap) {
@@ -83,7 +83,7 @@
     for (int k = 0; k < kControllers; ++k) f << (k ? "," : "") << Control(k).ToString();
     f << "\nbootstrap=" << (bootstrap ? "true" : "false")
       << "\nlisteners.control=" << Control(i).ToString()
-      << "\nlisteners.front=" << Front(i).ToString()
+      << "\nlisteners.front=" << RequestRouter(i).ToString()
       << "\nlisteners.readiness=" << Ready(i).ToString() << "\nplatform.address=" << WorldAddress()
       << "\nplatform.rate-per-s=50\n";
     if (name[0] == 'c') f << "data-dir=" << (dir_ / ("data-" + name)).string() << "\n";
@@ -173,7 +173,7 @@
     return false;
   }
   int Ask(int proxy, const std::string& path) {
-    return Call(Front(proxy), "GET", path,
+    return Call(RequestRouter(proxy), "GET", path,
                 "Elderkeel-Attempt-Id: id-" + std::to_string(proxy) + "\r\n")
         .status;
   }
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -5,25 +5,25 @@
 #include <memory>
 
 #include "base/random.h"
-#include "rollout/conductor.h"
-#include "rollout/gate.h"
-#include "rollout/watcher.h"
+#include "rollout/canary_policy.h"
+#include "rollout/coordinator.h"
+#include "rollout/observer.h"
 
 namespace elderkeel::rollout {
 namespace {
 
 using base::Millis;
 
-Step Ordered(const std::string& version, int64_t over_ms, std::vector<uint64_t> watchers = {}) {
+Step Ordered(const std::string& version, int64_t over_ms, std::vector<uint64_t> observers = {}) {
   Step step;
   step.kind = Step::Kind::kOrder;
   step.order = {"s", version, over_ms};
-  step.watchers = std::move(watchers);
+  step.observers = std::move(observers);
   return step;
 }
 Step Found(const std::string& service, const std::string& version) {
   Step step;
-  step.kind = Step::Kind::kFound;
+  step.kind = Step::Kind::kDetected;
   step.found = {{service, version}};
   return step;
 }
@@ -108,106 +108,106 @@
       server.draining = draining;
       endpoints.servers.push_back(server);
     }
-    auto found = FindVersions(state, endpoints);
+    auto found = DetectVersions(state, endpoints);
     std::string text = found.empty() ? "" : found[0].second;
     EXPECT_EQ(text, c.found) << c.in_force << "/" << c.ordered << "/" << c.servers.size();
   }
 }
 
-TEST(Gate, SaysWhichVersionsMayBeSentTo) {
+TEST(CanaryPolicy, SaysWhichVersionsMayBeSentTo) {
   Rollouts state;
-  Gate gate({0.1, 2500, 1000});
+  CanaryPolicy gate({0.1, 2500, 1000});
   EXPECT_FALSE(gate.RuleOf(0, "s").known);  // nothing is known of versions: any
   state.Apply(Found("s", "v1"));
   gate.Adopt(0, state);
-  EXPECT_EQ(gate.RuleOf(0, "s").main, "v1");
-  EXPECT_EQ(gate.RuleOf(0, "s").side, "");
+  EXPECT_EQ(gate.RuleOf(0, "s").primary, "v1");
+  EXPECT_EQ(gate.RuleOf(0, "s").secondary, "");
   state.Apply(Ordered("v2", 14000));
   gate.Adopt(1000, state);
   Rule canary = gate.RuleOf(1100, "s");
-  EXPECT_EQ(canary.main + canary.side, "v1v2");
-  EXPECT_TRUE(canary.few);
+  EXPECT_EQ(canary.primary + canary.secondary, "v1v2");
+  EXPECT_TRUE(canary.limited);
   // Out of touch: nothing goes to what is not proven.
-  EXPECT_EQ(gate.RuleOf(3600, "s").side, "");
-  EXPECT_EQ(gate.RuleOf(3600, "s").barred, "v2");
-  for (int i = 0; i < 100; ++i) gate.Earn("s");
-  for (uint64_t key = 0; key < 200; ++key) EXPECT_FALSE(gate.TakesSide(3600, "s", key));
-  gate.Heard(3600, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(3700, "s").side, "v2");
+  EXPECT_EQ(gate.RuleOf(3600, "s").secondary, "");
+  EXPECT_EQ(gate.RuleOf(3600, "s").excluded, "v2");
+  for (int i = 0; i < 100; ++i) gate.CountRequest("s");
+  for (uint64_t key = 0; key < 200; ++key) EXPECT_FALSE(gate.TakesSecondary(3600, "s", key));
+  gate.OnLeaseRenewal(3600, {1, state.version()});
+  EXPECT_EQ(gate.RuleOf(3700, "s").secondary, "v2");
   int drawn = 0;
-  for (uint64_t key = 0; key < 2000; ++key) drawn += gate.TakesSide(3700, "s", key);
+  for (uint64_t key = 0; key < 2000; ++key) drawn += gate.TakesSecondary(3700, "s", key);
   EXPECT_NEAR(drawn, 120, 40);
   // While it is promoted the old version is the side one, and fades out.
   state.Apply(Entered(1, Stage::kPromoting));
   gate.Adopt(4000, state);
-  gate.Heard(4000, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(4100, "s").main + gate.RuleOf(4100, "s").side, "v2v1");
-  EXPECT_TRUE(gate.SideForFurther(4100, "s"));
-  EXPECT_FALSE(gate.Tell(4100, "s").moved);
+  gate.OnLeaseRenewal(4000, {1, state.version()});
+  EXPECT_EQ(gate.RuleOf(4100, "s").primary + gate.RuleOf(4100, "s").secondary, "v2v1");
+  EXPECT_TRUE(gate.RetriesToSecondary(4100, "s"));
+  EXPECT_FALSE(gate.MakeReport(4100, "s").confirmed);
   int early = 0, late = 0;
   for (uint64_t key = 0; key < 2000; ++key) {
-    early += gate.TakesSide(4010, "s", key);
-    late += gate.TakesSide(4970, "s", key);
+    early += gate.TakesSecondary(4010, "s", key);
+    late += gate.TakesSecondary(4970, "s", key);
   }
   EXPECT_GT(early, 1700);
   EXPECT_LT(late, 200);
-  EXPECT_EQ(gate.RuleOf(5050, "s").side, "");
-  EXPECT_TRUE(gate.Tell(5050, "s").moved);
+  EXPECT_EQ(gate.RuleOf(5050, "s").secondary, "");
+  EXPECT_TRUE(gate.MakeReport(5050, "s").confirmed);
   // What this proxy sees is plainly bad, on more than one server: back, until there is a verdict.
   auto fails = [&](Millis at, const char* server) {
-    gate.Count(at, {"s", "v2", server, "r", Gate::Ending::kFailed, true, false});
+    gate.CountOutcome(at, {"s", "v2", server, "r", CanaryPolicy::Outcome::kFailed, true, false});
   };
   for (int i = 0; i < 5; ++i) fails(5100, "a");
-  EXPECT_EQ(gate.RuleOf(5100, "s").main, "v2");
+  EXPECT_EQ(gate.RuleOf(5100, "s").primary, "v2");
   fails(5110, "b");
-  EXPECT_EQ(gate.RuleOf(5120, "s").main, "v1");
-  EXPECT_EQ(gate.RuleOf(5120, "s").side, "");
-  EXPECT_FALSE(gate.Tell(5120, "s").moved);
-  gate.Heard(6000, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(6700, "s").main + gate.RuleOf(6700, "s").side, "v2v1");  // anew
-  gate.Heard(4100, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(7000, "s").main, "v1");  // out of touch again
-  EXPECT_FALSE(gate.Tell(7000, "s").moved);
+  EXPECT_EQ(gate.RuleOf(5120, "s").primary, "v1");
+  EXPECT_EQ(gate.RuleOf(5120, "s").secondary, "");
+  EXPECT_FALSE(gate.MakeReport(5120, "s").confirmed);
+  gate.OnLeaseRenewal(6000, {1, state.version()});
+  EXPECT_EQ(gate.RuleOf(6700, "s").primary + gate.RuleOf(6700, "s").secondary, "v2v1");  // anew
+  gate.OnLeaseRenewal(4100, {1, state.version()});
+  EXPECT_EQ(gate.RuleOf(7000, "s").primary, "v1");  // out of touch again
+  EXPECT_FALSE(gate.MakeReport(7000, "s").confirmed);
   state.Apply(Entered(1, Stage::kReverting));
   gate.Adopt(7100, state);
-  EXPECT_EQ(gate.RuleOf(7100, "s").main, "v1");
-  EXPECT_EQ(gate.RuleOf(7100, "s").barred, "v2");
+  EXPECT_EQ(gate.RuleOf(7100, "s").primary, "v1");
+  EXPECT_EQ(gate.RuleOf(7100, "s").excluded, "v2");
   state.Apply(Entered(1, Stage::kReverted));
   gate.Adopt(7200, state);
-  EXPECT_EQ(gate.RuleOf(7200, "s").barred, "v2");
+  EXPECT_EQ(gate.RuleOf(7200, "s").excluded, "v2");
   EXPECT_FALSE(gate.active());
 }
 
-TEST(Gate, KeepsToItsShareAndBrakesAtPlainBadness) {
+TEST(CanaryPolicy, KeepsToItsShareAndBrakesAtPlainBadness) {
   Rollouts state;
   state.Apply(Found("s", "v1"));
   state.Apply(Ordered("v2", 14000));
-  Gate gate({0.1, 1000000, 1000});
+  CanaryPolicy gate({0.1, 1000000, 1000});
   gate.Adopt(0, state);
-  EXPECT_FALSE(gate.TakesSide(0, "s", 1));  // a started proxy has nothing saved
+  EXPECT_FALSE(gate.TakesSecondary(0, "s", 1));  // a started proxy has nothing saved
   // Whatever is drawn, and were all requests drawn: the share holds.
   uint32_t sent = 0;
   for (int i = 0; i < 5000; ++i) {
-    gate.Earn("s");
+    gate.CountRequest("s");
     for (uint64_t key = 0; key < 40; ++key) {
-      if (!gate.TakesSide(1, "s", key)) continue;
-      gate.Sent("s", "v2");
+      if (!gate.TakesSecondary(1, "s", key)) continue;
+      gate.CountAttempt("s", "v2");
       ++sent;
       break;
     }
     EXPECT_LE(sent, 0.1 * (i + 1));
   }
   EXPECT_GT(sent, 300u);
-  EXPECT_EQ(gate.Tell(2, "s").exposed, sent);
+  EXPECT_EQ(gate.MakeReport(2, "s").exposed, sent);
   auto drawn = [&] {
     int n = 0;
-    for (uint64_t key = 0; key < 4000; ++key) n += gate.TakesSide(3, "s", key);
+    for (uint64_t key = 0; key < 4000; ++key) n += gate.TakesSecondary(3, "s", key);
     return n;
   };
-  for (int i = 0; i < 20; ++i) gate.Earn("s");
+  for (int i = 0; i < 20; ++i) gate.CountRequest("s");
   int before = drawn();
   for (int i = 0; i < 3; ++i) {
-    gate.Count(3, {"s", "v2", "server", "r", Gate::Ending::kFailed, true, false});
+    gate.CountOutcome(3, {"s", "v2", "server", "r", CanaryPolicy::Outcome::kFailed, true, false});
   }
   EXPECT_LT(drawn() * 3, before);
 }
@@ -241,7 +241,7 @@
       base::Random random(seed * 7 + 1);
       Comparison comparison;
       auto count = [&](const Rates& rates, int answers, int at_fault) {
-        Counts counts;
+        VersionCounters counts;
         for (int i = 0; i < answers; ++i) {
           uint64_t server = 1ull << random.Below(6);
           bool faulty = server < 1ull << at_fault;
@@ -267,104 +267,104 @@
       EXPECT_LE(convicted, 1) << c.name;
     }
   }
-  Comparison few;
-  EXPECT_EQ(few.Missing(0.06), "too few answers");
-  Counts some, old_version;
+  Comparison limited;
+  EXPECT_EQ(limited.Missing(0.06), "too few answers");
+  VersionCounters some, old_version;
   some.answers = some.timed = 15;
   old_version.answers = old_version.timed = 1000;
-  few.Take({1, old_version, some});
-  EXPECT_EQ(few.Missing(0.06), "");
-  few.Take({2, old_version, {}});  // a route of which the new version has shown nothing
-  EXPECT_NE(few.Missing(0.06), "");
+  limited.Take({1, old_version, some});
+  EXPECT_EQ(limited.Missing(0.06), "");
+  limited.Take({2, old_version, {}});  // a route of which the new version has shown nothing
+  EXPECT_NE(limited.Missing(0.06), "");
 }
 
-TEST(Watcher, CountsEachAnswerOnceAndAbstainsInDoubt) {
+TEST(Observer, CountsEachAnswerOnceAndAbstainsInDoubt) {
   Rollouts state;
   state.Apply(Found("s", "v1"));
   state.Apply(Ordered("v2", 14000, {7}));
-  Watcher::Options options;
+  Observer::Options options;
   options.self = 7;
-  Watcher watcher(options);
-  watcher.Adopt(state);
-  ASSERT_TRUE(watcher.active());
-  Tally tally;
-  tally.node = 1;
-  tally.boot_id = 5;
-  tally.number = 1;
-  tally.version = state.version();
-  tally.age_ms = 100;
-  tally.requests = 1000;
-  tally.exposed = 50;
+  Observer observer(options);
+  observer.Adopt(state);
+  ASSERT_TRUE(observer.active());
+  ProxyReport report;
+  report.node = 1;
+  report.boot_id = 5;
+  report.number = 1;
+  report.version = state.version();
+  report.age_ms = 100;
+  report.requests = 1000;
+  report.exposed = 50;
   Row row;
   row.route = 3;
   row.new_version.answers = row.new_version.timed = 50;
   row.old_version.answers = row.old_version.timed = 900;
-  tally.rows = {row};
-  auto told = [&](Millis now, std::vector<Watcher::InSight> proxies) {
-    auto votes = watcher.Tick(now, proxies);
+  report.rows = {row};
+  auto told = [&](Millis now, std::vector<Observer::KnownProxy> proxies) {
+    auto votes = observer.Tick(now, proxies);
     return votes.empty() ? Vote() : votes[0];
   };
-  EXPECT_TRUE(watcher.OnTally(5000, tally));
-  EXPECT_TRUE(watcher.OnTally(5010, tally));  // twice
-  Tally older = tally;
+  EXPECT_TRUE(observer.OnProxyReport(5000, report));
+  EXPECT_TRUE(observer.OnProxyReport(5010, report));  // twice
+  ProxyReport older = report;
   older.age_ms = 50;
   older.rows[0].new_version.answers = 20;
-  EXPECT_TRUE(watcher.OnTally(5020, older));  // and out of order
-  EXPECT_TRUE(watcher.OnTally(5025, tally));
-  Tally other = tally;
+  EXPECT_TRUE(observer.OnProxyReport(5020, older));  // and out of order
+  EXPECT_TRUE(observer.OnProxyReport(5025, report));
+  ProxyReport other = report;
   other.number = 9;
-  EXPECT_FALSE(watcher.OnTally(5030, other));
+  EXPECT_FALSE(observer.OnProxyReport(5030, other));
   Vote vote = told(5100, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kGood) << vote.why;
   EXPECT_EQ(vote.exposed, 50u);
   EXPECT_EQ(vote.rows[0].new_version.answers, 50u);
   // Another life of the same proxy counts from nothing again.
-  tally.boot_id = 6;
-  tally.age_ms = 10;
-  EXPECT_TRUE(watcher.OnTally(5200, tally));
+  report.boot_id = 6;
+  report.age_ms = 10;
+  EXPECT_TRUE(observer.OnProxyReport(5200, report));
   vote = told(5600, {{1, true}});
   EXPECT_EQ(vote.exposed, 100u);
   // Too few are heard: it abstains; a slept watcher does, whatever it has.
   vote = told(5700, {{1, true}, {2, true}, {3, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
-  tally.age_ms = 3000;
-  tally.rows[0].new_version.answers = 150;
-  tally.rows[0].new_version.failed = 100;
-  EXPECT_TRUE(watcher.OnTally(8700, tally));
+  report.age_ms = 3000;
+  report.rows[0].new_version.answers = 150;
+  report.rows[0].new_version.failed = 100;
+  EXPECT_TRUE(observer.OnProxyReport(8700, report));
   vote = told(8800, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
   EXPECT_EQ(vote.why, "has only just woken");
   told(9300, {{1, true}});
-  EXPECT_TRUE(watcher.OnTally(9700, tally));
+  EXPECT_TRUE(observer.OnProxyReport(9700, report));
   vote = told(9900, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kBad);
   // Whoever has not confirmed the move is named, apart from those that can't be heard.
   state.Apply(Entered(1, Stage::kPromoting));
-  watcher.Adopt(state);
-  tally.version = state.version();
-  tally.age_ms = 5000;
-  tally.moved = true;
-  tally.old_busy = 1;
-  watcher.OnTally(10000, tally);
+  observer.Adopt(state);
+  report.version = state.version();
+  report.age_ms = 5000;
+  report.confirmed = true;
+  report.old_in_flight = 1;
+  observer.OnProxyReport(10000, report);
   vote = told(10000, {{1, true}, {2, false}});
-  EXPECT_EQ(vote.unmoved, 1u);
-  EXPECT_EQ(vote.unheard, 1u);
-  tally.age_ms = 5100;
-  tally.old_busy = 0;
-  watcher.OnTally(10100, tally);
+  EXPECT_EQ(vote.unconfirmed, 1u);
+  EXPECT_EQ(vote.not_reporting, 1u);
+  report.age_ms = 5100;
+  report.old_in_flight = 0;
+  observer.OnProxyReport(10100, report);
   vote = told(10100, {{1, true}, {2, false}});
-  EXPECT_EQ(vote.unmoved, 0u);
+  EXPECT_EQ(vote.unconfirmed, 0u);
   EXPECT_EQ(vote.missing, (std::vector<uint64_t>{2}));
 }
 
-TEST(Conductor, FollowsTheVote) {
+TEST(RolloutCoordinator, FollowsTheVote) {
   using O = Opinion;
   struct Case {
     const char* name;
     Stage stage;
     Millis age;
     std::vector<O> votes;  // of three watchers; fewer: the others are not heard
-    uint32_t unmoved, unheard;
+    uint32_t unconfirmed, not_reporting;
     Stage next;
   } cases[] = {
       {"nothing yet",
@@ -462,90 +462,90 @@
   };
   for (const Case& c : cases) {
     Rollouts state;
-    Conductor conductor{Conductor::Options()};
+    RolloutCoordinator coordinator{RolloutCoordinator::Options()};
     state.Apply(Found("s", "v1"));
     state.Apply(Ordered("v2", 14000, {1, 2, 3}));
-    conductor.Adopt(1000, state);
+    coordinator.Adopt(1000, state);
     if (c.stage != Stage::kCanary) {
       state.Apply(Entered(1, c.stage));
-      conductor.Adopt(1000 + (c.stage == Stage::kReverting ? 3000 : 10000), state);
+      coordinator.Adopt(1000 + (c.stage == Stage::kReverting ? 3000 : 10000), state);
     }
     for (size_t i = 0; i < c.votes.size(); ++i) {
       Vote vote;
       vote.number = 1;
-      vote.watcher = i + 1;
+      vote.observer = i + 1;
       vote.version = state.version();
       vote.opinion = c.votes[i];
-      vote.in_sight = vote.heard = 4;
-      vote.unmoved = c.unmoved;
-      vote.unheard = c.unheard;
-      if (c.unheard > 2) vote.heard = 1;
-      conductor.OnVote(1000 + c.age, vote);
+      vote.known_proxies = vote.heard = 4;
+      vote.unconfirmed = c.unconfirmed;
+      vote.not_reporting = c.not_reporting;
+      if (c.not_reporting > 2) vote.heard = 1;
+      coordinator.OnVote(1000 + c.age, vote);
     }
     Vote stranger;
     stranger.number = 1;
-    stranger.watcher = 9;
+    stranger.observer = 9;
     stranger.opinion = O::kBad;
-    conductor.OnVote(1000 + c.age, stranger);  // named by nobody
-    auto steps = conductor.Review(1000 + c.age, state, {{1, "a"}, {2, "b"}, {3, "c"}});
+    coordinator.OnVote(1000 + c.age, stranger);  // named by nobody
+    auto steps = coordinator.Review(1000 + c.age, state, {{1, "a"}, {2, "b"}, {3, "c"}});
     Stage next = steps.empty() ? c.stage : steps[0].stage;
     EXPECT_EQ(StageName(next), std::string(StageName(c.next))) << c.name;
     // What was just proposed is not proposed again at once.
-    EXPECT_TRUE(conductor.Review(1010 + c.age, state, {}).empty()) << c.name;
+    EXPECT_TRUE(coordinator.Review(1010 + c.age, state, {}).empty()) << c.name;
   }
 }
 
-TEST(Conductor, NamesWatchersInDifferentZonesAndReplacesTheLost) {
+TEST(RolloutCoordinator, NamesWatchersInDifferentZonesAndReplacesTheLost) {
   std::vector<Candidate> all = {{1, "a"}, {2, "a"}, {3, "b"}, {4, "b"}, {5, "c"}, {6, "c"}};
-  auto named = NameWatchers("s", all);
+  auto named = ChooseObservers("s", all);
   ASSERT_EQ(named.size(), 3u);
-  EXPECT_EQ(named, NameWatchers("s", {all.rbegin(), all.rend()}));
+  EXPECT_EQ(named, ChooseObservers("s", {all.rbegin(), all.rend()}));
   std::set<uint64_t> zones;
   for (uint64_t id : named) zones.insert((id + 1) / 2);
   EXPECT_EQ(zones.size(), 3u);
-  EXPECT_EQ(NameWatchers("s", {{1, "a"}, {2, "a"}}).size(), 2u);
+  EXPECT_EQ(ChooseObservers("s", {{1, "a"}, {2, "a"}}).size(), 2u);
   Rollouts state;
   state.Apply(Ordered("v2", 14000, named));
-  Conductor conductor{Conductor::Options()};
-  conductor.Adopt(0, state);
-  EXPECT_TRUE(conductor.Review(100, state, all).empty());
+  RolloutCoordinator coordinator{RolloutCoordinator::Options()};
+  coordinator.Adopt(0, state);
+  EXPECT_TRUE(coordinator.Review(100, state, all).empty());
   std::vector<Candidate> left;
   for (const Candidate& c : all) {
     if (c.id != named[0]) left.push_back(c);
   }
-  auto steps = conductor.Review(200, state, left);
+  auto steps = coordinator.Review(200, state, left);
   ASSERT_EQ(steps.size(), 1u);
-  EXPECT_EQ(steps[0].kind, Step::Kind::kWatchers);
+  EXPECT_EQ(steps[0].kind, Step::Kind::kObservers);
   EXPECT_TRUE(state.Apply(steps[0]));
-  EXPECT_EQ(state.Of("s")->watchers.size(), 3u);
-  EXPECT_EQ(std::count(state.Of("s")->watchers.begin(), state.Of("s")->watchers.end(), named[0]),
+  EXPECT_EQ(state.Of("s")->observers.size(), 3u);
+  EXPECT_EQ(std::count(state.Of("s")->observers.begin(), state.Of("s")->observers.end(), named[0]),
             0);
-  conductor.Adopt(250, state);
-  EXPECT_TRUE(conductor.Review(300, state, left).empty());
+  coordinator.Adopt(250, state);
+  EXPECT_TRUE(coordinator.Review(300, state, left).empty());
   // The age of an order is known by whoever has known it longest, also to a leader just started.
-  Conductor started{Conductor::Options()};
+  RolloutCoordinator started{RolloutCoordinator::Options()};
   started.Adopt(9000, state);
   Vote vote;
   vote.number = 1;
-  vote.watcher = state.Of("s")->watchers[0];
+  vote.observer = state.Of("s")->observers[0];
   vote.age_ms = 8800;
   started.OnVote(9100, vote);
   EXPECT_EQ(started.Age(9100, *state.Of("s")), 8800);
 }
 
-TEST(Conductor, TheWordOfAWatchersFormerLifeCountsNoMore) {
+TEST(RolloutCoordinator, TheWordOfAWatchersFormerLifeCountsNoMore) {
   Rollouts state;
   state.Apply(Ordered("v2", 14000, {1, 2, 3}));
-  Conductor conductor{Conductor::Options()};
-  conductor.Adopt(0, state);
+  RolloutCoordinator coordinator{RolloutCoordinator::Options()};
+  coordinator.Adopt(0, state);
   auto tell = [&](uint64_t boot_id, Opinion opinion) {
     Vote vote;
     vote.number = 1;
-    vote.watcher = 1;
+    vote.observer = 1;
     vote.boot_id = boot_id;
     vote.opinion = opinion;
-    conductor.OnVote(100, vote);
-    return conductor.VotesOn(1).at(1).vote.opinion;
+    coordinator.OnVote(100, vote);
+    return coordinator.VotesOn(1).at(1).vote.opinion;
   };
   EXPECT_EQ(tell(7, Opinion::kBad), Opinion::kBad);
   EXPECT_EQ(tell(8, Opinion::kAbstains), Opinion::kAbstains);
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -15,9 +15,9 @@
 #include "dissemination/confirm.h"
 #include "dissemination/disseminator.h"
 #include "membership/membership.h"
-#include "rollout/conductor.h"
-#include "rollout/gate.h"
-#include "rollout/watcher.h"
+#include "rollout/canary_policy.h"
+#include "rollout/coordinator.h"
+#include "rollout/observer.h"
 #include "singleton/assigner.h"
 
 namespace elderkeel::simulation {
@@ -90,9 +90,9 @@
     int64_t adopted_revision = 0;
     uint64_t adopted_epoch = 0, adopted_sequence = 0;
     size_t bytes = 0;  // sent, of all lives
-    std::unique_ptr<rollout::Gate> gate;
-    std::unique_ptr<rollout::Conductor> conductor;
-    std::unique_ptr<rollout::Watcher> watcher;
+    std::unique_ptr<rollout::CanaryPolicy> gate;
+    std::unique_ptr<rollout::RolloutCoordinator> coordinator;
+    std::unique_ptr<rollout::Observer> observer;
     struct Flight {
       Millis ends;
       bool new_version;
@@ -104,7 +104,7 @@
     size_t asked = 0;
     std::map<uint64_t, std::pair<Address, uint64_t>> confirms;  // a controller's, by read token
     std::map<uint64_t, Millis> vouchers;  // a leader's reads by heartbeat, and when each began
-    Millis tally_at = 0;
+    Millis report_at = 0;
     int in_flight_old() const {
       return static_cast<int>(std::count_if(flights.begin(), flights.end(),
                                             [](const Flight& f) { return !f.new_version; }));
@@ -192,12 +192,13 @@
     n.confirmed_at = -1;
     n.confirms.clear();
     n.vouchers.clear();
-    n.gate = std::make_unique<rollout::Gate>(rollout::Gate::Options{});
-    n.conductor = std::make_unique<rollout::Conductor>(rollout::Conductor::Options());
-    rollout::Watcher::Options watch;
+    n.gate = std::make_unique<rollout::CanaryPolicy>(rollout::CanaryPolicy::Options{});
+    n.coordinator =
+        std::make_unique<rollout::RolloutCoordinator>(rollout::RolloutCoordinator::Options());
+    rollout::Observer::Options watch;
     watch.self = member.self.id;
     watch.boot_id = n.boot_id;
-    n.watcher = std::make_unique<rollout::Watcher>(watch);
+    n.observer = std::make_unique<rollout::Observer>(watch);
     if (!n.controller) return;
     n.state = controller::ControlState();
     n.assignment = std::make_unique<singleton::Assigner>(1000);
@@ -363,7 +364,7 @@
       rollout::Step step;
       step.kind = rollout::Step::Kind::kOrder;
       step.order = {"s", "v2", over_ms};
-      step.watchers = rollout::NameWatchers("s", Watchers(n));
+      step.observers = rollout::ChooseObservers("s", ObserverCandidates(n));
       traffic.over_ms = over_ms;
       return Propose(n, step);
     }
@@ -449,7 +450,7 @@
       membership::PartDigests, membership::MembershipSummary, dissemination::Digest,
       dissemination::PullRequest, dissemination::ConfigurationUpdate, dissemination::EndpointUpdate,
       dissemination::ZoneDrainUpdate, singleton::Resignation, dissemination::RolloutUpdate,
-      rollout::Tally, rollout::Touch, rollout::Vote, dissemination::Confirm,
+      rollout::ProxyReport, rollout::LeaseRenewal, rollout::Vote, dissemination::Confirm,
       dissemination::ConfirmReply, dissemination::SyncRequest, dissemination::SyncReply>;
   struct Packet {
     Millis at;
@@ -566,7 +567,7 @@
     return n.raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kRollout, step))
         .has_value();
   }
-  std::vector<rollout::Candidate> Watchers(const Node& n) const {
+  std::vector<rollout::Candidate> ObserverCandidates(const Node& n) const {
     std::vector<rollout::Candidate> found;
     for (const auto& [id, node] : n.members->nodes()) {
       if (node.durable && node.state == membership::State::kAlive) found.push_back({id, node.zone});
@@ -633,43 +634,45 @@
       bool failed = flight.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
                                        : random_.Unit() < options_.old_fails;
       if (flight.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
-      n.gate->Count(now, {"s", flight.new_version ? "v2" : "v1", std::to_string(flight.server), "r",
-                          failed ? rollout::Gate::Ending::kFailed : rollout::Gate::Ending::kWhole,
-                          true, random_.Unit() < 0.05});
+      n.gate->CountOutcome(
+          now, {"s", flight.new_version ? "v2" : "v1", std::to_string(flight.server), "r",
+                failed ? rollout::CanaryPolicy::Outcome::kFailed
+                       : rollout::CanaryPolicy::Outcome::kComplete,
+                true, random_.Unit() < 0.05});
     }
     bool ordered = traffic.ordered_at >= 0;
     bool in_term = ordered && now < traffic.ordered_at + traffic.over_ms;
     bool listed = ordered && now > traffic.ordered_at + 1200;  // the new servers
     for (double due = options_.requests; random_.Unit() < due; due -= 1) {
-      n.gate->Earn("s");
+      n.gate->CountRequest("s");
       traffic.requests += in_term;
       rollout::Rule rule = n.gate->RuleOf(now, "s");
-      bool side = n.gate->TakesSide(now, "s", random_.Next());
-      bool fresh = listed && (side ? rule.side : rule.main) == "v2";
+      bool secondary = n.gate->TakesSecondary(now, "s", random_.Next());
+      bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
       n.flights.push_back(
           {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
       if (!fresh) continue;
-      n.gate->Sent("s", "v2");
+      n.gate->CountAttempt("s", "v2");
       traffic.exposed += in_term;
       traffic.last_sent_at = now;
     }
-    if (!n.gate->active() || now < n.tally_at) return;
-    n.tally_at = now + (n.gate->moving() ? 100 : 250);
-    rollout::Tally tally = n.gate->Tell(now, "s");
-    tally.node = n.members->self().id;
-    tally.boot_id = n.boot_id;
-    tally.asks = true;
-    tally.old_busy = static_cast<uint32_t>(n.in_flight_old());
-    tally.new_busy = static_cast<uint32_t>(n.flights.size()) - tally.old_busy;
-    for (uint64_t watcher : n.gate->RolloutOf("s")->watchers) {
-      auto node = n.members->nodes().find(watcher);
-      if (node != n.members->nodes().end()) Send(i, node->second.address(), tally);
+    if (!n.gate->active() || now < n.report_at) return;
+    n.report_at = now + (n.gate->IsShifting() ? 100 : 250);
+    rollout::ProxyReport report = n.gate->MakeReport(now, "s");
+    report.node = n.members->self().id;
+    report.boot_id = n.boot_id;
+    report.wants_renewal = true;
+    report.old_in_flight = static_cast<uint32_t>(n.in_flight_old());
+    report.new_in_flight = static_cast<uint32_t>(n.flights.size()) - report.old_in_flight;
+    for (uint64_t observer : n.gate->RolloutOf("s")->observers) {
+      auto node = n.members->nodes().find(observer);
+      if (node != n.members->nodes().end()) Send(i, node->second.address(), report);
     }
   }
 
   void FollowRollouts(Node& n) {
-    n.conductor->Adopt(now, n.state.rollouts);
-    n.watcher->Adopt(n.state.rollouts);
+    n.coordinator->Adopt(now, n.state.rollouts);
+    n.observer->Adopt(n.state.rollouts);
     n.disseminator->Commit(n.state.rollouts);
     const rollout::Rollout* rollout = n.state.rollouts.Of("s");
     if (!rollout || !n.raft->HasCommittedInTerm()) return;
@@ -684,9 +687,9 @@
     if (rollout->stage != rollout::Stage::kCompleted) return;
     for (auto& other : nodes_) {
       if (other->controller || !other->up || other->frozen || !cuts_.empty()) continue;
-      if (!other->gate->RolloutOf("s") && other->gate->RuleOf(now, "s").main != "v2") continue;
+      if (!other->gate->RolloutOf("s") && other->gate->RuleOf(now, "s").primary != "v2") continue;
       if (other->in_flight_old() > 0) Fail(other->address.ip + " has work at stopped servers");
-      if (other->gate->RuleOf(now, "s").main != "v2") {
+      if (other->gate->RuleOf(now, "s").primary != "v2") {
         Fail(other->address.ip + " sends to stopped servers");
       }
     }
@@ -695,7 +698,7 @@
   void TickRollouts(size_t i) {
     Node& n = *nodes_[i];
     if (n.raft->HasCommittedInTerm()) {
-      for (const auto& step : n.conductor->Review(now, n.state.rollouts, Watchers(n))) {
+      for (const auto& step : n.coordinator->Review(now, n.state.rollouts, ObserverCandidates(n))) {
         Propose(n, step);
       }
       if (options_.requests > 0 && n.state.rollouts.InForce("s").empty()) {
@@ -704,16 +707,16 @@
         Propose(n, found);
       }
     }
-    if (!n.watcher->active()) return;
-    std::vector<rollout::Watcher::InSight> proxies;
+    if (!n.observer->active()) return;
+    std::vector<rollout::Observer::KnownProxy> proxies;
     for (const auto& [id, node] : n.members->nodes()) {
       if (node.program == membership::Program::kProxy && node.state != membership::State::kLeft) {
         proxies.push_back({id, node.reachable()});
       }
     }
-    for (const auto& vote : n.watcher->Tick(now, proxies)) {
+    for (const auto& vote : n.observer->Tick(now, proxies)) {
       if (n.raft->is_leader()) {
-        n.conductor->OnVote(now, vote);
+        n.coordinator->OnVote(now, vote);
       } else if (auto leader = n.raft->leader()) {
         Send(i, leader->address(), vote);
       }
@@ -777,8 +780,8 @@
       n.disseminator->OnEndpointUpdate(now, from, *m);
     if (auto* m = std::get_if<dissemination::RolloutUpdate>(&body))
       n.disseminator->OnRolloutUpdate(now, from, *m);
-    if (auto* m = std::get_if<rollout::Touch>(&body)) {
-      n.gate->Heard(now, *m);
+    if (auto* m = std::get_if<rollout::LeaseRenewal>(&body)) {
+      n.gate->OnLeaseRenewal(now, *m);
       n.disseminator->OnRolloutVersion(now, from, m->version);
     }
     if (auto* m = std::get_if<dissemination::ConfirmReply>(&body); m && !n.controller) {
@@ -788,14 +791,14 @@
     }
     if (!n.controller) return;
     if (auto* m = std::get_if<dissemination::Confirm>(&body)) OnConfirm(i, from, *m);
-    if (auto* m = std::get_if<rollout::Tally>(&body)) {
+    if (auto* m = std::get_if<rollout::ProxyReport>(&body)) {
       bool heard = n.raft->HasCommittedInTerm() ||
                    (n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200);
-      if (n.watcher->OnTally(now, *m) && m->asks && heard) {
-        Send(i, from, rollout::Touch{m->number, n.state.rollouts.version()});
+      if (n.observer->OnProxyReport(now, *m) && m->wants_renewal && heard) {
+        Send(i, from, rollout::LeaseRenewal{m->number, n.state.rollouts.version()});
       }
     }
-    if (auto* m = std::get_if<rollout::Vote>(&body)) n.conductor->OnVote(now, *m);
+    if (auto* m = std::get_if<rollout::Vote>(&body)) n.coordinator->OnVote(now, *m);
     if (auto* m = std::get_if<consensus::Message>(&body)) n.raft->Receive(now, *m, from);
     if (auto* m = std::get_if<consensus::Member>(&body)) {
       if (n.raft->is_leader()) {
