--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -282,13 +282,13 @@
   Settle(&world, 3000, "start");
   const size_t accused = 4;
   uint64_t id = base::Hash(world.node(accused).address.ToString());
-  size_t watcher = 0;
+  size_t observer = 0;
   for (size_t i = 0; i < world.size(); ++i) {
     if (world.node(i).members->self().id == world.node(accused).members->MonitorsOf(id)[0]->id) {
-      watcher = i;
+      observer = i;
     }
   }
-  world.Cut(accused, watcher, true);
+  world.Cut(accused, observer, true);
   bool suspected = false;
   for (int k = 0; k < 60; ++k) {
     world.Run(50);
@@ -299,7 +299,7 @@
     }
   }
   EXPECT_TRUE(suspected);  // the watcher did accuse
-  world.Cut(accused, watcher, false);
+  world.Cut(accused, observer, false);
   Settle(&world, 4000, "after the cut");
 }
 
@@ -485,9 +485,10 @@
     world.Change();
     Settle(&world, 8000, "start");
     for (int round = 0; round < 6 && world.fault.empty(); ++round) {
-      uint64_t side = world.random().Below(64);
+      uint64_t secondary = world.random().Below(64);
       for (size_t a = 0; a < 6; ++a) {
-        for (size_t b = a + 1; b < 6; ++b) world.Cut(a, b, (side >> a & 1) != (side >> b & 1));
+        for (size_t b = a + 1; b < 6; ++b)
+          world.Cut(a, b, (secondary >> a & 1) != (secondary >> b & 1));
       }
       if (round % 2) world.Wipe(world.random().Below(6));
       for (int k = 0; k < 40; ++k) {
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -392,11 +392,12 @@
 }
 
 // Routes /get/ (idempotent) and /post/ (effectful) of h.example to service `s`.
-inline std::string ConfigurationText(int64_t timeout_ms, int64_t aim_ms, int64_t idle_ms) {
+inline std::string ConfigurationText(int64_t timeout_ms, int64_t target_latency_ms,
+                                     int64_t idle_ms) {
   auto route = [&](const std::string& label, const std::string& variant) {
     return R"({"label":")" + label + R"(","host":"h.example","path-prefix":"/)" + label +
            R"(/","variant":")" + variant + R"(","timeout-ms":)" + std::to_string(timeout_ms) +
-           R"(,"target-latency-ms":)" + std::to_string(aim_ms) +
+           R"(,"target-latency-ms":)" + std::to_string(target_latency_ms) +
            R"(,"max-attempts":2,"target":"s"})";
   };
   return R"({"revision":1,"route-list":[)" + route("get", "idempotent") + "," +
--- a/tests/telemetry_test.cc
+++ b/tests/telemetry_test.cc
@@ -231,7 +231,7 @@
   record.SetAttempt("a1");
   for (int i = 0; i < 5000; ++i) recorder.Request(record, true);
   recorder.Flush();
-  Recorder::Counts counts = recorder.counts();
+  Recorder::VersionCounters counts = recorder.counts();
   EXPECT_EQ(counts.exported, 0u);
   EXPECT_GE(counts.unsent + counts.lost, 5000u);
 }
@@ -246,7 +246,7 @@
                       text += lines;
                       return true;
                     }));
-  recorder.names().Set(NameBook::kService, 3, "florist orders");
+  recorder.names().Set(NameTable::kService, 3, "florist orders");
   for (int i = 0; i < 50; ++i) {
     RequestRecord record;
     record.SetAttempt("attempt-" + std::to_string(i));
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -109,7 +109,7 @@
   auto adopts = std::make_unique<dissemination::Disseminator>(
       dissemination::Disseminator::Options(), &proxies, 0);
   base::Names names, regions;
-  std::shared_ptr<const configuration::Table> table;
+  std::shared_ptr<const configuration::RoutingTable> table;
   int64_t revision = 0;
   // One change through all that happens to it; `kind` leads the names of its steps.
   auto change = [&](const std::string& kind, bool patch) {
@@ -135,8 +135,9 @@
     });
     Expect(adopts->revision() == revision, "a change was not adopted");
     times.Add(kind + ", proxy: Table", [&] {
-      table = patch ? configuration::Table::Patch(*table, c.body, &names, &regions)
-                    : configuration::Table::Build(adopts->configuration_text(), &names, &regions);
+      table = patch ? configuration::RoutingTable::Patch(*table, c.body, &names, &regions)
+                    : configuration::RoutingTable::Build(adopts->configuration_text(), &names,
+                                                         &regions);
     });
     Expect(table && table->revision() == revision, "a table is not of the change");
   };
--- a/tools/scale_run.cc
+++ b/tools/scale_run.cc
@@ -24,7 +24,7 @@
 #include "base/random.h"
 #include "configuration/document.h"
 #include "dissemination/peers.h"
-#include "rollout/gate.h"
+#include "rollout/canary_policy.h"
 #include "wire/http_client.h"
 #include "wire/http_server.h"
 
@@ -100,26 +100,26 @@
       ++shared->endpoint_updates;
     };
     hooks.rollouts_adopted = [this] {
-      gate_.Adopt(base::SteadyMillis(), peers_->disseminator().rollouts());
-      if (!gate_.active()) return;
+      canary_policy_.Adopt(base::SteadyMillis(), peers_->disseminator().rollouts());
+      if (!canary_policy_.active()) return;
       shared->rollout_at = base::SteadyMillis();
       ++shared->rollouts;
     };
     hooks.load_report = [this] {
-      demand::Report report;
+      load::LoadReport report;
       for (int z = 0; z < kControllers; ++z) {
-        demand::ZoneDemand zone;
-        zone.zone = demand::Key("z" + std::to_string(z + 1));
+        load::ZoneLoad zone;
+        zone.zone = load::Key("z" + std::to_string(z + 1));
         for (uint32_t s = 0; s < 8; ++s) zone.means.push_back({s, 1.0f});
         report.push_back(zone);
       }
       return report;
     };
     hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
-      if (kind != wire::Kind::kTouch) return;
-      if (auto touch = wire::Decode<rollout::Touch>(payload)) {
-        gate_.Heard(base::SteadyMillis(), *touch);
-        peers_->NoteRolloutVersion(from, touch->version);
+      if (kind != wire::Kind::kLeaseRenewal) return;
+      if (auto renewal = wire::Decode<rollout::LeaseRenewal>(payload)) {
+        canary_policy_.OnLeaseRenewal(base::SteadyMillis(), *renewal);
+        peers_->NoteRolloutVersion(from, renewal->version);
       }
     };
     peers_ =
@@ -138,40 +138,40 @@
         peers_->AskDigest(controllers[base::Hash(settings_.ip) % controllers.size()]);
       }
     }
-    if (!gate_.active() || now < tally_at_) return;
+    if (!canary_policy_.active() || now < report_at_) return;
     size_t proxies = peers_->members().CountNotLeft(membership::Program::kProxy);
-    tally_at_ = now + std::max<base::Millis>(250, static_cast<base::Millis>(proxies));
-    for (const std::string& service : gate_.ActiveServices()) {
+    report_at_ = now + std::max<base::Millis>(250, static_cast<base::Millis>(proxies));
+    for (const std::string& service : canary_policy_.ActiveServices()) {
       for (int i = 0; i < 20; ++i) {
-        gate_.Earn(service);
+        canary_policy_.CountRequest(service);
         std::string route = "r-" + std::to_string(i % 3);
-        gate_.Count(now, {service, i ? "v1" : "v2", std::to_string(i), route,
-                          rollout::Gate::Ending::kWhole, true, false});
+        canary_policy_.CountOutcome(now, {service, i ? "v1" : "v2", std::to_string(i), route,
+                                          rollout::CanaryPolicy::Outcome::kComplete, true, false});
       }
-      rollout::Tally tally = gate_.Tell(now, service);
-      tally.node = peers_->members().self().id;
-      tally.boot_id = 1;
-      tally.asks = now % 1000 < 500;
-      std::string bytes = wire::Encode(tally);
-      for (uint64_t watcher : gate_.RolloutOf(service)->watchers) {
-        auto at = peers_->members().nodes().find(watcher);
+      rollout::ProxyReport report = canary_policy_.MakeReport(now, service);
+      report.node = peers_->members().self().id;
+      report.boot_id = 1;
+      report.wants_renewal = now % 1000 < 500;
+      std::string bytes = wire::Encode(report);
+      for (uint64_t observer : canary_policy_.RolloutOf(service)->observers) {
+        auto at = peers_->members().nodes().find(observer);
         if (at == peers_->members().nodes().end()) continue;
-        peers_->SendSmall(at->second.address(), wire::Kind::kTally, bytes);
+        peers_->SendSmall(at->second.address(), wire::Kind::kProxyReport, bytes);
       }
     }
   }
 
   base::Settings settings_;
-  rollout::Gate gate_{rollout::Gate::Options()};
+  rollout::CanaryPolicy canary_policy_{rollout::CanaryPolicy::Options()};
   std::unique_ptr<dissemination::Peers> peers_;
   base::Timer tick_;
-  base::Millis tally_at_ = 0, ask_at_ = 0;
+  base::Millis report_at_ = 0, ask_at_ = 0;
 };
 
 // The platform's list, as a stand-in: `servers` servers, 50 a page.
 class Platform {
  public:
-  explicit Platform(int servers) : servers_(servers) {
+  explicit Platform(int servers) : balancer_(servers) {
     thread_ = std::thread([this] { Run(); });
     while (!loop_) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
@@ -194,7 +194,7 @@
       int first = at == std::string::npos ? 0 : std::atoi(m.target.c_str() + at + 11);
       std::ostringstream body;
       body << R"({"servers":[)";
-      int last = std::min(servers_, first + 50);
+      int last = std::min(balancer_, first + 50);
       for (int i = first; i < last; ++i) {
         body << (i > first ? "," : "") << R"({"id":"i-)" << 100000 + i << R"(","target":"s)"
              << i % kServices << R"(","address":"127.0.0.1:9","zone":")" << Zone(i)
@@ -202,7 +202,7 @@
              << R"(,"warmup-left-ms":0})";
       }
       body << R"(],"next-token":)";
-      if (last < servers_) {
+      if (last < balancer_) {
         body << '"' << last << "\"}";
       } else {
         body << "null}";
@@ -217,7 +217,7 @@
     loop_ = &loop;
     loop.Run();
   }
-  int servers_;
+  int balancer_;
   std::thread thread_;
   std::atomic<base::Loop*> loop_{nullptr};
 };
