--- /dev/null
+++ b/src/configuration/validation.cc
@@ -0,0 +1,178 @@
+#include "configuration/validation.h"
+
+#include <rapidjson/schema.h>
+
+#include <set>
+#include <utility>
+
+#include "base/settings.h"
+#include "configuration/json.h"
+
+namespace elderkeel::configuration {
+namespace {
+
+using rapidjson::Document;
+using rapidjson::Value;
+
+const Document& Schema() {
+  static const Document schema = [] {
+    Document d;
+    d.Parse(R"({
+      "type": "object",
+      "required": ["revision", "route-list", "service-list"],
+      "properties": {
+        "revision": {"type": "integer", "minimum": 1},
+        "route-list": {"type": "array", "items": {
+          "type": "object",
+          "required": ["label", "host", "path-prefix", "variant", "timeout-ms"],
+          "properties": {
+            "label": {"type": "string", "minLength": 1},
+            "host": {"type": "string", "minLength": 1},
+            "path-prefix": {"type": "string", "pattern": "^/(.*/)?$"},
+            "variant": {"enum": ["idempotent", "effectful"]},
+            "timeout-ms": {"type": "number", "minimum": 1, "maximum": 86400000},
+            "target-latency-ms": {"type": "number", "minimum": 0},
+            "priority": {"type": "integer", "minimum": 0, "maximum": 1000},
+            "max-attempts": {"type": "integer", "minimum": 1, "maximum": 1000},
+            "target": {"type": "string", "minLength": 1},
+            "allowed-regions": {"type": "array", "items": {"type": "string", "minLength": 1}},
+            "weighted-targets": {"type": "array", "minItems": 1, "items": {
+              "type": "object",
+              "required": ["target", "weight"],
+              "properties": {
+                "target": {"type": "string", "minLength": 1},
+                "weight": {"type": "integer", "minimum": 0, "maximum": 1000000}
+              }}}
+          }}},
+        "service-list": {"type": "array", "items": {
+          "type": "object",
+          "required": ["label"],
+          "properties": {
+            "label": {"type": "string", "minLength": 1},
+            "health-path": {"type": "string", "pattern": "^/"},
+            "max-conns": {"type": "integer", "minimum": 1, "maximum": 1000000},
+            "warmup-s": {"type": "number", "minimum": 0},
+            "warmup-per-s": {"type": "number", "minimum": 0},
+            "protocol": {"enum": ["h1"]},
+            "tls": {"enum": [false]}
+          }}},
+        "limits": {"type": "object", "properties": {
+          "max-header-bytes": {"type": "integer", "minimum": 256, "maximum": 1048576},
+          "max-body-bytes": {"type": "integer", "minimum": 0, "maximum": 1073741824},
+          "header-timeout-ms": {"type": "integer", "minimum": 1, "maximum": 3600000},
+          "idle-timeout-ms": {"type": "integer", "minimum": 1, "maximum": 3600000}
+        }}
+      }})");
+    return d;
+  }();
+  return schema;
+}
+
+tl::unexpected<base::Error> Invalid(std::string reason) {
+  return base::Failure(base::ErrorCode::kInvalidArgument, "configuration.validate", "",
+                       std::move(reason));
+}
+
+base::Status CheckRoute(const Value& route, const std::set<std::string>& services) {
+  std::string label = route["label"].GetString();
+  RouteTargets targets = TargetsOf(route);
+  if (targets.services.empty()) {
+    return Invalid("route " + label + ": needs target or weighted-targets");
+  }
+  for (const std::string& service : targets.services) {
+    if (!services.count(service)) return Invalid("route " + label + ": unknown service " + service);
+  }
+  if (targets.weight == 0) return Invalid("route " + label + ": weights add up to 0");
+  return {};
+}
+
+// How the items of a document go together. REQUIRES: it matches the schema.
+base::Status CrossCheck(const Document& document) {
+  std::set<std::string> services;
+  for (const Value& service : document["service-list"].GetArray()) {
+    std::string label = service["label"].GetString();
+    if (!services.insert(label).second) {
+      return Invalid("service-list: label stands twice: " + label);
+    }
+  }
+  std::set<std::string> labels;
+  std::set<std::pair<std::string, std::string>> locations;  // host, prefix
+  for (const Value& route : document["route-list"].GetArray()) {
+    std::string label = route["label"].GetString();
+    if (!labels.insert(label).second) return Invalid("route-list: label stands twice: " + label);
+    std::string host = ToLower(route["host"].GetString());
+    if (!locations.insert({host, route["path-prefix"].GetString()}).second) {
+      return Invalid("route " + label + ": another route has the same host and prefix");
+    }
+    base::Status checked = CheckRoute(route, services);
+    if (!checked) return checked;
+  }
+  return {};
+}
+
+}  // namespace
+
+base::Status CheckReadable(std::string_view text) {
+  Document document;
+  return ParseObject(text, &document);
+}
+
+base::Result<int64_t> Validate(std::string_view text) {
+  Document document;
+  if (!ParseObject(text, &document)) return Invalid("can't be read whole");
+  std::string fault = base::SchemaFault(Schema(), document);
+  if (!fault.empty()) return Invalid(fault);
+  base::Status checked = CrossCheck(document);
+  if (!checked) return base::Failure(checked.error());
+  return IntegerOr(document, "revision", 0);
+}
+
+bool MatchesSchema(const Document& document) {
+  static const rapidjson::SchemaDocument compiled(Schema());
+  rapidjson::SchemaValidator validator(compiled);
+  return document.Accept(validator);
+}
+
+RouteTargets TargetsOf(const Value& route) {
+  RouteTargets targets;
+  bool single = route.HasMember("target");
+  bool weighted = route.HasMember("weighted-targets");
+  if (single == weighted) return targets;
+  if (single) return {{route["target"].GetString()}, 1};
+  for (const Value& target : route["weighted-targets"].GetArray()) {
+    targets.services.push_back(target["target"].GetString());
+    targets.weight += target["weight"].GetInt64();
+  }
+  return targets;
+}
+
+int64_t RevisionOf(std::string_view text) {
+  Document document;
+  if (!ParseObject(text, &document)) return 0;
+  return IntegerOr(document, "revision", 0);
+}
+
+std::vector<std::string> RouteLabels(std::string_view text) {
+  std::vector<std::string> labels;
+  Document document;
+  if (!ParseObject(text, &document)) return labels;
+  auto routes = document.FindMember("route-list");
+  if (routes == document.MemberEnd() || !routes->value.IsArray()) return labels;
+  for (const Value& route : routes->value.GetArray()) {
+    if (const char* label = LabelOf(route)) labels.push_back(label);
+  }
+  return labels;
+}
+
+bool HasService(std::string_view text, const std::string& label) {
+  Document document;
+  if (!ParseObject(text, &document)) return false;
+  auto services = document.FindMember("service-list");
+  if (services == document.MemberEnd() || !services->value.IsArray()) return false;
+  for (const Value& service : services->value.GetArray()) {
+    if (service.IsObject() && service.HasMember("label") && service["label"] == label) return true;
+  }
+  return false;
+}
+
+}  // namespace elderkeel::configuration
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -247,7 +247,7 @@
   void SendSnapshot(base::Millis now, PeerProgress* peer, bool heartbeat);
   void ChooseSnapshot(base::Millis now, PeerProgress* peer);
   void OnInstallSnapshot(base::Millis now, const Message& message, const base::Address& from);
-  enum class Part : uint8_t { kIgnored, kTaken, kMisplaced, kLast };
+  enum class Part : uint8_t { kIgnored, kMaxApplied, kMisplaced, kLast };
   Part TakePart(const Message& message);
   void OnInstallSnapshotReply(base::Millis now, const Message& message);
   void InstallSnapshot(Snapshot snapshot);
--- a/src/controller/control_state.h
+++ b/src/controller/control_state.h
@@ -3,7 +3,7 @@
 #include <cereal/types/string.hpp>
 #include <string>
 
-#include "configuration/register.h"
+#include "configuration/configuration_state.h"
 #include "rollout/rollouts.h"
 #include "singleton/assigner.h"
 #include "wire/frame.h"
@@ -24,7 +24,7 @@
 
 // All that the controllers agree on, folded from the log.
 struct ControlState {
-  configuration::Register configuration;
+  configuration::ConfigurationState configuration;
   singleton::Assignment catalog_reader;
   zone_drain::DrainedZones drained_zones;
   rollout::Rollouts rollouts;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -173,7 +173,7 @@
       loop_, server, [this](wire::HttpServer::Ticket ticket, wire::Message&& request) {
         OnRequest(ticket, std::move(request));
       });
-  control_->OnGone([this](wire::HttpServer::Ticket ticket) { operator_->Gone(ticket); });
+  control_->OnGone([this](wire::HttpServer::Ticket ticket) { operator_->OnCallerGone(ticket); });
   platform_ = std::make_unique<discovery::PlatformClient>(loop_, settings_.platform);
   replica_ = std::make_unique<consensus::Replica>(loop_, std::move(log));
   auto started = peers_->Start();
@@ -232,7 +232,7 @@
 
 void Controller::OnRequest(wire::HttpServer::Ticket ticket, wire::Message&& request) {
   base::Millis now = base::SteadyMillis();
-  if (configuration::OperatorApi::Owns(request.Path())) {
+  if (configuration::IsOperatorPath(request.Path())) {
     if (Idle() || !replica_->store_error().empty()) {
       SendOn(ticket, request.target);
       return;
@@ -335,7 +335,7 @@
 
 void Controller::ReadDone(uint64_t token, bool confirmed) {
   if (token >= configuration::OperatorApi::kFirstToken) {
-    operator_->ReadDone(base::SteadyMillis(), token, confirmed);
+    operator_->OnReadFinished(base::SteadyMillis(), token, confirmed);
     return;
   }
   if (token == vouch_token_) {
@@ -389,7 +389,7 @@
     case ControlState::Effect::kNone:
       break;
   }
-  operator_->Applied(base::SteadyMillis(), entry.index);
+  operator_->OnApplied(base::SteadyMillis(), entry.index);
 }
 
 void Controller::RoleChanged() {
@@ -400,7 +400,7 @@
                               {"leader", leader ? leader->address().ToString() : "none"}});
   Note("role." + std::string(consensus::RoleName(m.role())), std::to_string(m.term()));
   if (!is_leader()) assignment_.Clear();
-  operator_->RoleChanged(base::SteadyMillis());
+  operator_->OnRoleChanged();
 }
 
 void Controller::Tick() {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -26,7 +26,7 @@
 
 // The control plane's process: a member of the log, the operator's interface, and, when the log
 // says so, the one that watches the platform's list.
-class Controller : public configuration::Log {
+class Controller : public configuration::ReplicatedLog {
  public:
   Controller(base::Loop* loop, base::Settings settings, std::string settings_path);
 
@@ -43,14 +43,14 @@
 
   void End(base::Millis since);
 
-  // configuration::Log
+  // configuration::ReplicatedLog
   bool HasCommittedInTerm() const override {
     return replica_->running() && replica_->raft().HasCommittedInTerm();
   }
   bool is_leader() const override { return replica_->running() && replica_->raft().is_leader(); }
   uint64_t term() const override { return replica_->raft().term(); }
   std::optional<std::string> leader_control() const override;
-  bool Read(uint64_t token) override { return replica_->ConfirmRead(token); }
+  bool ConfirmRead(uint64_t token) override { return replica_->ConfirmRead(token); }
   std::optional<uint64_t> Propose(const configuration::Change& change) override {
     return replica_->Propose(MakeCommand(Command::Kind::kConfiguration, change));
   }
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -2,7 +2,8 @@
 #include <iostream>
 
 #include "base/program.h"
-#include "configuration/document.h"
+#include "configuration/routing_table.h"
+#include "configuration/validation.h"
 #include "controller/controller.h"
 #include "diagnosis/console.h"
 
@@ -13,10 +14,9 @@
 int CheckConfiguration(const std::string& path) {
   auto text = base::ReadFile(path);
   if (!text) return base::Complain(path, text.error());
-  configuration::Refusal refusal = configuration::CheckValid(*text);
-  if (!refusal.reason.empty())
-    return base::Complain(path, {base::ErrorCode::kInvalidArgument, "check", path, refusal.reason});
-  std::cout << path << ": valid, revision " << configuration::RevisionOf(*text) << "\n";
+  auto revision = configuration::Validate(*text);
+  if (!revision) return base::Complain(path, revision.error());
+  std::cout << path << ": valid, revision " << *revision << "\n";
   return 0;
 }
 
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -164,7 +164,7 @@
 void Disseminator::RequestMissing(base::Millis now, const base::Address& from,
                                   const PeerState& peer) {
   Versions held = HeldVersions();
-  size_t document = std::max(document_bytes_, document_.SizeAtMost());
+  size_t document = std::max(document_bytes_, document_.MaxBytes());
   bool config =
       peer.versions.revision > held.revision && MayFetch(now, &fetch_configuration_, document);
   bool endpoints = LacksEndpoints(peer) && MayFetch(now, &fetch_endpoints_, EndpointsBytes());
@@ -233,8 +233,7 @@
   reply.endpoints_age_ms = Narrow(endpoints_freshness_.age(now));
   reply.platform_age_ms = Narrow(endpoints_read_age(now));
   reply.endpoints_bytes = static_cast<uint32_t>(EndpointsBytes());
-  reply.document_bytes =
-      static_cast<uint32_t>(std::min<size_t>(document_.SizeAtMost(), UINT32_MAX));
+  reply.document_bytes = static_cast<uint32_t>(std::min<size_t>(document_.MaxBytes(), UINT32_MAX));
   out_.sync_replies.push_back({from, reply, sent || request.reliable});
   RequestMissing(now, from, peer);
 }
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -10,7 +10,7 @@
 
 #include "base/clock.h"
 #include "base/random.h"
-#include "configuration/register.h"
+#include "configuration/configuration_state.h"
 #include "discovery/endpoints.h"
 #include "dissemination/freshness.h"
 #include "dissemination/messages.h"
@@ -102,7 +102,7 @@
   void OnNodeUnreachable(const membership::Node& node);
 
   // From the log, committed; only controllers call this.
-  void Commit(base::Millis now, const configuration::Register& state);
+  void Commit(base::Millis now, const configuration::ConfigurationState& state);
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
   // From this node's own reading of the platform, as the holder of the duty.
@@ -206,7 +206,7 @@
   const membership::Membership* members_;
   base::Random random_;
   int64_t revision_ = 0;
-  configuration::IndexedDocument document_;
+  configuration::ParsedConfiguration document_;
   bool document_rejected_ = false;
   PatchHistory patches_;
   discovery::EndpointSnapshot endpoints_;
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -9,9 +9,9 @@
 bool Disseminator::SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
                                      bool asked) {
   if (HeldVersions().revision == 0) return true;
-  size_t first = patches_.From(peer_has, document_.SizeAtMost());
+  size_t first = patches_.From(peer_has, document_.MaxBytes());
   bool whole = first == patches_.size();
-  size_t bytes = whole ? document_.SizeAtMost() : 0;
+  size_t bytes = whole ? document_.MaxBytes() : 0;
   for (size_t i = first; i < patches_.size(); ++i) bytes += patches_.at(i).body.size();
   if (bytes > kSmall) {
     if (!asked) return false;
@@ -52,14 +52,14 @@
   }
   if (update.base != 0) {
     // What a controller applied was checked there; it is checked no second time.
-    if (document_.empty() || !document_.Patch(update.body).empty()) {
+    if (document_.empty() || !document_.ApplyUnchecked(update.body)) {
       RejectConfiguration();
       RequestMissing(now, from, PeerState{{update.revision, 0, 0}, {}, false});
       return;
     }
     patches_.Add({update.base, update.revision, update.body});
   } else {
-    document_ = configuration::IndexedDocument(update.body);
+    document_ = configuration::ParsedConfiguration(update.body);
     patches_.Clear();
   }
   document_rejected_ = false;
@@ -69,13 +69,13 @@
   Forward(now, Topic::kConfiguration, &from);
 }
 
-void Disseminator::Commit(base::Millis now, const configuration::Register& state) {
+void Disseminator::Commit(base::Millis now, const configuration::ConfigurationState& state) {
   if (state.revision() <= revision_) return;
   bool patch = state.base() != 0 && !state.patch().empty();
   // Its own document follows the patch as a proxy's does: taking the other one's text would cost as
   // much as the text is long.
   bool follows = patch && state.base() == revision_ && !document_.empty() &&
-                 document_.Patch(state.patch()).empty();
+                 document_.ApplyUnchecked(state.patch());
   if (!follows) {
     document_ = state.document();
     patches_.Clear();
--- a/src/dissemination/peers.cc
+++ b/src/dissemination/peers.cc
@@ -101,7 +101,7 @@
   Pump();
 }
 
-void Peers::Commit(const configuration::Register& state) {
+void Peers::Commit(const configuration::ConfigurationState& state) {
   disseminator_.Commit(base::SteadyMillis(), state);
   Pump();
 }
--- a/src/dissemination/peers.h
+++ b/src/dissemination/peers.h
@@ -35,7 +35,7 @@
   const membership::Membership& members() const { return members_; }
   const Disseminator& disseminator() const { return disseminator_; }
   // Feeds the updates; what it causes is sent at once.
-  void Commit(const configuration::Register& state);
+  void Commit(const configuration::ConfigurationState& state);
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
   void NoteRolloutVersion(const base::Address& from, uint64_t version);
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -53,7 +53,7 @@
 
 // The same order again is a repeated call, also after it came to its end: callers that heard no
 // answer send it anew, and must not begin it anew.
-Rollouts::Verdict Rollouts::Judge(const RolloutOrder& order) const {
+base::Verdict Rollouts::Evaluate(const RolloutOrder& order) const {
   const Rollout* known = Of(order.service);
   if (known && known->order == order) return {200, ""};
   if (known && !Ended(known->stage)) {
@@ -80,7 +80,7 @@
       }
       break;
     case Step::Kind::kOrder: {
-      if (Judge(step.order).status != 0) break;
+      if (Evaluate(step.order).status != 0) break;
       Rollout next;
       next.number = ++newest_number_;
       next.order = step.order;
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -10,6 +10,7 @@
 #include <utility>
 #include <vector>
 
+#include "base/verdict.h"
 #include "discovery/endpoints.h"
 
 namespace elderkeel::rollout {
@@ -80,12 +81,7 @@
 // by it.
 class Rollouts {
  public:
-  // What the interface says to an order: 0 may be proposed, else the status of the answer.
-  struct Verdict {
-    int status = 0;
-    std::string reason;
-  };
-  Verdict Judge(const RolloutOrder& order) const;
+  base::Verdict Evaluate(const RolloutOrder& order) const;
   // True if it changed something.
   bool Apply(const Step& step);
 
--- a/tests/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -4,8 +4,11 @@
 #include <set>
 
 #include "base/random.h"
+#include "configuration/configuration_state.h"
 #include "configuration/operator_api.h"
-#include "configuration/register.h"
+#include "configuration/patch.h"
+#include "configuration/routing_table.h"
+#include "configuration/validation.h"
 #include "controller/control_state.h"
 
 namespace elderkeel::configuration {
@@ -65,37 +68,38 @@
        "variant"},
   };
   for (const Case& c : cases) {
-    Refusal refusal = CheckValid(c.text);
+    auto valid = Validate(c.text);
+    std::string reason = valid ? "" : valid.error().reason;
     if (*c.reason == '\0') {
-      EXPECT_EQ(refusal.reason, "") << c.text;
+      EXPECT_EQ(reason, "") << c.text;
     } else {
-      EXPECT_NE(refusal.reason.find(c.reason), std::string::npos)
-          << c.text.substr(0, 300) << " gave " << refusal.reason;
-      EXPECT_EQ(refusal.status, 400);
+      EXPECT_NE(reason.find(c.reason), std::string::npos)
+          << c.text.substr(0, 300) << " gave " << reason;
+      EXPECT_EQ(valid.error().code, base::ErrorCode::kInvalidArgument);
     }
   }
 }
 
 TEST(Configuration, PatchesByName) {
   std::string base = Document(5, kRoute + "," + Route("r2", "/b/", R"("target":"s2")"));
-  Patched patched = ApplyPatch(base, R"({"revision":9,"upsert":{"route-list":[)" +
-                                         Route("r3", "/c/", R"("target":"s1")") + "," +
-                                         Route("r1", "/a2/", R"("target":"s2")") +
-                                         R"(]},"remove":{"route-list":["r2","not-there"]}})");
-  ASSERT_EQ(patched.refusal.reason, "");
-  EXPECT_EQ(RevisionOf(patched.text), 9);
-  EXPECT_NE(patched.text.find("\"note\":\"kept\""), std::string::npos);
+  auto patched = ApplyPatch(base, R"({"revision":9,"upsert":{"route-list":[)" +
+                                      Route("r3", "/c/", R"("target":"s1")") + "," +
+                                      Route("r1", "/a2/", R"("target":"s2")") +
+                                      R"(]},"remove":{"route-list":["r2","not-there"]}})");
+  ASSERT_TRUE(patched.has_value()) << patched.error().reason;
+  EXPECT_EQ(RevisionOf(*patched), 9);
+  EXPECT_NE(patched->find("\"note\":\"kept\""), std::string::npos);
   base::Names names, regions;
-  auto table = RoutingTable::Build(patched.text, &names, &regions);
+  auto table = RoutingTable::Build(*patched, &names, &regions);
   ASSERT_TRUE(table);
   EXPECT_EQ(table->Match("h.example", "/b/x"), nullptr);
   EXPECT_EQ(table->Match("h.example", "/a/x"), nullptr);
   ASSERT_NE(table->Match("H.Example:80", "/a2/x"), nullptr);
   EXPECT_EQ(table->Match("h.example", "/c/")->label, "r3");
   EXPECT_NE(
-      ApplyPatch(base, R"({"revision":9,"upsert":{"route-list":[{"host":"x"}]}})").refusal.reason,
+      ApplyPatch(base, R"({"revision":9,"upsert":{"route-list":[{"host":"x"}]}})").error().reason,
       "");
-  EXPECT_NE(ApplyPatch(base, R"({"upsert":{}})").refusal.reason, "");
+  EXPECT_NE(ApplyPatch(base, R"({"upsert":{}})").error().reason, "");
 }
 
 TEST(Configuration, MatchesTheLongestPrefixAndSplitsByWeight) {
@@ -125,20 +129,20 @@
   EXPECT_NEAR(second, 1000, 150);
 }
 
-TEST(Register, LetsOneOfTwoRacingChangesWin) {
-  Register state;
+TEST(ConfigurationState, LetsOneOfTwoRacingChangesWin) {
+  ConfigurationState state;
   Change first{false, 0, Document(3, kRoute)};
   ASSERT_TRUE(state.Apply(first));
   EXPECT_EQ(state.text(), first.body);  // verbatim, unknown fields and all
   Change a{true, 3, R"({"revision":4,"remove":{"route-list":["r1"]}})"};
   Change b{true, 3, R"({"revision":5,"remove":{"route-list":["r1"]}})"};
-  EXPECT_EQ(state.Judge(a).status, 0);
-  EXPECT_EQ(state.Judge(b).status, 0);
+  EXPECT_EQ(state.Evaluate(a).status, 0);
+  EXPECT_EQ(state.Evaluate(b).status, 0);
   EXPECT_TRUE(state.Apply(b));
   EXPECT_FALSE(state.Apply(a));
-  EXPECT_EQ(state.Judge(a).status, 412);
-  EXPECT_EQ(state.Judge(b).status, 200);      // a repeated call
-  EXPECT_EQ(state.Judge(first).status, 200);  // even after another change
+  EXPECT_EQ(state.Evaluate(a).status, 412);
+  EXPECT_EQ(state.Evaluate(b).status, 200);      // a repeated call
+  EXPECT_EQ(state.Evaluate(first).status, 200);  // even after another change
   EXPECT_EQ(state.revision(), 5);
   struct Case {
     Change change;
@@ -154,7 +158,7 @@
        400},
       {{false, 5, Document(9, kRoute)}, 0},
   };
-  for (const Case& c : cases) EXPECT_EQ(state.Judge(c.change).status, c.status) << c.change.body;
+  for (const Case& c : cases) EXPECT_EQ(state.Evaluate(c.change).status, c.status) << c.change.body;
 }
 
 // Few bytes, since thousands are applied.
@@ -164,11 +168,11 @@
               R"(","route-list":[],"service-list":[]})"};
 }
 
-TEST(Register, NeverRefusesWhatWasTakenAndNeverTakesTwoOnOneVersion) {
-  Register state;
-  const int last = static_cast<int>(Register::kTaken) + 300;
+TEST(ConfigurationState, NeverRefusesWhatWasTakenAndNeverTakesTwoOnOneVersion) {
+  ConfigurationState state;
+  const int last = static_cast<int>(ConfigurationState::kMaxApplied) + 300;
   for (int i = 0; i < last; ++i) ASSERT_TRUE(state.Apply(Small(i, i + 1, "a")));
-  const int oldest = last - static_cast<int>(Register::kTaken);
+  const int oldest = last - static_cast<int>(ConfigurationState::kMaxApplied);
   struct Case {
     const char* name;
     Change change;
@@ -187,18 +191,18 @@
       {"unreadable and old", {false, 0, "{"}, 400},
       {"the next", Small(last, last + 1, "a"), 0},
   };
-  auto read = wire::Decode<Register>(wire::Encode(state));
+  auto read = wire::Decode<ConfigurationState>(wire::Encode(state));
   ASSERT_TRUE(read);
   for (const Case& c : cases) {
-    EXPECT_EQ(state.Judge(c.change).status, c.status) << c.name;
-    EXPECT_EQ(read->Judge(c.change).status, c.status) << c.name;
-    Register copy = state;
+    EXPECT_EQ(state.Evaluate(c.change).status, c.status) << c.name;
+    EXPECT_EQ(read->Evaluate(c.change).status, c.status) << c.name;
+    ConfigurationState copy = state;
     EXPECT_EQ(copy.Apply(c.change), c.status == 0) << c.name;
   }
 }
 
 // As a register was saved when changes were known by 64 bits.
-struct RegisterOfBefore {
+struct ConfigurationStateOfBefore {
   int64_t revision = 0, base = 0;
   std::string text;
   Change newest;
@@ -209,49 +213,50 @@
   }
 };
 
-TEST(Register, ReadsWhatWasSavedWithShortDigests) {
+TEST(ConfigurationState, ReadsWhatWasSavedWithShortDigests) {
   Change patch{true, 3, R"({"revision":5,"upsert":{},"remove":{}})"};
   for (const Change& newest : {Small(3, 5, "a"), patch}) {
-    RegisterOfBefore before{5, newest.patch ? 3 : 0, Small(3, 5, "a").body, newest, {7, 8}};
+    ConfigurationStateOfBefore before{
+        5, newest.patch ? 3 : 0, Small(3, 5, "a").body, newest, {7, 8}};
     // What follows the register in a snapshot must still be found.
     auto state = controller::ControlState::Read(
         wire::Encode(before) + wire::Encode(singleton::Assignment{5, 6, 7}) +
         wire::Encode(zone_drain::DrainedZones()) + wire::Encode(rollout::Rollouts()));
     ASSERT_TRUE(state);
-    const Register& read = state->configuration;
+    const ConfigurationState& read = state->configuration;
     EXPECT_EQ(read.revision(), 5);
     EXPECT_EQ(read.base(), before.base);
     EXPECT_EQ(read.text(), before.text);
     EXPECT_EQ(read.patch(), newest.patch ? newest.body : "");
     EXPECT_EQ(state->catalog_reader.epoch, 7u);
-    EXPECT_EQ(read.Judge(newest).status, 200);
-    EXPECT_EQ(read.Judge(Small(3, 6, "b")).status, 412);
-    EXPECT_EQ(read.Judge(Small(2, 3, "a")).status, 503);  // may have been taken
-    EXPECT_EQ(read.Judge(Small(5, 6, "a")).status, 0);
+    EXPECT_EQ(read.Evaluate(newest).status, 200);
+    EXPECT_EQ(read.Evaluate(Small(3, 6, "b")).status, 412);
+    EXPECT_EQ(read.Evaluate(Small(2, 3, "a")).status, 503);  // may have been taken
+    EXPECT_EQ(read.Evaluate(Small(5, 6, "a")).status, 0);
   }
-  auto nothing = wire::Decode<Register>(wire::Encode(RegisterOfBefore()));
+  auto nothing = wire::Decode<ConfigurationState>(wire::Encode(ConfigurationStateOfBefore()));
   ASSERT_TRUE(nothing);
-  EXPECT_EQ(nothing->Judge(Small(0, 1, "a")).status, 0);
+  EXPECT_EQ(nothing->Evaluate(Small(0, 1, "a")).status, 0);
 }
 
-TEST(Register, ASnapshotHoldsOneDocument) {
-  Register state;
+TEST(ConfigurationState, ASnapshotHoldsOneDocument) {
+  ConfigurationState state;
   std::string big(1 << 20, 'x');
   ASSERT_TRUE(state.Apply(Small(0, 1, big)));
   EXPECT_LT(wire::Encode(state).size(), big.size() + 1000);
   ASSERT_TRUE(state.Apply({true, 1, R"({"revision":2,"note":1})"}));
   EXPECT_EQ(state.patch(), R"({"revision":2,"note":1})");
-  EXPECT_EQ(wire::Decode<Register>(wire::Encode(state))->patch(), state.patch());
+  EXPECT_EQ(wire::Decode<ConfigurationState>(wire::Encode(state))->patch(), state.patch());
 }
 
 // A log whose every step the test takes.
-class FakeLog : public Log {
+class FakeLog : public ReplicatedLog {
  public:
   bool HasCommittedInTerm() const override { return settled_; }
   bool is_leader() const override { return leading_; }
   uint64_t term() const override { return term_; }
   std::optional<std::string> leader_control() const override { return leader_; }
-  bool Read(uint64_t token) override {
+  bool ConfirmRead(uint64_t token) override {
     reads_.push_back(token);
     return true;
   }
@@ -295,16 +300,16 @@
   void ConfirmReads() {
     auto reads = std::move(log_.reads_);
     log_.reads_.clear();
-    for (uint64_t token : reads) api_.ReadDone(0, token, true);
+    for (uint64_t token : reads) api_.OnReadFinished(0, token, true);
   }
   void Commit(size_t index) {
     state_.Apply(log_.proposed_[index - 1]);
-    api_.Applied(0, index);
+    api_.OnApplied(0, index);
   }
   int StatusOf(uint64_t ticket) { return answers_.count(ticket) ? answers_[ticket].status : 0; }
 
   FakeLog log_;
-  Register state_;
+  ConfigurationState state_;
   zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
   std::map<uint64_t, wire::Message> answers_;
@@ -428,7 +433,7 @@
   ConfirmReads();
   EXPECT_EQ(StatusOf(2), 0);  // still waits for the entry that is under way
   log_.leading_ = log_.settled_ = false;
-  api_.RoleChanged(1100);
+  api_.OnRoleChanged();
   EXPECT_EQ(StatusOf(2), 503);
   // Leading again: the old entry was committed after all, so the old call is now acknowledged.
   state_.Apply(log_.proposed_[0]);
@@ -509,13 +514,13 @@
     if (c.commit) {
       EXPECT_EQ(StatusOf(ticket), 0) << c.name;  // not before it is durable
       drained_zones_.Apply(log_.drained_zones_.back());
-      api_.Applied(0, log_.drained_zones_.size());
+      api_.OnApplied(0, log_.drained_zones_.size());
     }
     EXPECT_EQ(StatusOf(ticket), c.status) << c.name;
     EXPECT_EQ(drained_zones_.IsDrained("a"), c.drained) << c.name;
     if (c.status == 0) {
       log_.leading_ = false;
-      api_.RoleChanged(0);
+      api_.OnRoleChanged();
       EXPECT_EQ(StatusOf(ticket), 503) << c.name;
     }
   }
@@ -528,7 +533,7 @@
     request.method = method;
     request.target = path;
     request.body = body;
-    EXPECT_TRUE(OperatorApi::Owns(request.Path())) << path;
+    EXPECT_TRUE(IsOperatorPath(request.Path())) << path;
     api_.OnRequest(0, ++ticket, request);
     ConfirmReads();
     return StatusOf(ticket);
@@ -569,7 +574,7 @@
   EXPECT_EQ(rollouts_.version(), 0u);
   auto commit = [&](rollout::Step step) {
     rollouts_.Apply(step);
-    api_.Applied(0, log_.rollouts_.size());
+    api_.OnApplied(0, log_.rollouts_.size());
   };
   rollout::Step ordered;
   ordered.kind = rollout::Step::Kind::kOrder;
@@ -636,13 +641,13 @@
     api_.OnRequest(0, ++ticket, Evacuation(c.method, "a"));
     for (const auto& [zone, drained] : c.meanwhile) {
       drained_zones_.Apply({zone, drained});
-      api_.Applied(0, 1);
+      api_.OnApplied(0, 1);
     }
     ConfirmReads();
     EXPECT_EQ(StatusOf(ticket), c.status) << c.name;
     EXPECT_EQ(log_.drained_zones_.size(), c.status == 0 ? 1u : 0u) << c.name;
     ++log_.term_;
-    api_.RoleChanged(0);
+    api_.OnRoleChanged();
   }
 }
 
@@ -670,13 +675,13 @@
 
 TEST_F(OperatorApiTest, ProposesNothingForACallerThatHasGoneOrWasTooLate) {
   api_.OnRequest(0, 1, Evacuation("POST", "a"));
-  api_.Gone(1);
+  api_.OnCallerGone(1);
   ConfirmReads();
   EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(1), 0);
   // The process slept between the call and the confirmation.
   api_.OnRequest(0, 2, Evacuation("POST", "a"));
-  api_.ReadDone(20000, log_.reads_.back(), true);
+  api_.OnReadFinished(20000, log_.reads_.back(), true);
   EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(2), 503);
   // What was proposed goes its way.
@@ -684,12 +689,12 @@
   api_.OnRequest(0, 3, Evacuation("POST", "a"));
   ConfirmReads();
   ASSERT_EQ(log_.drained_zones_.size(), 1u);
-  api_.Gone(3);
+  api_.OnCallerGone(3);
   api_.OnRequest(0, 4, Evacuation("POST", "a"));
   ConfirmReads();
   EXPECT_EQ(log_.drained_zones_.size(), 1u);
   drained_zones_.Apply(log_.drained_zones_[0]);
-  api_.Applied(0, 1);
+  api_.OnApplied(0, 1);
   EXPECT_EQ(StatusOf(4), 200);
 }
 
@@ -703,10 +708,10 @@
   api_.OnRequest(0, 1, Call("PUT", "0", Document(2, kRoute)));
   ConfirmReads();
   ASSERT_EQ(log_.proposed_.size(), 1u);
-  api_.RoleChanged(0);  // it settled
+  api_.OnRoleChanged();  // it settled
   EXPECT_EQ(StatusOf(1), 0);
   ++log_.term_;
-  api_.RoleChanged(0);  // leads, in another term: what stands at the entry's place is another's
+  api_.OnRoleChanged();  // leads, in another term: what stands at the entry's place is another's
   EXPECT_EQ(StatusOf(1), 503);
   api_.OnRequest(0, 2, Call("PUT", "0", Document(3, kRoute)));
   ConfirmReads();
@@ -734,7 +739,7 @@
   ConfirmReads();
   ASSERT_EQ(log_.drained_zones_.size(), 1u);
   drained_zones_.Apply(log_.drained_zones_[0]);
-  api_.Applied(0, 1);
+  api_.OnApplied(0, 1);
   EXPECT_EQ(StatusOf(2), 200);
 }
 
--- a/tests/indexed_document_test.cc
+++ b/tests/configuration/parsed_configuration_test.cc
@@ -1,37 +1,40 @@
-#include "configuration/indexed_document.h"
+#include "configuration/parsed_configuration.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
 #include "base/random.h"
-#include "configuration/register.h"
+#include "configuration/configuration_state.h"
+#include "configuration/patch.h"
+#include "configuration/routing_table.h"
+#include "configuration/validation.h"
 #include "wire/frame.h"
 
 namespace elderkeel::configuration {
 namespace {
 
-// The register as it was when every change went through the whole document: what a change gives,
-// and why it is refused, must be the same on either way.
-class FullRegister {
+// The configuration as it was when every change went through the whole document: what a change
+// gives, and why it is refused, must be the same on either way.
+class FullConfiguration {
  public:
-  Register::Verdict Judge(const Change& change, std::string* text) const {
-    Refusal refusal = CheckReadable(change.body);
-    if (!refusal.reason.empty()) return {refusal.status, refusal.reason};
+  base::Verdict Evaluate(const Change& change, std::string* text) const {
+    base::Status readable = CheckReadable(change.body);
+    if (!readable) return {400, readable.error().reason};
     if (change.if_match != revision_) {
       return {412, "version " + std::to_string(revision_) + " is current"};
     }
     if (change.patch) {
-      Patched patched =
+      auto patched =
           ApplyPatch(text_.empty() ? R"({"revision":0,"route-list":[],"service-list":[]})" : text_,
                      change.body);
-      if (!patched.refusal.reason.empty()) return {patched.refusal.status, patched.refusal.reason};
-      *text = std::move(patched.text);
+      if (!patched) return {400, patched.error().reason};
+      *text = std::move(*patched);
     } else {
       *text = change.body;
     }
-    refusal = CheckValid(*text);
-    if (!refusal.reason.empty()) return {refusal.status, refusal.reason};
+    auto valid = Validate(*text);
+    if (!valid) return {400, valid.error().reason};
     if (RevisionOf(*text) <= revision_) {
       return {400, "revision: is not above " + std::to_string(revision_)};
     }
@@ -162,7 +165,7 @@
         if (!route) continue;
         text += "\n" + route->label + " " + route->host + route->prefix + " " +
                 std::to_string(route->timeout_ms) + " " + std::to_string(route->weight_sum);
-        for (const Target& target : route->targets) {
+        for (const WeightedTarget& target : route->targets) {
           text += " " + names.Name(target.service) + "=" + std::to_string(target.weight);
         }
       }
@@ -176,16 +179,16 @@
   return text;
 }
 
-TEST(IndexedDocument, GivesTheTextAndVerdictsOfTheWholeWay) {
-  int folded = 0, whole_way = 0;
+TEST(ParsedConfiguration, GivesTheTextAndVerdictsOfTheWholeWay) {
+  int by_parsed_patch = 0, whole_way = 0;
   std::set<std::string> reasons;
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     Writer writer(seed);
-    FullRegister full;
-    Register state;
+    FullConfiguration full;
+    ConfigurationState state;
     base::Names names, regions;
     std::shared_ptr<const RoutingTable> table;
-    IndexedDocument follower;  // as a proxy's: takes what was accepted without a check
+    ParsedConfiguration follower;  // as a proxy's: takes what was accepted without a check
     for (int step = 0; step < 60; ++step) {
       bool patch = full.revision() > 0 ? !writer.OneIn(25) : writer.OneIn(10);
       int64_t revision = full.revision() + (writer.OneIn(40) ? 0 : 1);
@@ -193,24 +196,24 @@
       Change change{patch, match, patch ? writer.Patch(revision) : writer.Whole(revision)};
       if (!patch && writer.OneIn(6)) change.body.resize(change.body.size() / 2);
       std::string text;
-      Register::Verdict want = full.Judge(change, &text);
-      bool by_fold = patch && state.document().Check(change.body).has_value();
-      Register::Verdict got = state.Judge(change);
+      base::Verdict want = full.Evaluate(change, &text);
+      bool by_patch = patch && state.document().CheckPatch(change.body).has_value();
+      base::Verdict got = state.Evaluate(change);
       ASSERT_EQ(got.status, want.status) << change.body << "\n" << got.reason << want.reason;
       ASSERT_EQ(got.reason, want.reason) << change.body << "\n" << full.text();
       // Elsewhere nobody judged it before it is applied.
-      if (writer.OneIn(2)) state = *wire::Decode<Register>(wire::Encode(state));
+      if (writer.OneIn(2)) state = *wire::Decode<ConfigurationState>(wire::Encode(state));
       ASSERT_EQ(state.Apply(change), want.status == 0) << change.body;
       if (want.status != 0) {
         reasons.insert(want.reason.substr(0, want.reason.find(' ')));
         ASSERT_EQ(state.text(), full.text());
         continue;
       }
-      (by_fold ? folded : whole_way) += patch ? 1 : 0;
+      (by_patch ? by_parsed_patch : whole_way) += patch ? 1 : 0;
       if (patch && !full.text().empty()) {
-        ASSERT_EQ(follower.Patch(change.body), "");
+        ASSERT_TRUE(follower.ApplyUnchecked(change.body).has_value());
       } else {
-        follower = IndexedDocument(text);
+        follower = ParsedConfiguration(text);
       }
       // A table made of the one before is as one made of the whole, and leaves that one as it was.
       auto whole = RoutingTable::Build(text, &names, &regions);
@@ -236,13 +239,13 @@
     }
   }
   // Both ways were gone, and many kinds of refusals met.
-  EXPECT_GT(folded, 500);
+  EXPECT_GT(by_parsed_patch, 500);
   EXPECT_GT(whole_way, 20);
   EXPECT_GT(reasons.size(), 12u);
 }
 
 // What the first way that comes to mind gets wrong, each by itself.
-TEST(IndexedDocument, FoldsWhatEachPatchSays) {
+TEST(ParsedConfiguration, FoldsWhatEachPatchSays) {
   auto route = [](const std::string& label, const std::string& prefix, const std::string& service) {
     return R"({"label":")" + label + R"(","host":"h","path-prefix":")" + prefix +
            R"(","variant":"effectful","timeout-ms":5,"target":")" + service + "\"}";
@@ -294,47 +297,47 @@
       {"another list", R"("upsert":{"tenant-list":[{"label":"t"}]})", 0, "", false},
   };
   for (const Case& c : cases) {
-    Register state;
+    ConfigurationState state;
     ASSERT_TRUE(state.Apply({false, 0, base}));
     Change change{true, 1, R"({"revision":2,)" + c.patch + "}"};
-    EXPECT_EQ(state.document().Check(change.body).has_value(), c.fold) << c.what;
-    Register::Verdict verdict = state.Judge(change);
+    EXPECT_EQ(state.document().CheckPatch(change.body).has_value(), c.fold) << c.what;
+    base::Verdict verdict = state.Evaluate(change);
     EXPECT_EQ(verdict.status, c.status) << c.what << ": " << verdict.reason;
     EXPECT_NE(verdict.reason.find(c.reason), std::string::npos) << c.what << ": " << verdict.reason;
     if (c.status != 0) continue;
     ASSERT_TRUE(state.Apply(change)) << c.what;
-    EXPECT_EQ(state.text(), ApplyPatch(base, change.body).text) << c.what;
-    // The checks go on from what was folded.
+    EXPECT_EQ(state.text(), *ApplyPatch(base, change.body)) << c.what;
+    // The checks go on from what was by_parsed_patch.
     Change again{true, 2,
                  R"({"revision":3,"upsert":{"route-list":[)" + route("z", "/b/", "t") + "]}}"};
-    Refusal refusal = CheckValid(ApplyPatch(state.text(), again.body).text);
-    EXPECT_EQ(state.Judge(again).reason, refusal.reason) << c.what;
-    EXPECT_EQ(state.document().Check(again.body).has_value(), refusal.reason.empty()) << c.what;
+    auto valid = Validate(*ApplyPatch(state.text(), again.body));
+    EXPECT_EQ(state.Evaluate(again).reason, valid ? "" : valid.error().reason) << c.what;
+    EXPECT_EQ(state.document().CheckPatch(again.body).has_value(), valid.has_value()) << c.what;
   }
 }
 
-TEST(IndexedDocument, TellsLabelsApartBehindANul) {
-  IndexedDocument document(
+TEST(ParsedConfiguration, TellsLabelsApartBehindANul) {
+  ParsedConfiguration document(
       R"({"revision":1,"route-list":[],"service-list":[{"label":"s\u0000x"}]})");
   EXPECT_FALSE(document.HasService("s"));
   EXPECT_TRUE(document.HasService(std::string("s\0x", 3)));
 }
 
 // A verdict that was kept holds for the state it was found on, and for that very body.
-TEST(IndexedDocument, AKeptVerdictIsOfItsChangeAlone) {
+TEST(ParsedConfiguration, AKeptVerdictIsOfItsChangeAlone) {
   auto whole = [](int64_t revision, const char* prefix) {
     return R"({"revision":)" + std::to_string(revision) +
            R"(,"route-list":[{"label":"a","host":"h","path-prefix":")" + prefix +
            R"(","variant":"effectful","timeout-ms":5,"target":"s"}],"service-list":[{"label":"s"}]})";
   };
-  Register state;
+  ConfigurationState state;
   Change good{false, 0, whole(5, "/")}, bad{false, 0, whole(5, "x")};
-  EXPECT_EQ(state.Judge(good).status, 0);
-  EXPECT_EQ(state.Judge(bad).status, 400);
+  EXPECT_EQ(state.Evaluate(good).status, 0);
+  EXPECT_EQ(state.Evaluate(bad).status, 400);
   EXPECT_FALSE(state.Apply(bad));
-  EXPECT_EQ(state.Judge(good).status, 0);
+  EXPECT_EQ(state.Evaluate(good).status, 0);
   EXPECT_TRUE(state.Apply({false, 0, whole(7, "/")}));  // overtakes the one that was judged
-  EXPECT_EQ(state.Judge(good).status, 412);
+  EXPECT_EQ(state.Evaluate(good).status, 412);
   EXPECT_FALSE(state.Apply(good));
   EXPECT_EQ(state.text(), whole(7, "/"));
 }
--- a/tests/consensus_store_test.cc
+++ b/tests/consensus/disk_store_test.cc
@@ -1,3 +1,5 @@
+#include "consensus/disk_store.h"
+
 #include <gtest/gtest.h>
 #include <leveldb/db.h>
 #include <leveldb/write_batch.h>
@@ -12,7 +14,6 @@
 #include <thread>
 
 #include "base/random.h"
-#include "consensus/disk_store.h"
 #include "consensus/raft_node.h"
 #include "consensus/store_thread.h"
 
--- a/tests/model_checker_test.cc
+++ b/tests/consensus/model_checker_test.cc
@@ -1,8 +1,8 @@
-#include "model_checker.h"
+#include "consensus/model_checker.h"
 
 #include <gtest/gtest.h>
 
-#include "model_scenarios.h"
+#include "consensus/model_scenarios.h"
 
 namespace elderkeel::model {
 namespace {
--- a/tests/model_scenarios.h
+++ b/tests/consensus/model_scenarios.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "model_checker.h"
+#include "consensus/model_checker.h"
 
 namespace elderkeel::model {
 
--- a/tests/store_power_test.cc
+++ b/tests/consensus/power_loss_test.cc
@@ -2,7 +2,7 @@
 
 #include "base/random.h"
 #include "consensus/disk_store.h"
-#include "power_env.h"
+#include "consensus/power_loss_env.h"
 
 // Losses of power at all points of a run of the log's writes: what was acknowledged is there again.
 
--- a/tests/consensus_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -1,3 +1,5 @@
+#include "consensus/raft_node.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,7 +8,6 @@
 #include <map>
 #include <memory>
 
-#include "consensus/raft_node.h"
 #include "wire/frame.h"
 
 // The consensus machine by itself: messages as a network may deliver them (late, twice, out of
--- a/tests/membership_test.cc
+++ b/tests/consensus/voter_changes_test.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::simulation {
 namespace {
--- a/tests/catalog_test.cc
+++ b/tests/discovery/endpoints_test.cc
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "discovery/endpoints.h"
 
+#include <gtest/gtest.h>
+
 namespace elderkeel::discovery {
 namespace {
 
--- a/tests/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel {
 namespace {
--- a/tests/served_history_test.cc
+++ b/tests/dissemination/served_history_test.cc
@@ -1,12 +1,12 @@
 // What proxies serve by, over days of races, repeats, invalid changes and losses: it never goes
 // back, is never what was not committed, and is never older than the bound in calm.
-#include "served_history.h"
+#include "dissemination/served_history.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::simulation {
 namespace {
@@ -69,7 +69,7 @@
         random_(seed * 31),
         between_changes_(between_changes) {
     world_.hooks.applied = [this](size_t i, const consensus::Entry&) {
-      const configuration::Register& state = world_.node(i).state.configuration;
+      const configuration::ConfigurationState& state = world_.node(i).state.configuration;
       if (!state.empty()) history_.Committed(state.revision(), base::Hash(state.text()));
     };
   }
--- a/tests/at_most_once_test.cc
+++ b/tests/forwarding/at_most_once_test.cc
@@ -3,7 +3,7 @@
 #include <optional>
 
 #include "forwarding/request_router.h"
-#include "stand_in.h"
+#include "forwarding/stand_in.h"
 #include "wire/http_client.h"
 
 // No answer goes to the wrong caller, and what may run once is not sent again unless it is shown
--- a/tests/once_world.h
+++ b/tests/forwarding/at_most_once_world.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 
 #include "forwarding/request_router.h"
-#include "stand_in.h"
+#include "forwarding/stand_in.h"
 
 namespace elderkeel::once {
 
@@ -45,7 +45,8 @@
   std::string Line() const {
     char line[400];
     snprintf(line, sizeof line,
-             "once_run: doubled=%d foreign=%d broken_promises=%d reused=%d | once=%d repeatable=%d "
+             "at_most_once_run: doubled=%d foreign=%d broken_promises=%d reused=%d | once=%d "
+             "repeatable=%d "
              "runs=%d "
              "answers=%d promises=%d without_answer=%d sent_again=%d misdeeds=%d resets=%d "
              "other_lives=%d left=%d kills=%d freezes=%d",
--- a/tests/once_test.cc
+++ b/tests/forwarding/at_most_once_world_test.cc
@@ -1,11 +1,11 @@
-#include <gtest/gtest.h>
+#include "forwarding/at_most_once_world.h"
 
-#include "once_world.h"
+#include <gtest/gtest.h>
 
 namespace elderkeel::once {
 namespace {
 
-// A short run of the at-most-once checker (once_run.cc).
+// A short run of the at-most-once checker (at_most_once_run.cc).
 TEST(Once, NothingRunsTwiceNothingIsForeignNoPromiseBreaks) {
   Options options;
   options.seed = 7;
--- a/tests/forwarding_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -1,10 +1,11 @@
+#include "forwarding/load_balancer.h"
+
 #include <gtest/gtest.h>
 
 #include <map>
 #include <set>
 
 #include "forwarding/attempt_log.h"
-#include "forwarding/load_balancer.h"
 #include "forwarding/retry_budget.h"
 #include "lifecycle/lifecycle.h"
 
--- a/tests/front_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -1,3 +1,5 @@
+#include "forwarding/request_router.h"
+
 #include <event2/bufferevent.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -5,7 +7,6 @@
 
 #include <thread>
 
-#include "forwarding/request_router.h"
 #include "proxy/shutdown.h"
 #include "wire/socket.h"
 
--- a/tests/demand_test.cc
+++ b/tests/load/load_tracker_test.cc
@@ -1,9 +1,10 @@
+#include "load/load_tracker.h"
+
 #include <gtest/gtest.h>
 
 #include <memory>
 
 #include "base/random.h"
-#include "load/load_tracker.h"
 
 namespace elderkeel::load {
 namespace {
--- a/tests/ring_test.cc
+++ b/tests/membership/membership_test.cc
@@ -1,7 +1,8 @@
+#include "membership/membership.h"
+
 #include <gtest/gtest.h>
 
-#include "membership/membership.h"
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::membership {
 namespace {
--- a/tests/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -2,7 +2,7 @@
 
 #include <cstdlib>
 
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::simulation {
 namespace {
--- a/tests/histories_test.cc
+++ b/tests/simulation/linearizability_test.cc
@@ -2,7 +2,8 @@
 
 #include <cstdlib>
 
-#include "operators.h"
+#include "configuration/patch.h"
+#include "simulation/operators.h"
 
 namespace elderkeel::simulation {
 namespace {
@@ -159,7 +160,7 @@
 
 void Play(uint64_t seed, int controllers) {
   ConfigurationModel::patch = [](const std::string& text, const std::string& body) {
-    return configuration::ApplyPatch(text, body).text;
+    return configuration::ApplyPatch(text, body).value_or("");
   };
   World::Options options;
   options.seed = seed;
--- a/tests/operators.h
+++ b/tests/simulation/operators.h
@@ -8,8 +8,9 @@
 #include <vector>
 
 #include "configuration/operator_api.h"
-#include "linearizability.h"
-#include "simulation.h"
+#include "configuration/validation.h"
+#include "simulation/linearizability.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::simulation {
 
@@ -76,11 +77,11 @@
     doors_[i].reset();
   }
   void Applied(size_t i, consensus::Index index) override {
-    if (doors_[i]) doors_[i]->api->Applied(world_->now, index);
+    if (doors_[i]) doors_[i]->api->OnApplied(world_->now, index);
   }
   void Pumped(size_t i, const consensus::RaftNode::Effects& e) override {
     if (!doors_[i]) return;
-    if (e.role_changed) doors_[i]->api->RoleChanged(world_->now);
+    if (e.role_changed) doors_[i]->api->OnRoleChanged();
     for (uint64_t token : e.failed_reads) ReadDone(i, token, false);
     for (uint64_t token : e.confirmed_reads) ReadDone(i, token, true);
   }
@@ -103,7 +104,7 @@
 
  private:
   // What the interface has of the simulated log.
-  class NodeLog : public configuration::Log {
+  class NodeLog : public configuration::ReplicatedLog {
    public:
     NodeLog(World* world, size_t i) : world_(world), i_(i) {}
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
@@ -114,7 +115,9 @@
       if (!leader) return std::nullopt;
       return leader->ip + ":8080";
     }
-    bool Read(uint64_t token) override { return node().raft->ConfirmRead(world_->now, token); }
+    bool ConfirmRead(uint64_t token) override {
+      return node().raft->ConfirmRead(world_->now, token);
+    }
     std::optional<uint64_t> Propose(const configuration::Change& change) override {
       return Put(controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
     }
@@ -430,7 +433,7 @@
     attempt.closed = true;
     if (!attempt.delivered) return;
     if (doors_[i] && world_->node(i).frozen) return At(10, Event::kClosed, ticket);
-    if (doors_[i]) doors_[i]->api->Gone(ticket);
+    if (doors_[i]) doors_[i]->api->OnCallerGone(ticket);
     attempts_.erase(ticket);
   }
   void Answered(size_t i, uint64_t ticket, const wire::Message& answer) {
@@ -457,7 +460,7 @@
   }
   void ReadDone(size_t i, uint64_t token, bool confirmed) {
     if (token >= configuration::OperatorApi::kFirstToken) {
-      doors_[i]->api->ReadDone(world_->now, token, confirmed);
+      doors_[i]->api->OnReadFinished(world_->now, token, confirmed);
       return;
     }
     auto at = zone_reads_.find(token);
--- a/tests/cut_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -9,7 +9,7 @@
 #include "configuration/operator_api.h"
 #include "consensus/raft_node.h"
 #include "dissemination/confirm.h"
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 // What a control machine that is cut off, frozen or late may not do.
 
@@ -326,13 +326,13 @@
       desks_.push_back(std::make_unique<Desk>(this, static_cast<size_t>(i)));
     }
     world->hooks.applied = [this](size_t i, const consensus::Entry& e) {
-      if (auto* api = Api(i)) api->Applied(world_->now, e.index);
+      if (auto* api = Api(i)) api->OnApplied(world_->now, e.index);
     };
     world->hooks.role_changed = [this](size_t i) {
-      if (auto* api = Api(i)) api->RoleChanged(world_->now);
+      if (auto* api = Api(i)) api->OnRoleChanged();
     };
     world->hooks.read_done = [this](size_t i, uint64_t token, bool ok) {
-      if (auto* api = Api(i)) api->ReadDone(world_->now, token, ok);
+      if (auto* api = Api(i)) api->OnReadFinished(world_->now, token, ok);
     };
   }
 
@@ -358,7 +358,7 @@
   std::map<uint64_t, Answer> answers;
 
  private:
-  struct Desk : configuration::Log {
+  struct Desk : configuration::ReplicatedLog {
     Desk(Desks* all, size_t i) : all(all), i(i) {}
     World::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
@@ -370,7 +370,7 @@
       if (!leader) return std::nullopt;
       return leader->ip;
     }
-    bool Read(uint64_t token) override { return node().raft->ConfirmRead(now(), token); }
+    bool ConfirmRead(uint64_t token) override { return node().raft->ConfirmRead(now(), token); }
     template <class T>
     std::optional<uint64_t> Put(controller::Command::Kind kind, const T& what) {
       return node().raft->Propose(now(), controller::MakeCommand(kind, what));
--- a/tests/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -1,4 +1,4 @@
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/duty_test.cc
+++ b/tests/singleton/assigner_test.cc
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "singleton/assigner.h"
 
+#include <gtest/gtest.h>
+
 namespace elderkeel::singleton {
 namespace {
 
--- a/tools/once_run.cc
+++ b/tools/at_most_once_run.cc
@@ -3,11 +3,11 @@
 // once ran twice, a client got what isn't its answer, or a promise was broken. Not part of CI,
 // which has a short run of the same (once_test.cc). It stops by itself.
 //
-//   once_run [SECONDS] [FIRST_SEED] [RUNS]
+//   at_most_once_run [SECONDS] [FIRST_SEED] [RUNS]
 
 #include <cstdlib>
 
-#include "once_world.h"
+#include "forwarding/at_most_once_world.h"
 
 int main(int argc, char** argv) {
   using namespace elderkeel;
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -15,8 +15,9 @@
 #include <map>
 #include <sstream>
 
-#include "configuration/document.h"
-#include "configuration/register.h"
+#include "configuration/configuration_state.h"
+#include "configuration/routing_table.h"
+#include "configuration/validation.h"
 #include "dissemination/disseminator.h"
 #include "membership/membership.h"
 #include "wire/frame.h"
@@ -52,7 +53,7 @@
          Route(route, 1000 + static_cast<int>(revision % 1000)) + "]}}";
 }
 
-size_t HeldVersions() { return mallinfo2().uordblks; }
+size_t HeldBytes() { return mallinfo2().uordblks; }
 
 // Times of steps, in microseconds, by name; printed in the order of their first use.
 class Times {
@@ -102,8 +103,8 @@
   membership::Membership controllers(Self(membership::Program::kController), {}, 0);
   membership::Membership proxies(Self(membership::Program::kProxy), {}, 0);
   const base::Address from{"127.0.0.2", 1};
-  size_t before = HeldVersions();
-  auto leader = std::make_unique<configuration::Register>();
+  size_t before = HeldBytes();
+  auto leader = std::make_unique<configuration::ConfigurationState>();
   auto told = std::make_unique<dissemination::Disseminator>(dissemination::Disseminator::Options(),
                                                             &controllers, 0);
   auto adopts = std::make_unique<dissemination::Disseminator>(
@@ -117,24 +118,24 @@
     configuration::Change c{patch, base,
                             patch ? Patch(revision, static_cast<int>(revision * 7919 % routes))
                                   : Whole(revision, routes)};
-    configuration::Register::Verdict verdict;
-    times.Add(kind + ", leader: Judge", [&] { verdict = leader->Judge(c); });
+    base::Verdict verdict;
+    times.Add(kind + ", leader: Evaluate", [&] { verdict = leader->Evaluate(c); });
     Expect(verdict.status == 0, verdict.reason.c_str());
     bool applied = false;
     times.Add(kind + ", leader: Apply", [&] { applied = leader->Apply(c); });
     Expect(applied, "a change was not applied");
-    times.Add(kind + ", leader: Judge after it", [&] { verdict = leader->Judge(c); });
+    times.Add(kind + ", leader: Evaluate after it", [&] { verdict = leader->Evaluate(c); });
     Expect(verdict.status == 200, "a change is not known again");
-    times.Add(kind + ", leader: Exchange::Commit", [&] {
+    times.Add(kind + ", leader: Disseminator::Commit", [&] {
       told->Commit(0, *leader);
       told->Take();
     });
-    times.Add(kind + ", proxy: Exchange::OnConfig", [&] {
+    times.Add(kind + ", proxy: Disseminator::OnConfigurationUpdate", [&] {
       adopts->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
       adopts->Take();
     });
     Expect(adopts->revision() == revision, "a change was not adopted");
-    times.Add(kind + ", proxy: Table", [&] {
+    times.Add(kind + ", proxy: RoutingTable", [&] {
       table = patch ? configuration::RoutingTable::Patch(*table, c.body, &names, &regions)
                     : configuration::RoutingTable::Build(adopts->configuration_text(), &names,
                                                          &regions);
@@ -142,7 +143,7 @@
     Expect(table && table->revision() == revision, "a table is not of the change");
   };
   for (int i = 0; i < std::max(3, repeats / 4); ++i) change("whole", false);
-  size_t after_whole = HeldVersions();
+  size_t after_whole = HeldBytes();
   change("first patch", true);
   for (int i = 0; i < repeats; ++i) change("patch", true);
   Expect(leader->text() == adopts->configuration_text(),
@@ -162,16 +163,16 @@
   times.Print(routes);
   std::printf("%6d routes  document %zu bytes\n", routes, leader->text().size());
   change("patch", true);
-  size_t all = HeldVersions();
+  size_t all = HeldBytes();
   auto print = [&](const char* what, size_t bytes) {
     std::printf("%6d routes  held: %-38s %10zu bytes\n", routes, what, bytes);
   };
   print("everything after a whole change", after_whole - before);
   print("everything after patches", all - before);
   auto drop = [&](const char* what, auto* of) {
-    size_t full = HeldVersions();
+    size_t full = HeldBytes();
     of->reset();
-    print(what, full - HeldVersions());
+    print(what, full - HeldBytes());
   };
   drop("table of a proxy", &table);
   drop("news of a proxy", &adopts);
--- a/tools/model_walk.cc
+++ b/tools/model_check.cc
@@ -1,7 +1,7 @@
 // The long walk of the model checker: from a scenario breadth first to a depth, or by random walks.
 // Not part of CI; docs/consensus.md holds what it gave. It stops by itself.
 //
-//   model_walk SCENARIO|all [--depth N] [--seconds S] [--random SEED] [--members N] [--spares N]
+//   model_check SCENARIO|all [--depth N] [--seconds S] [--random SEED] [--members N] [--spares N]
 //              [--tolerance N] [--past-refusal 1] [--budget STEP=N,STEP=N] [--ignore
 //              INVARIANT,INVARIANT]
 
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <sstream>
 
-#include "model_scenarios.h"
+#include "consensus/model_scenarios.h"
 
 namespace elderkeel::model {
 namespace {
@@ -25,7 +25,7 @@
 
 int Main(int argc, char** argv) {
   if (argc < 2) {
-    std::fprintf(stderr, "model_walk SCENARIO|all [options]; scenarios:");
+    std::fprintf(stderr, "model_check SCENARIO|all [options]; scenarios:");
     for (const Scenario& s : Scenarios()) std::fprintf(stderr, " %s", s.name.c_str());
     std::fprintf(stderr, "\n");
     return 2;
--- a/tools/scale_run.cc
+++ b/tools/scale_run.cc
@@ -22,7 +22,8 @@
 
 #include "base/log.h"
 #include "base/random.h"
-#include "configuration/document.h"
+#include "configuration/routing_table.h"
+#include "configuration/validation.h"
 #include "dissemination/peers.h"
 #include "rollout/canary_policy.h"
 #include "wire/http_client.h"
--- a/tools/trace_digest.cc
+++ b/tools/trace_digest.cc
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation.h"
+#include "simulation/simulation.h"
 
 namespace elderkeel::simulation {
 namespace {
