--- a/src/base/loop.cc
+++ b/src/base/loop.cc
@@ -103,7 +103,7 @@
     timer->fire_();
     return;
   }
-  // ShiftedShare out first: the callback may start this timer anew or destroy it.
+  // Moved out first: the callback may start this timer anew or destroy it.
   std::function<void()> fire = std::move(timer->fire_);
   timer->fire_ = nullptr;
   fire();
--- a/src/consensus/quorum.h
+++ b/src/consensus/quorum.h
@@ -31,7 +31,7 @@
   return values[MajorityOf(values.size()) - 1];
 }
 
-// VersionCounters the replicas of one entry. A majority decides; what it decided must also outlive
+// Counts the replicas of one entry. A majority decides; what it decided must also outlive
 // the loss that is tolerated. Both matter: of five voters with two that may be lost, three replicas
 // are enough; of three voters they are all needed.
 class ReplicaCount {
--- /dev/null
+++ b/src/controller/catalog_poller.cc
@@ -0,0 +1,155 @@
+#include "controller/catalog_poller.h"
+
+#include <cstdint>
+#include <utility>
+
+#include "base/log.h"
+
+namespace elderkeel::controller {
+namespace {
+constexpr base::Millis kOwnerSilenceMs = 1000;      // after which the leader names another owner
+constexpr base::Millis kPlatformPatienceMs = 3000;  // without a reading, then the reader resigns
+constexpr base::Millis kResignEveryMs = 5000;
+constexpr base::Millis kClaimEveryMs = 200;
+}  // namespace
+
+CatalogPoller::CatalogPoller(Context* context)
+    : context_(context),
+      platform_(context->loop, context->settings.platform),
+      assigner_(kOwnerSilenceMs) {}
+
+bool CatalogPoller::IsReader() const {
+  uint64_t owner = context_->state.catalog_reader.owner;
+  return context_->replica->running() && owner != 0 && owner == context_->replica->self().id;
+}
+
+bool CatalogPoller::HasPublished() const {
+  const singleton::Assignment& assignment = context_->state.catalog_reader;
+  return IsReader() && assignment.boot_id == context_->boot_id && sequence_ > 0 &&
+         epoch_ == assignment.epoch;
+}
+
+std::vector<singleton::Candidate> CatalogPoller::Candidates(base::Millis now) const {
+  const consensus::RaftNode& raft = context_->replica->raft();
+  std::vector<singleton::Candidate> candidates;
+  for (const consensus::Member& voter : raft.voters()) {
+    base::Millis last = raft.LastContact(voter.id);
+    bool self = voter.id == raft.self().id;
+    candidates.push_back({voter.id, last < 0 ? INT64_MAX : now - last, self});
+  }
+  return candidates;
+}
+
+void CatalogPoller::Propose(const singleton::Assignment& assignment) {
+  context_->replica->Propose(MakeCommand(Command::Kind::kCatalogReader, assignment));
+}
+
+void CatalogPoller::ReviewAssignment(base::Millis now) {
+  if (!context_->HasCommittedInTerm()) return;
+  auto next = assigner_.Review(now, context_->state.catalog_reader, Candidates(now));
+  if (next) Propose(*next);
+}
+
+void CatalogPoller::OnResignation(base::Millis now, const singleton::Resignation& resignation) {
+  if (!context_->IsLeader()) return;
+  auto next =
+      assigner_.OnResignation(now, context_->state.catalog_reader, Candidates(now), resignation);
+  if (next) Propose(*next);
+}
+
+void CatalogPoller::OnAssigned(base::Millis now) {
+  assigner_.Clear();
+  last_success_at_ = now;
+  next_read_at_ = 0;
+  Tick(now);
+}
+
+// The leader knows best who is alive; a reader that is not the leader leaves the choice to it.
+void CatalogPoller::Resign(base::Millis now, const char* reason) {
+  resigned_at_ = now;
+  singleton::Resignation resignation;
+  resignation.epoch = context_->state.catalog_reader.epoch;
+  base::Info("catalog_reader.resigned", {{"epoch", resignation.epoch}, {"reason", reason}});
+  SendToLeader(now, resignation);
+}
+
+void CatalogPoller::SendToLeader(base::Millis now, const singleton::Resignation& resignation) {
+  if (context_->IsLeader()) {
+    OnResignation(now, resignation);
+  } else if (auto leader = context_->replica->raft().leader()) {
+    context_->node->mesh().Send(leader->address(), wire::Kind::kResign, resignation);
+  }
+}
+
+void CatalogPoller::Tick(base::Millis now) {
+  if (context_->stopping || platform_.busy() || context_->IsIdle()) return;
+  if (!context_->node->disseminator().has_endpoints() && now >= next_read_at_) {
+    ReadWithoutEpoch(now);
+    return;
+  }
+  if (!IsReader()) return;
+  const singleton::Assignment& assignment = context_->state.catalog_reader;
+  if (assignment.boot_id != context_->boot_id) {
+    Claim(now);
+    return;
+  }
+  if (epoch_ != assignment.epoch) {
+    epoch_ = assignment.epoch;
+    sequence_ = 0;
+    last_success_at_ = now;
+  }
+  bool unreadable = now - last_success_at_ > kPlatformPatienceMs;
+  bool others = context_->replica->raft().voters().size() > 1;
+  if (unreadable && others && now - resigned_at_ > kResignEveryMs) {
+    Resign(now, "the platform can't be read");
+  }
+  if (now < next_read_at_) return;
+  next_read_at_ = now + context_->settings.PollMs();
+  platform_.Read([this](auto servers) { OnRead(std::move(servers)); });
+}
+
+// Nobody has sent this node any endpoints, as after a loss of the whole fleet. Its zone need not
+// wait for a reader to be assigned: a reading without an epoch gives way to the first one that has
+// one.
+void CatalogPoller::ReadWithoutEpoch(base::Millis now) {
+  next_read_at_ = now + context_->settings.PollMs();
+  platform_.Read([this](base::Result<std::vector<discovery::Server>> servers) {
+    if (!servers) {
+      base::Warn("catalog.read_failed", servers.error());
+    } else if (!context_->node->disseminator().has_endpoints()) {
+      base::Info("catalog.first_reading", {{"servers", servers->size()}});
+      context_->node->Publish({0, 1, std::move(*servers)});
+    }
+    next_read_at_ = 0;
+  });
+}
+
+// The role was assigned to an earlier incarnation of this process, whose numbering is lost.
+void CatalogPoller::Claim(base::Millis now) {
+  if (now - claimed_at_ < kClaimEveryMs) return;
+  claimed_at_ = now;
+  SendToLeader(
+      now, {context_->state.catalog_reader.epoch, context_->replica->self().id, context_->boot_id});
+}
+
+void CatalogPoller::OnRead(base::Result<std::vector<discovery::Server>> servers) {
+  if (!servers) {
+    base::Warn("catalog.read_failed", servers.error());
+    return;  // what was last read stays; nobody is removed
+  }
+  last_success_at_ = base::SteadyMillis();
+  if (!IsReader() || epoch_ != context_->state.catalog_reader.epoch) return;
+  if (sequence_ > 0 && discovery::SameServers(servers_, *servers)) {
+    context_->node->ConfirmEndpoints(epoch_);
+    return;
+  }
+  servers_ = std::move(*servers);
+  ++sequence_;
+  base::Info("catalog.changed",
+             {{"epoch", epoch_}, {"sequence", sequence_}, {"servers", servers_.size()}});
+  if (!context_->node->Publish({epoch_, sequence_, servers_})) {
+    base::Info("catalog.superseded", {{"epoch", epoch_}});
+  }
+}
+
+}  // namespace elderkeel::controller
--- /dev/null
+++ b/src/controller/control_state.cc
@@ -0,0 +1,60 @@
+#include "controller/control_state.h"
+
+#include <utility>
+
+namespace elderkeel::controller {
+namespace {
+
+// Decodes a command's payload and applies it to `state`; true if it changed something.
+template <class Payload, class State>
+bool ApplyPayload(const std::string& payload, State* state) {
+  auto decoded = wire::Decode<Payload>(payload);
+  return decoded && state->Apply(*decoded);
+}
+
+// Snapshots of earlier versions end before the fields that came later.
+struct BeforeRollouts {
+  ControlState state;
+  void serialize(cereal::BinaryInputArchive& archive) {
+    archive(state.configuration, state.catalog_reader, state.drained_zones);
+  }
+};
+struct BeforeZoneDrains {
+  ControlState state;
+  void serialize(cereal::BinaryInputArchive& archive) {
+    archive(state.configuration, state.catalog_reader);
+  }
+};
+
+}  // namespace
+
+ControlState::Effect ControlState::Apply(const std::string& data) {
+  auto command = wire::Decode<Command>(data);
+  if (!command) return Effect::kNone;
+  const std::string& payload = command->payload;
+  switch (command->kind) {
+    case Command::Kind::kConfiguration:
+      return ApplyPayload<configuration::Change>(payload, &configuration) ? Effect::kConfiguration
+                                                                          : Effect::kNone;
+    case Command::Kind::kZoneDrain:
+      return ApplyPayload<zone_drain::DrainOrder>(payload, &drained_zones) ? Effect::kZoneDrain
+                                                                           : Effect::kNone;
+    case Command::Kind::kRollout:
+      return ApplyPayload<rollout::Step>(payload, &rollouts) ? Effect::kRollout : Effect::kNone;
+    case Command::Kind::kCatalogReader:
+      break;
+  }
+  auto assignment = wire::Decode<singleton::Assignment>(payload);
+  if (!assignment || assignment->epoch <= catalog_reader.epoch) return Effect::kNone;
+  catalog_reader = *assignment;
+  return Effect::kCatalogReader;
+}
+
+std::optional<ControlState> ControlState::Decode(const std::string& bytes) {
+  if (auto state = wire::Decode<ControlState>(bytes)) return state;
+  if (auto before = wire::Decode<BeforeRollouts>(bytes)) return std::move(before->state);
+  if (auto before = wire::Decode<BeforeZoneDrains>(bytes)) return std::move(before->state);
+  return std::nullopt;
+}
+
+}  // namespace elderkeel::controller
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -1,474 +1,559 @@
 #include "controller/controller.h"
 
 #include <algorithm>
+#include <csignal>
+#include <utility>
 
 #include "base/log.h"
 #include "base/random.h"
+#include "controller/status_writer.h"
 
 namespace elderkeel::controller {
 namespace {
 
 constexpr base::Millis kTickMs = 50;
-constexpr base::Millis kBeginMs = 20;
+constexpr base::Millis kStartReplicaEveryMs = 20;
 constexpr base::Millis kJoinEveryMs = 400;
-constexpr base::Millis kHolderPatienceMs = 1000;
-constexpr base::Millis kLeaveMs = 800;
-constexpr size_t kMaxControlBody = 16u << 20;
-
-}  // namespace
-
-namespace {
+// For the entry that names another catalog reader to go out before leadership does.
+constexpr base::Millis kHandOverMs = 150;
+constexpr base::Millis kMinStopMs = 800;
+constexpr size_t kMaxControlBodyBytes = 16u << 20;
+constexpr size_t kMaxControlConnections = 256;
+constexpr const char* kRetryAfterS = "0.3";
 
 consensus::MemberId FounderId(const base::Address& address) {
   return base::Hash(address.ToString(), 7) | 1;
 }
 
-}  // namespace
-
-Controller::Controller(base::Loop* loop, base::Settings settings, std::string settings_path)
-    : loop_(loop),
-      settings_(std::move(settings)),
-      settings_path_(std::move(settings_path)),
-      assignment_(kHolderPatienceMs),
-      boot_id_(base::RandomSeed() | 1) {}
-
-consensus::Replica::Options Controller::ReplicaOptions(std::vector<base::Address> founders) const {
-  consensus::Replica::Options options;
-  options.self.ip = settings_.ip;
-  options.self.port = settings_.ControllerPort();
-  options.self.id = FounderId(options.self.address());
-  options.self.control = settings_.control.ToString();
-  options.self.zone = settings_.zone;
-  options.bootstrap = settings_.bootstrap;
-  options.data_dir = settings_.data_dir;
-  options.timing.heartbeat_interval = settings_.raft_heartbeat_ms;
-  options.timing.election_timeout = settings_.election_ms;
-  options.tolerance.machines = static_cast<size_t>(settings_.tolerance_machines);
-  options.tolerance.zones = static_cast<size_t>(settings_.tolerance_zones);
-  options.tolerance.regions = static_cast<size_t>(settings_.tolerance_regions);
-  options.regions = settings_.zones;
+// What the founders agree on without a word: a hash of the seeds, in the same order everywhere.
+uint64_t ClusterId(const std::vector<base::Address>& seeds) {
   std::vector<std::string> names;
-  for (const base::Address& seed : settings_.seeds) names.push_back(seed.ToString());
-  for (const base::Address& founder : founders) {
-    consensus::Member member;
-    member.ip = founder.ip;
-    member.port = settings_.ControllerPort();
-    member.id = FounderId(member.address());
-    member.control = founder.ToString();
-    if (const membership::Node* node = peers_->members().Find(member.address()))
-      member.zone = node->zone;
-    options.founders.push_back(member);
-  }
-  std::sort(options.founders.begin(), options.founders.end(),
-            [](const auto& a, const auto& b) { return a.id < b.id; });
+  for (const base::Address& seed : seeds) names.push_back(seed.ToString());
   std::sort(names.begin(), names.end());
   std::string all;
   for (const std::string& name : names) all += name + ",";
-  options.cluster = base::Hash(all) | 1;
-  return options;
+  return base::Hash(all) | 1;
 }
 
-// The founders are those of the seeds that have a disk, or all if none has: a vote that a loss of
-// power forgets is no vote. All seeds are up at the first start, and whether a machine has a disk
-// does not change, so every founder comes to the same list. Any other process joins.
-bool Controller::Begin() {
-  if (replica_->started()) return true;
-  bool seed = std::find(settings_.seeds.begin(), settings_.seeds.end(), settings_.control) !=
-              settings_.seeds.end();
-  if (settings_.bootstrap && seed && !consensus::Replica::HasStore(settings_.data_dir)) {
-    std::vector<base::Address> durable, all = settings_.seeds;
-    for (const base::Address& address : all) {
-      const membership::Node* node =
-          peers_->members().Find({address.ip, settings_.ControllerPort()});
-      if (!node) return false;
-      if (node->durable) durable.push_back(address);
-    }
-    replica_->Start(ReplicaOptions(durable.empty() ? all : durable));
-  } else {
-    replica_->Start(ReplicaOptions({}));
-  }
-  for (const auto& [id, node] : peers_->members().nodes()) replica_->SetZone(node.ip, node.zone);
-  return true;
+// The part of a request's target behind `mark`; empty if it has none.
+std::string_view TargetBehind(const wire::Message& request, std::string_view mark) {
+  std::string_view target = request.target;
+  size_t found = target.find(mark);
+  return found == std::string_view::npos ? "" : target.substr(found + mark.size());
 }
 
-bool Controller::HasZone(const std::string& zone) const {
-  if (settings_.zones.count(zone)) return true;
-  for (const discovery::Server& server : peers_->disseminator().endpoints().servers) {
-    if (server.zone == zone) return true;
-  }
-  return false;
+wire::Message Redirect(const char* reason, const std::string& address, const std::string& target) {
+  wire::Message answer = wire::OwnAnswer(307, reason);
+  answer.headers.push_back({"Location", "http://" + address + target});
+  return answer;
 }
 
-bool Controller::Idle() const {
-  return settings_.data_dir.empty() && peers_->members().NearestDurable(true).has_value();
+wire::Message Unavailable(const char* reason) {
+  wire::Message answer = wire::OwnAnswer(503, reason);
+  answer.headers.push_back({"Retry-After", kRetryAfterS});
+  return answer;
 }
 
-void Controller::SendOn(wire::HttpServer::Ticket ticket, const std::string& target) {
-  auto to = peers_->members().NearestDurable(false);
-  wire::Message answer = wire::OwnAnswer(to ? 307 : 503, "this controller has no part in the log");
-  if (to) {
-    // All controllers take the operator at the same port.
-    answer.headers.push_back(
-        {"Location", "http://" + to->ip + ":" + std::to_string(settings_.control.port) + target});
-  } else {
-    answer.headers.push_back({"Retry-After", "0.3"});
-  }
-  control_->Answer(ticket, answer);
-}
+}  // namespace
+
+Controller::Controller(base::Loop* loop, base::Settings settings, std::string settings_path)
+    : loop_(loop),
+      settings_path_(std::move(settings_path)),
+      context_(loop, std::move(settings), base::RandomSeed() | 1),
+      catalog_poller_(&context_),
+      voucher_(&context_, &catalog_poller_),
+      confirmations_(&context_) {}
 
 base::Status Controller::Start() {
-  dissemination::Peers::Hooks hooks;
-  hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
+  MakeNode();
+  MakeReplica();
+  MakeOperatorApi();
+  base::Status started = context_.node->Start();
+  if (!started) return started;
+  rollouts_ = std::make_unique<RolloutManager>(&context_);
+  StartReplica();
+  start_timer_.Repeat(loop_, kStartReplicaEveryMs, [this] {
+    if (StartReplica()) start_timer_.Cancel();
+  });
+  started = StartDirectory();
+  if (!started) return started;
+  started = control_server_->Listen(context_.settings.control);
+  if (!started) return started;
+  context_.node->WatchSettings(settings_path_, [this](const base::Settings& settings) {
+    context_.settings.poll_ms = settings.poll_ms;
+    context_.settings.seeds = settings.seeds;
+  });
+  loop_->OnSignal(SIGTERM, [this] { Terminate(); });
+  tick_timer_.Repeat(loop_, kTickMs, [this] { Tick(); });
+  base::Info("controller.started", {{"node", context_.settings.node_name},
+                                    {"control", context_.settings.control.ToString()},
+                                    {"version", ELDERKEEL_VERSION}});
+  return {};
+}
+
+void Controller::MakeNode() {
+  cluster::ClusterNode::Callbacks callbacks;
+  callbacks.message = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
     OnMessage(from, kind, payload);
   };
-  hooks.node_changed = [this](const membership::Node& node) {
-    if (replica_) replica_->SetZone(node.ip, node.zone);
-    Note("node." + std::string(membership::StateName(node.state)), node.address().ToString());
+  callbacks.node_changed = [this](const membership::Node& node) {
+    if (context_.replica) context_.replica->SetZone(node.ip, node.zone);
+    context_.Note("node." + std::string(membership::StateName(node.state)),
+                  node.address().ToString());
   };
-  peers_ = std::make_unique<dissemination::Peers>(loop_, settings_,
-                                                  membership::Program::kController, hooks);
+  context_.node = std::make_unique<cluster::ClusterNode>(
+      loop_, context_.settings, membership::Program::kController, std::move(callbacks));
+}
 
-  consensus::Replica::Callbacks log;
-  log.send = [this](const base::Address& to, const consensus::Message& message) {
-    peers_->mesh().Send(to, wire::Kind::kConsensus, message);
+void Controller::MakeReplica() {
+  consensus::Replica::Callbacks callbacks;
+  callbacks.send = [this](const base::Address& to, const consensus::Message& message) {
+    context_.node->mesh().Send(to, wire::Kind::kConsensus, message);
   };
-  log.apply = [this](const consensus::Entry& entry) { Applied(entry); };
-  log.all_applied = [this] {
-    if (!state_.configuration.empty()) peers_->Commit(state_.configuration);
-    peers_->Commit(state_.drained_zones);
-    AdoptRollouts(base::SteadyMillis());
+  callbacks.apply = [this](const consensus::Entry& entry) { OnApplied(entry); };
+  callbacks.all_applied = [this] { PublishState(); };
+  callbacks.install = [this](const consensus::Snapshot& snapshot) {
+    OnSnapshotInstalled(snapshot);
   };
-  log.install = [this](const consensus::Snapshot& snapshot) {
-    ControlState state;
-    if (!snapshot.state.empty()) {
-      if (auto decoded = ControlState::Read(snapshot.state)) {
-        state = std::move(*decoded);
-      } else {
-        base::Warn("snapshot.decode_failed", {{"index", snapshot.index}});
-      }
-    }
-    state_ = std::move(state);
-    if (!state_.configuration.empty()) peers_->Commit(state_.configuration);
-    peers_->Commit(state_.drained_zones);
-    AdoptRollouts(base::SteadyMillis());
+  callbacks.encode_state = [this] { return wire::Encode(context_.state); };
+  callbacks.read_finished = [this](uint64_t token, bool confirmed) {
+    OnReadFinished(token, confirmed);
   };
-  log.encode_state = [this] { return wire::Encode(state_); };
-  log.read_finished = [this](uint64_t token, bool ok) { ReadDone(token, ok); };
-  log.role_changed = [this] { RoleChanged(); };
-  log.store_changed = [this](const std::string& event, const std::string& reason) {
-    Note(event, reason);
+  callbacks.role_changed = [this] { OnRoleChanged(); };
+  callbacks.store_changed = [this](const std::string& event, const std::string& reason) {
+    context_.Note(event, reason);
   };
-  operator_ = std::make_unique<configuration::OperatorApi>(
-      this, &state_.configuration, &state_.drained_zones, &state_.rollouts,
-      [this](uint64_t ticket, const wire::Message& answer) { control_->Answer(ticket, answer); });
-  wire::HttpServer::Options server;
-  server.limits = [] {
+  context_.replica = std::make_unique<consensus::Replica>(loop_, std::move(callbacks));
+}
+
+void Controller::MakeOperatorApi() {
+  auto answer = [this](uint64_t ticket, const wire::Message& message) {
+    control_server_->Answer(ticket, message);
+  };
+  const ControlState& state = context_.state;
+  operator_api_ = std::make_unique<configuration::OperatorApi>(
+      this, &state.configuration, &state.drained_zones, &state.rollouts, answer);
+  diagnosis_ = std::make_unique<DiagnosisService>(
+      &context_,
+      [this](const diagnosis::Inquiry& nodes) {
+        return WriteStatus(context_, nodes, base::SteadyMillis());
+      },
+      answer);
+  wire::HttpServer::Options options;
+  options.limits = [] {
     wire::Limits limits;
-    limits.body_bytes = kMaxControlBody;
+    limits.body_bytes = kMaxControlBodyBytes;
     return limits;
   };
-  server.notice_sleep = true;
-  server.max_connections = 256;
-  control_ = std::make_unique<wire::HttpServer>(
-      loop_, server, [this](wire::HttpServer::Ticket ticket, wire::Message&& request) {
-        OnRequest(ticket, std::move(request));
+  options.notice_sleep = true;
+  options.max_connections = kMaxControlConnections;
+  control_server_ = std::make_unique<wire::HttpServer>(
+      loop_, options,
+      [this](Ticket ticket, wire::Message&& request) { OnRequest(ticket, std::move(request)); });
+  control_server_->OnGone([this](Ticket ticket) { operator_api_->OnCallerGone(ticket); });
+}
+
+base::Status Controller::StartDirectory() {
+  const base::Settings& settings = context_.settings;
+  if (settings.directory.port == 0) return {};
+  directory::Directory::Options options;
+  auto max_ttl_s = std::max<int64_t>(1, static_cast<int64_t>(settings.ttl_max_s));
+  options.ttl_most_s = max_ttl_s;
+  options.ttl_s = std::min(options.ttl_s, max_ttl_s);
+  directory_ = std::make_unique<directory::Directory>(options, &context_.node->membership(),
+                                                      base::RandomSeed(), base::SteadyMillis());
+  wire::HttpServer::Options server_options;
+  server_options.limits = [] { return wire::Limits(); };
+  server_options.max_connections = static_cast<size_t>(settings.max_fds / 4);
+  directory_server_ = std::make_unique<wire::HttpServer>(
+      loop_, server_options, [this](Ticket ticket, wire::Message&& request) {
+        directory_server_->Answer(ticket, directory_->Answer(base::SteadyMillis(), request));
       });
-  control_->OnGone([this](wire::HttpServer::Ticket ticket) { operator_->OnCallerGone(ticket); });
-  platform_ = std::make_unique<discovery::PlatformClient>(loop_, settings_.platform);
-  replica_ = std::make_unique<consensus::Replica>(loop_, std::move(log));
-  auto started = peers_->Start();
-  if (!started) return started;
-  rollout::Observer::Options observer;
-  observer.self = peers_->members().self().id;
-  observer.boot_id = boot_id_;
-  observer.canary_share = rollout::CanaryPolicy({settings_.canary_share}).CanaryShare();
-  observer_ = std::make_unique<rollout::Observer>(observer);
-  Begin();
-  begin_.Repeat(loop_, kBeginMs, [this] {
-    if (Begin()) begin_.Cancel();
-  });
-  if (settings_.directory.port != 0) {
-    directory::Directory::Options resolution;
-    resolution.ttl_most_s = std::max<int64_t>(1, static_cast<int64_t>(settings_.ttl_max_s));
-    resolution.ttl_s =
-        std::min(resolution.ttl_s, std::max<int64_t>(1, static_cast<int64_t>(settings_.ttl_max_s)));
-    directory_ = std::make_unique<directory::Directory>(resolution, &peers_->members(),
-                                                        base::RandomSeed(), base::SteadyMillis());
-    wire::HttpServer::Options directory_options;
-    directory_options.limits = [] { return wire::Limits(); };
-    directory_options.max_connections = static_cast<size_t>(settings_.max_fds / 4);
-    directory_server_ = std::make_unique<wire::HttpServer>(
-        loop_, directory_options, [this](wire::HttpServer::Ticket ticket, wire::Message&& request) {
-          directory_server_->Answer(ticket, directory_->Answer(base::SteadyMillis(), request));
-        });
-    auto serving = directory_server_->Listen(settings_.directory);
-    if (!serving) return serving;
+  return directory_server_->Listen(settings.directory);
+}
+
+// --- the log ---
+
+consensus::Replica::Options Controller::ReplicaOptions(
+    const std::vector<base::Address>& founders) const {
+  const base::Settings& settings = context_.settings;
+  consensus::Replica::Options options;
+  options.self.ip = settings.ip;
+  options.self.port = settings.ControllerPort();
+  options.self.id = FounderId(options.self.address());
+  options.self.control = settings.control.ToString();
+  options.self.zone = settings.zone;
+  options.bootstrap = settings.bootstrap;
+  options.data_dir = settings.data_dir;
+  options.timing.heartbeat_interval = settings.raft_heartbeat_ms;
+  options.timing.election_timeout = settings.election_ms;
+  options.tolerance.machines = static_cast<size_t>(settings.tolerance_machines);
+  options.tolerance.zones = static_cast<size_t>(settings.tolerance_zones);
+  options.tolerance.regions = static_cast<size_t>(settings.tolerance_regions);
+  options.regions = settings.zones;
+  options.cluster = ClusterId(settings.seeds);
+  for (const base::Address& founder : founders) {
+    consensus::Member member;
+    member.ip = founder.ip;
+    member.port = settings.ControllerPort();
+    member.id = FounderId(member.address());
+    member.control = founder.ToString();
+    const membership::Node* node = context_.node->membership().Find(member.address());
+    if (node) member.zone = node->zone;
+    options.founders.push_back(member);
   }
-  auto listening = control_->Listen(settings_.control);
-  if (!listening) return listening;
-  watch_ = std::make_unique<lifecycle::SettingsWatcher>(
-      loop_, settings_path_, [this](const base::Settings& taken) {
-        base::SetLogLevel(base::ParseLogLevel(taken.log_level, base::LogLevel::kInfo));
-        settings_.poll_ms = taken.poll_ms;
-        settings_.seeds = taken.seeds;
-      });
-  loop_->OnSignal(SIGTERM, [this] { Terminate(); });
-  tick_.Repeat(loop_, kTickMs, [this] { Tick(); });
-  base::Info("controller.started", {{"node", settings_.node_name},
-                                    {"control", settings_.control.ToString()},
-                                    {"version", ELDERKEEL_VERSION}});
-  return {};
+  std::sort(options.founders.begin(), options.founders.end(),
+            [](const auto& a, const auto& b) { return a.id < b.id; });
+  return options;
 }
 
-void Controller::Note(std::string what, std::string detail) {
-  journal_.Append({base::SteadyMillis(), std::move(what), std::move(detail)});
+// The initial voters are those of the seeds that have a disk, or all if none has: a vote that a
+// loss of power forgets is no vote. All seeds are up at the first start, and whether a machine has
+// a disk does not change, so every one of them comes to the same list. None while a seed is not
+// known yet.
+std::optional<std::vector<base::Address>> Controller::InitialVoters() const {
+  const base::Settings& settings = context_.settings;
+  std::vector<base::Address> durable;
+  for (const base::Address& seed : settings.seeds) {
+    const membership::Node* node =
+        context_.node->membership().Find({seed.ip, settings.ControllerPort()});
+    if (!node) return std::nullopt;
+    if (node->durable) durable.push_back(seed);
+  }
+  return durable.empty() ? settings.seeds : durable;
+}
+
+// True if the replica has started. Any process but an initial voter joins.
+bool Controller::StartReplica() {
+  if (context_.replica->started()) return true;
+  const base::Settings& settings = context_.settings;
+  bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(), settings.control) !=
+                 settings.seeds.end();
+  bool founds = settings.bootstrap && is_seed && !consensus::Replica::HasStore(settings.data_dir);
+  std::vector<base::Address> founders;
+  if (founds) {
+    auto voters = InitialVoters();
+    if (!voters) return false;
+    founders = std::move(*voters);
+  }
+  context_.replica->Start(ReplicaOptions(founders));
+  for (const auto& [id, node] : context_.node->membership().nodes()) {
+    context_.replica->SetZone(node.ip, node.zone);
+  }
+  return true;
 }
 
 std::optional<std::string> Controller::leader_control() const {
-  auto leader = replica_->raft().LeaderInContact(base::SteadyMillis());
+  auto leader = context_.replica->raft().LeaderInContact(base::SteadyMillis());
   if (!leader || leader->control.empty()) return std::nullopt;
   return leader->control;
 }
 
-void Controller::OnRequest(wire::HttpServer::Ticket ticket, wire::Message&& request) {
-  base::Millis now = base::SteadyMillis();
-  if (configuration::IsOperatorPath(request.Path())) {
-    if (Idle() || !replica_->store_error().empty()) {
-      SendOn(ticket, request.target);
-      return;
-    }
-    if (!replica_->running()) {
-      control_->Answer(ticket, wire::OwnAnswer(503, "this controller has only just started"));
-      return;
-    }
-    operator_->OnRequest(now, ticket, request);
-  } else if (request.Path() == "/elderkeel/rollout-report") {
-    AnswerRollouts(ticket, request);
-  } else if (request.Path() == "/elderkeel/status") {
-    if (request.method == "GET") {
-      diagnosis::Question how;
-      how.about = diagnosis::Question::About::kNode;
-      Ask(ticket, how);
-    } else {
-      control_->Answer(ticket, wire::OwnAnswer(405, "GET only"));
-    }
-  } else if (request.Path() == "/elderkeel/diagnose" || request.Path() == "/elderkeel/failures") {
-    size_t query = request.target.find('?');
-    std::string_view text =
-        query == std::string::npos ? "" : std::string_view(request.target).substr(query + 1);
-    Diagnose(ticket, request.Path() == "/elderkeel/failures"
-                         ? diagnosis::Question::ParseFailures(text)
-                         : diagnosis::Question::Parse(text));
-  } else {
-    control_->Answer(ticket, wire::OwnAnswer(404, "no such path"));
-  }
+std::optional<uint64_t> Controller::Propose(const configuration::Change& change) {
+  return context_.replica->Propose(MakeCommand(Command::Kind::kConfiguration, change));
 }
 
-void Controller::OnMessage(const base::Address& from, wire::Kind kind, std::string_view payload) {
+std::optional<uint64_t> Controller::Propose(const zone_drain::DrainOrder& order) {
+  return context_.replica->Propose(MakeCommand(Command::Kind::kZoneDrain, order));
+}
+
+std::optional<uint64_t> Controller::Propose(const rollout::RolloutOrder& order) {
+  return rollouts_->Propose(order);
+}
+
+bool Controller::HasZone(const std::string& zone) const {
+  if (context_.settings.zones.count(zone)) return true;
+  const auto& servers = context_.node->disseminator().endpoints().servers;
+  return std::any_of(servers.begin(), servers.end(),
+                     [&zone](const discovery::Server& server) { return server.zone == zone; });
+}
+
+bool Controller::HasService(const std::string& service) const {
+  return context_.state.configuration.document().HasService(service);
+}
+
+void Controller::OnApplied(const consensus::Entry& entry) {
   base::Millis now = base::SteadyMillis();
-  if (!replica_->running() && kind != wire::Kind::kQueryReply) return;
-  switch (kind) {
-    case wire::Kind::kConsensus:
-      if (auto m = wire::Decode<consensus::Message>(payload)) replica_->Receive(*m, from);
+  const ControlState& state = context_.state;
+  switch (context_.state.Apply(entry.data)) {
+    case ControlState::Effect::kConfiguration:
+      base::Info("configuration.committed", {{"revision", state.configuration.revision()},
+                                             {"index", entry.index},
+                                             {"term", entry.term}});
+      context_.Note("configuration.committed", std::to_string(state.configuration.revision()));
       break;
-    case wire::Kind::kJoin: {
-      auto member = wire::Decode<consensus::Member>(payload);
-      if (!member) break;
-      // A log on disks takes in nobody who has none.
-      const membership::Node* node = peers_->members().Find(member->address());
-      if (!settings_.data_dir.empty() && (!node || !node->durable)) break;
-      if (is_leader()) {
-        replica_->AddLearner(*member);
-      } else if (auto leader = replica_->raft().leader();
-                 leader && leader->address() != from && leader->address() != member->address()) {
-        peers_->mesh().Send(leader->address(), wire::Kind::kJoin, *member);
-      }
+    case ControlState::Effect::kCatalogReader:
+      base::Info("catalog_reader.assigned", {{"owner", state.catalog_reader.owner},
+                                             {"epoch", state.catalog_reader.epoch},
+                                             {"self", catalog_poller_.IsReader()}});
+      context_.Note("catalog_reader.assigned", std::to_string(state.catalog_reader.owner));
+      catalog_poller_.OnAssigned(now);
       break;
-    }
-    case wire::Kind::kConfirm:
-      if (auto m = wire::Decode<dissemination::Confirm>(payload)) OnConfirm(from, *m);
+    case ControlState::Effect::kZoneDrain:
+      OnZoneDrainsChanged();
       break;
-    case wire::Kind::kQueryReply:
-      if (auto m = wire::Decode<diagnosis::Reply>(payload)) {
-        for (Asking& asking : inquiries_) asking.inquiry.Take(from.ToString(), *m);
-        FinishInquiries(now);
-      }
+    case ControlState::Effect::kRollout:
+      rollouts_->OnStateChanged(now);
       break;
-    case wire::Kind::kResign: {
-      auto m = wire::Decode<singleton::Resignation>(payload);
-      if (!m || !is_leader()) break;
-      if (auto named = assignment_.OnResignation(now, state_.catalog_reader, Candidates(now), *m)) {
-        replica_->Propose(MakeCommand(Command::Kind::kCatalogReader, *named));
-      }
+    case ControlState::Effect::kNone:
       break;
+  }
+  operator_api_->OnApplied(base::SteadyMillis(), entry.index);
+}
+
+void Controller::OnZoneDrainsChanged() {
+  const zone_drain::DrainedZones& drained = context_.state.drained_zones;
+  std::string zones;
+  for (const std::string& zone : drained.zones()) zones += (zones.empty() ? "" : ",") + zone;
+  base::Info("zone_drain.changed", {{"version", drained.version()}, {"zones", zones}});
+  context_.Note("zone_drain.changed", zones.empty() ? "no zone" : zones);
+}
+
+void Controller::OnSnapshotInstalled(const consensus::Snapshot& snapshot) {
+  ControlState state;
+  if (!snapshot.state.empty()) {
+    if (auto decoded = ControlState::Decode(snapshot.state)) {
+      state = std::move(*decoded);
+    } else {
+      base::Warn("snapshot.decode_failed", {{"index", snapshot.index}});
     }
-    case wire::Kind::kProxyReport:
-      if (auto m = wire::Decode<rollout::ProxyReport>(payload)) OnProxyReport(from, *m);
-      break;
-    case wire::Kind::kVote:
-      if (auto m = wire::Decode<rollout::Vote>(payload)) coordinator_.OnVote(now, *m);
-      break;
-    default:
-      break;
   }
+  context_.state = std::move(state);
+  PublishState();
 }
 
-void Controller::OnConfirm(const base::Address& from, const dissemination::Confirm& confirm) {
-  if (HasCommittedInTerm() && confirms_.size() < 1024) {
-    uint64_t token = next_token_++;
-    confirms_[token] = {from, confirm.nonce};
-    if (replica_->ConfirmRead(token)) return;
-    confirms_.erase(token);
+void Controller::PublishState() {
+  const ControlState& state = context_.state;
+  if (!state.configuration.empty()) context_.node->Commit(state.configuration);
+  context_.node->Commit(state.drained_zones);
+  rollouts_->OnStateChanged(base::SteadyMillis());
+}
+
+void Controller::OnReadFinished(uint64_t token, bool confirmed) {
+  if (token >= configuration::OperatorApi::kFirstToken) {
+    operator_api_->OnReadFinished(base::SteadyMillis(), token, confirmed);
+  } else if (!voucher_.OnReadFinished(token, confirmed)) {
+    confirmations_.OnReadFinished(token, confirmed);
   }
-  dissemination::ConfirmReply reply;
-  reply.nonce = confirm.nonce;
-  if (auto leader = replica_->raft().LeaderInContact(base::SteadyMillis());
-      leader && !is_leader()) {
-    reply.leader_ip = leader->ip;
-    reply.leader_port = leader->port;
-  } else if (auto neighbour = peers_->members().NearestDurable(false); neighbour && !is_leader()) {
-    reply.leader_ip = neighbour->ip;
-    reply.leader_port = neighbour->port;
+}
+
+void Controller::OnRoleChanged() {
+  const consensus::RaftNode& raft = context_.replica->raft();
+  auto leader = raft.leader();
+  const char* role = consensus::RoleName(raft.role());
+  base::Info("role.changed", {{"role", role},
+                              {"term", raft.term()},
+                              {"leader", leader ? leader->address().ToString() : "none"}});
+  context_.Note("role." + std::string(role), std::to_string(raft.term()));
+  if (!raft.is_leader()) catalog_poller_.OnLeadershipLost();
+  operator_api_->OnRoleChanged();
+}
+
+// A controller that no leader speaks to asks to be taken in, wherever it can.
+void Controller::RequestMembership(base::Millis now) {
+  if (context_.stopping || is_leader() || now < next_join_at_ || context_.IsIdle()) return;
+  if (!context_.replica->store_error().empty()) return;
+  if (context_.IsInContactWithLeader(now)) return;
+  next_join_at_ = now + kJoinEveryMs;
+  for (const base::Address& address : context_.node->Controllers()) {
+    context_.node->mesh().Send(address, wire::Kind::kJoin, context_.replica->self());
   }
-  peers_->mesh().Send(from, wire::Kind::kConfirmReply, reply);
 }
 
-void Controller::ReadDone(uint64_t token, bool confirmed) {
-  if (token >= configuration::OperatorApi::kFirstToken) {
-    operator_->OnReadFinished(base::SteadyMillis(), token, confirmed);
+void Controller::OnJoin(const base::Address& from, const consensus::Member& member) {
+  // A log on disks takes in nobody who has none.
+  const membership::Node* node = context_.node->membership().Find(member.address());
+  if (!context_.settings.data_dir.empty() && (!node || !node->durable)) return;
+  if (is_leader()) {
+    context_.replica->AddLearner(member);
     return;
   }
-  if (token == vouch_token_) {
-    vouch_token_ = 0;
-    if (confirmed) peers_->VouchForLog(vouch_asked_at_);
-    return;
+  auto leader = context_.replica->raft().leader();
+  if (leader && leader->address() != from && leader->address() != member.address()) {
+    context_.node->mesh().Send(leader->address(), wire::Kind::kJoin, member);
   }
-  auto at = confirms_.find(token);
-  if (at == confirms_.end()) return;
-  dissemination::ConfirmReply reply;
-  reply.nonce = at->second.nonce;
-  if (confirmed) {
-    reply.confirmed = true;
-    reply.versions = {state_.configuration.revision(), state_.drained_zones.version(),
-                      state_.rollouts.version()};
+}
+
+// --- calls over HTTP ---
+
+void Controller::OnRequest(Ticket ticket, wire::Message&& request) {
+  std::string_view path = request.Path();
+  if (configuration::IsOperatorPath(path)) {
+    OnOperatorRequest(ticket, request);
+  } else if (path == "/elderkeel/rollout-report") {
+    OnRolloutReportRequest(ticket, request);
+  } else if (path == "/elderkeel/status") {
+    OnStatusRequest(ticket, request);
+  } else if (path == "/elderkeel/diagnose" || path == "/elderkeel/failures") {
+    OnDiagnosisRequest(ticket, request);
+  } else {
+    control_server_->Answer(ticket, wire::OwnAnswer(404, "no such path"));
   }
-  peers_->mesh().Send(at->second.from, wire::Kind::kConfirmReply, reply);
-  confirms_.erase(at);
 }
 
-void Controller::Applied(const consensus::Entry& entry) {
-  switch (state_.Apply(entry.data)) {
-    case ControlState::Effect::kConfiguration:
-      base::Info("configuration.committed", {{"revision", state_.configuration.revision()},
-                                             {"index", entry.index},
-                                             {"term", entry.term}});
-      Note("configuration.committed", std::to_string(state_.configuration.revision()));
-      break;
-    case ControlState::Effect::kCatalogReader:
-      base::Info("catalog_reader.assigned", {{"owner", state_.catalog_reader.owner},
-                                             {"epoch", state_.catalog_reader.epoch},
-                                             {"self", IsCatalogReader()}});
-      Note("catalog_reader.assigned", std::to_string(state_.catalog_reader.owner));
-      assignment_.Clear();
-      read_ok_at_ = base::SteadyMillis();
-      poll_at_ = 0;
-      WatchPlatform(base::SteadyMillis());
-      break;
-    case ControlState::Effect::kZoneDrain: {
-      std::string zones;
-      for (const std::string& zone : state_.drained_zones.zones())
-        zones += (zones.empty() ? "" : ",") + zone;
-      base::Info("zone_drain.changed",
-                 {{"version", state_.drained_zones.version()}, {"zones", zones}});
-      Note("zone_drain.changed", zones.empty() ? "no zone" : zones);
-      break;
-    }
-    case ControlState::Effect::kRollout:
-      AdoptRollouts(base::SteadyMillis());
-      break;
-    case ControlState::Effect::kNone:
-      break;
+void Controller::OnOperatorRequest(Ticket ticket, const wire::Message& request) {
+  if (context_.IsIdle() || !context_.replica->store_error().empty()) {
+    RedirectToDurable(ticket, request.target);
+  } else if (!context_.replica->running()) {
+    control_server_->Answer(ticket, wire::OwnAnswer(503, "this controller has only just started"));
+  } else {
+    operator_api_->OnRequest(base::SteadyMillis(), ticket, request);
   }
-  operator_->OnApplied(base::SteadyMillis(), entry.index);
 }
 
-void Controller::RoleChanged() {
-  const consensus::RaftNode& m = replica_->raft();
-  auto leader = m.leader();
-  base::Info("role.changed", {{"role", consensus::RoleName(m.role())},
-                              {"term", m.term()},
-                              {"leader", leader ? leader->address().ToString() : "none"}});
-  Note("role." + std::string(consensus::RoleName(m.role())), std::to_string(m.term()));
-  if (!is_leader()) assignment_.Clear();
-  operator_->OnRoleChanged();
+void Controller::RedirectToDurable(Ticket ticket, const std::string& target) {
+  const char* reason = "this controller has no part in the log";
+  auto durable = context_.node->membership().NearestDurable(false);
+  if (!durable) {
+    control_server_->Answer(ticket, Unavailable(reason));
+    return;
+  }
+  // All controllers take the operator at the same port.
+  base::Address control{durable->ip, context_.settings.control.port};
+  control_server_->Answer(ticket, Redirect(reason, control.ToString(), target));
 }
 
-void Controller::Tick() {
+// The leader has the votes; another controller redirects to it, or without one tells what its own
+// log has.
+void Controller::OnRolloutReportRequest(Ticket ticket, const wire::Message& request) {
+  if (request.method != "GET") {
+    control_server_->Answer(ticket, wire::OwnAnswer(405, "GET only"));
+    return;
+  }
+  if (context_.IsIdle() || !context_.replica->store_error().empty()) {
+    RedirectToDurable(ticket, request.target);
+    return;
+  }
+  auto leader = context_.replica->running() ? leader_control() : std::nullopt;
+  if (!is_leader() && leader) {
+    control_server_->Answer(ticket, Redirect("the leader is elsewhere", *leader, request.target));
+    return;
+  }
   base::Millis now = base::SteadyMillis();
-  FinishInquiries(now);
-  if (!replica_->running()) return;
-  operator_->Tick(now);
-  SeekMembership(now);
-  if (is_leader() && !leaving_) {
-    ReviewCatalogReader(now);
-    ReviewRollouts(now);
+  wire::Message answer;
+  answer.status = 200;
+  answer.headers.push_back({"Content-Type", "application/json"});
+  answer.body =
+      WriteRollouts(context_, rollouts_->coordinator(), TargetBehind(request, "?service="), now);
+  if (answer.body.empty()) {
+    answer = is_leader() && context_.IsInContactWithLeader(now)
+                 ? wire::OwnAnswer(404, "no roll-out of this service was ordered")
+                 : Unavailable("no leader is known, and here none was ordered");
   }
-  if (observer_->active()) SendVotes(now);
-  WatchPlatform(now);
-  Vouch(now);
+  control_server_->Answer(ticket, answer);
 }
 
-bool Controller::HasService(const std::string& service) const {
-  return state_.configuration.document().HasService(service);
+void Controller::OnStatusRequest(Ticket ticket, const wire::Message& request) {
+  if (request.method != "GET") {
+    control_server_->Answer(ticket, wire::OwnAnswer(405, "GET only"));
+    return;
+  }
+  diagnosis::Question question;
+  question.about = diagnosis::Question::About::kNode;
+  diagnosis_->Ask(ticket, question);
 }
 
-bool Controller::HearsLeader(base::Millis now) const {
-  const consensus::RaftNode& m = replica_->raft();
-  return is_leader() ? HasCommittedInTerm() && m.LeaderInContact(now)
-                     : m.last_leader_contact() != 0 &&
-                           now - m.last_leader_contact() < settings_.election_ms * 2;
+void Controller::OnDiagnosisRequest(Ticket ticket, const wire::Message& request) {
+  std::string_view query = TargetBehind(request, "?");
+  auto question = request.Path() == "/elderkeel/failures"
+                      ? diagnosis::Question::ParseFailures(query)
+                      : diagnosis::Question::Parse(query);
+  if (question) {
+    diagnosis_->Ask(ticket, *question);
+  } else {
+    control_server_->Answer(ticket, wire::OwnAnswer(400, question.error().reason));
+  }
 }
 
-// A controller that no leader speaks to asks to be taken in, wherever it can.
-void Controller::SeekMembership(base::Millis now) {
-  if (leaving_ || is_leader() || now < join_at_ || Idle()) return;
-  if (!replica_->store_error().empty()) return;
-  if (HearsLeader(now)) return;
-  join_at_ = now + kJoinEveryMs;
-  for (const base::Address& address : peers_->Controllers()) {
-    peers_->mesh().Send(address, wire::Kind::kJoin, replica_->self());
+// --- messages and time ---
+
+void Controller::OnMessage(const base::Address& from, wire::Kind kind, std::string_view payload) {
+  if (kind == wire::Kind::kQueryReply) {
+    if (auto reply = wire::Decode<diagnosis::Reply>(payload)) diagnosis_->OnReply(from, *reply);
+    return;
+  }
+  if (!context_.replica->running()) return;
+  base::Millis now = base::SteadyMillis();
+  switch (kind) {
+    case wire::Kind::kConsensus:
+      if (auto message = wire::Decode<consensus::Message>(payload)) {
+        context_.replica->Receive(*message, from);
+      }
+      break;
+    case wire::Kind::kJoin:
+      if (auto member = wire::Decode<consensus::Member>(payload)) OnJoin(from, *member);
+      break;
+    case wire::Kind::kConfirm:
+      if (auto confirm = wire::Decode<dissemination::Confirm>(payload)) {
+        confirmations_.OnConfirm(from, *confirm);
+      }
+      break;
+    case wire::Kind::kResign:
+      if (auto resignation = wire::Decode<singleton::Resignation>(payload)) {
+        catalog_poller_.OnResignation(now, *resignation);
+      }
+      break;
+    case wire::Kind::kProxyReport:
+      if (auto report = wire::Decode<rollout::ProxyReport>(payload)) {
+        rollouts_->OnProxyReport(from, *report);
+      }
+      break;
+    case wire::Kind::kVote:
+      if (auto vote = wire::Decode<rollout::Vote>(payload)) rollouts_->OnVote(now, *vote);
+      break;
+    default:
+      break;
   }
 }
 
+void Controller::Tick() {
+  base::Millis now = base::SteadyMillis();
+  diagnosis_->Tick(now);
+  if (!context_.replica->running()) return;
+  operator_api_->Tick(now);
+  RequestMembership(now);
+  if (is_leader() && !context_.stopping) {
+    catalog_poller_.ReviewAssignment(now);
+    rollouts_->Review(now);
+  }
+  rollouts_->SendVotes(now);
+  catalog_poller_.Tick(now);
+  voucher_.Tick(now);
+}
+
+// --- the end ---
+
 void Controller::Terminate() {
-  if (leaving_) return;
+  if (context_.stopping) return;
   base::Millis now = base::SteadyMillis();
   base::Info("controller.stopping");
-  if (IsCatalogReader()) Resign(now, "leaving");
-  leaving_ = true;
+  bool is_reader = catalog_poller_.IsReader();
+  if (is_reader) catalog_poller_.Resign(now, "leaving");
+  context_.stopping = true;
   if (directory_server_) directory_server_->SetLeaving(true);
-  // The duty's entry goes out before leadership does.
-  leave_.Start(loop_, IsCatalogReader() && is_leader() ? 150 : 0, [this, now] {
-    if (replica_->running()) {
-      replica_->Leave();
-      replica_->TransferLeadership();
+  stop_timer_.Start(loop_, is_reader && is_leader() ? kHandOverMs : 0, [this, now] {
+    if (context_.replica->running()) {
+      context_.replica->Leave();
+      context_.replica->TransferLeadership();
     }
-    peers_->Leave();
-    control_->SetLeaving(true);
-    leave_.Start(loop_, kLeaveMs, [this, now] { End(now); });
+    context_.node->Leave();
+    control_server_->SetLeaving(true);
+    stop_timer_.Start(loop_, kMinStopMs, [this, now] { StopWhenDeparted(now); });
   });
 }
 
 // Ends once what this member holds is elsewhere. At the bound it ends all the same: the platform
 // would kill it, and its disk may well come back.
-void Controller::End(base::Millis since) {
+void Controller::StopWhenDeparted(base::Millis since) {
   base::Millis waited = base::SteadyMillis() - since;
-  bool may_stop = !replica_->running() || Idle() || replica_->raft().may_stop();
-  if (!may_stop && waited < settings_.grace_s * 1000 - kLeaveMs) {
-    leave_.Start(loop_, kTickMs, [this, since] { End(since); });
+  bool departed =
+      !context_.replica->running() || context_.IsIdle() || context_.replica->raft().may_stop();
+  base::Millis bound = context_.settings.grace_s * 1000 - kMinStopMs;
+  if (!departed && waited < bound) {
+    stop_timer_.Start(loop_, kTickMs, [this, since] { StopWhenDeparted(since); });
     return;
   }
-  base::Info("controller.stopped", {{"departed", may_stop}, {"waited_ms", waited}});
+  base::Info("controller.stopped", {{"departed", departed}, {"waited_ms", waited}});
   loop_->Stop();
 }
 
--- /dev/null
+++ b/src/controller/diagnosis_service.cc
@@ -0,0 +1,72 @@
+#include "controller/diagnosis_service.h"
+
+#include <utility>
+
+namespace elderkeel::controller {
+namespace {
+constexpr size_t kMaxPending = 16;
+constexpr base::Millis kTimeoutMs = 1500;
+}  // namespace
+
+void DiagnosisService::Ask(Ticket ticket, const diagnosis::Question& question) {
+  if (!context_->replica->started()) {
+    answer_(ticket, wire::OwnAnswer(503, "this controller has only just started"));
+    return;
+  }
+  if (pending_.size() >= kMaxPending) {
+    answer_(ticket, wire::OwnAnswer(503, "too many questions at once"));
+    return;
+  }
+  base::Millis now = base::SteadyMillis();
+  pending_.push_back({ticket, diagnosis::Inquiry(context_->NextToken(), question,
+                                                 TargetsOf(question), now + kTimeoutMs)});
+  Tick(now);
+}
+
+// The dead are asked too, after the others: a suspicion may be wrong, and if they are silent the
+// answer says so.
+std::vector<diagnosis::Target> DiagnosisService::TargetsOf(
+    const diagnosis::Question& question) const {
+  std::vector<diagnosis::Target> targets;
+  for (bool reachable : {true, false}) {
+    for (const auto& [id, node] : context_->node->membership().nodes()) {
+      bool left = node.state == membership::State::kLeft;
+      if (node.program != membership::Program::kProxy || left) continue;
+      if (!question.zone.empty() && node.zone != question.zone) continue;
+      if (node.reachable() == reachable) targets.push_back({node.address().ToString(), node.zone});
+    }
+  }
+  return targets;
+}
+
+void DiagnosisService::OnReply(const base::Address& from, const diagnosis::Reply& reply) {
+  for (PendingInquiry& pending : pending_) pending.inquiry.Take(from.ToString(), reply);
+  Tick(base::SteadyMillis());
+}
+
+void DiagnosisService::Tick(base::Millis now) {
+  for (auto pending = pending_.begin(); pending != pending_.end();) {
+    if (pending->inquiry.Done(now)) {
+      answer_(pending->ticket, MakeAnswer(pending->inquiry));
+      pending = pending_.erase(pending);
+      continue;
+    }
+    for (const std::string& target : pending->inquiry.Next(now)) {
+      auto address = base::ParseAddress(target);
+      if (!address) continue;
+      context_->node->mesh().Send(*address, wire::Kind::kQuery, pending->inquiry.query());
+    }
+    ++pending;
+  }
+}
+
+wire::Message DiagnosisService::MakeAnswer(const diagnosis::Inquiry& inquiry) const {
+  wire::Message answer;
+  answer.status = 200;
+  answer.headers.push_back({"Content-Type", "application/json"});
+  bool status = inquiry.about() == diagnosis::Question::About::kNode;
+  answer.body = status ? write_status_(inquiry) : inquiry.Report();
+  return answer;
+}
+
+}  // namespace elderkeel::controller
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -38,7 +38,7 @@
       log_schedule_(ScheduleOptions(options_), now),
       endpoints_schedule_(ScheduleOptions(options_), now) {}
 
-Disseminator::Effects Disseminator::Take() {
+Disseminator::Effects Disseminator::TakeEffects() {
   Effects taken = std::move(out_);
   out_ = Effects();
   return taken;
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -125,7 +125,7 @@
   // What was adopted as the configuration can't be used: it is asked for anew, whole.
   void RejectConfiguration();
 
-  Effects Take();
+  Effects TakeEffects();
   Digest OwnDigest(base::Millis now) const;
 
   int64_t revision() const { return revision_; }
@@ -197,7 +197,7 @@
   // `from`: who told this node; none if the update originates here.
   void Forward(base::Millis now, Topic topic, const base::Address* from);
   bool InOtherZone(const base::Address& from) const;
-  // ReachableOthers of the zone; those suspected or dead too: they may only be hard to hear.
+  // Others of the zone; those suspected or dead too: they may only be hard to hear.
   std::vector<const membership::Node*> ZonePeers() const;
   // Asks for what is too old here, if that is due.
   void RequestSync(base::Millis now);
--- a/src/forwarding/load_balancer.cc
+++ b/src/forwarding/load_balancer.cc
@@ -55,7 +55,7 @@
       changes.push_back({i, Change::What::kGone});
     }
   }
-  // LoadBalancer that are gone keep their index, for the record, but cost the choice nothing.
+  // Servers that are gone keep their index, for the record, but cost the choice nothing.
   for (auto& service : by_service_) service.clear();
   for (uint32_t i = 0; i < balancer_.size(); ++i) {
     if (!balancer_[i].listed) continue;
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -205,11 +205,11 @@
   }
 }
 
-std::vector<RequestRouter::Told> RequestRouter::MakeProxyReports() {
-  std::vector<Told> all;
+std::vector<RequestRouter::AddressedReport> RequestRouter::MakeProxyReports() {
+  std::vector<AddressedReport> all;
   base::Millis now = base::SteadyMillis();
   for (const std::string& service : canary_policy_.ActiveServices()) {
-    Told told;
+    AddressedReport told;
     told.report = canary_policy_.MakeReport(now, service);
     const rollout::Rollout& rollout = *canary_policy_.RolloutOf(service);
     told.observers = rollout.observers;
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -38,11 +38,11 @@
   void Adopt(const zone_drain::DrainedZones& drained_zones);
   void Adopt(const rollout::Rollouts& rollouts);
   // What the watchers of each roll-out under way are told; who tells it is left to the caller.
-  struct Told {
+  struct AddressedReport {
     rollout::ProxyReport report;
     std::vector<uint64_t> observers;
   };
-  std::vector<Told> MakeProxyReports();
+  std::vector<AddressedReport> MakeProxyReports();
   bool rolling_out() const { return canary_policy_.active(); }
   bool IsShifting() const { return canary_policy_.IsShifting(); }
   void OnLeaseRenewal(const rollout::LeaseRenewal& renewal);
@@ -174,10 +174,10 @@
   uint32_t ChooseFor(base::Millis now, const PendingRequest& x);
   // Puts in force what the roll-outs allow now.
   void ReviewVersions(base::Millis now);
-  // VersionCounters how a send ended, for the watchers of its service's roll-out.
+  // Counts how a send ended, for the watchers of its service's roll-out.
   void Count(const PendingRequest& x, const Send& send, rollout::CanaryPolicy::Outcome ending,
              base::Millis took);
-  // HandleAttemptFailure how long a second send of a late request is due.
+  // After how long a second send of a late request is due.
   static base::Millis HedgeAfter(double mean, const configuration::Route& route) {
     return std::max<base::Millis>(static_cast<base::Millis>(mean * 2), route.target_latency_ms / 2);
   }
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -6,30 +6,38 @@
 
 namespace elderkeel::lifecycle {
 
-// When a proxy calls itself ready, and the steps of its leaving. Pure.
+// When a proxy calls itself ready, and the phases of its graceful shutdown. Pure.
 //
-// A proxy serves, and is ready, once it has a catalog and what the core has confirmed as current.
-// If the core can't confirm for longer than a machine of it is cut off for, what other nodes serve
-// by is good enough: an old configuration serves better than none for good, and updates replace it.
+// A proxy serves, and is ready, once it has a configuration and endpoints and what a majority of
+// the controllers has confirmed as current. If they can't confirm for longer than a machine of
+// theirs is cut off for, what other nodes serve by is good enough: an old configuration serves
+// better than none for good, and updates replace it.
 class Lifecycle {
  public:
   struct Options {
-    base::Millis unconfirmed = 30000;  // patience with a core that does not confirm
-    base::Millis notice = 2500;        // the platform may still send for so long after "not ready"
-    base::Millis grace = 6000;
+    base::Millis confirm_timeout = 30000;  // then it serves unconfirmed
+    base::Millis notice = 2500;  // the platform may still send for so long after "not ready"
+    base::Millis grace = 6000;   // from SIGTERM until the platform kills the process
+  };
+  // Of a proxy that stops, in this order.
+  enum class Phase : uint8_t {
+    kServing,
+    kNotReady,   // serves on, and says that it isn't ready
+    kDraining,   // closes idle connections too
+    kRejecting,  // rejects what comes, without offering it to a server; what is here goes on
+    kAnswering,  // what is still here gets its final answer
+    kStopped,
   };
-  // Of a proxy that ends, in this order: it serves on, and says that it isn't ready; then idle
-  // connections are closed too; what comes from here on is rejected without being offered to a
-  // server, and what is here goes on; what is still here gets its final answer; the end.
-  enum class Phase { kServing, kNotReady, kDraining, kRejecting, kAnswering, kStopped };
 
   Lifecycle() : Lifecycle(Options()) {}
   explicit Lifecycle(Options options) : options_(options) {}
 
-  void Able(base::Millis now) {
-    if (able_at_ < 0) able_at_ = now;
+  // There is a configuration, and there are endpoints.
+  void SetServable(base::Millis now) {
+    if (servable_at_ < 0) servable_at_ = now;
   }
-  void Confirmed() { confirmed_ = true; }
+  // What is held is known to be current.
+  void SetConfirmed() { confirmed_ = true; }
   void Leave(base::Millis now) {
     if (left_at_ < 0) left_at_ = now;
   }
@@ -37,15 +45,15 @@
   bool confirmed() const { return confirmed_; }
 
   // May answer requests by what it holds.
-  bool Serving(base::Millis now) const {
-    return able_at_ >= 0 && (confirmed_ || now - able_at_ >= options_.unconfirmed);
+  bool IsServing(base::Millis now) const {
+    return servable_at_ >= 0 && (confirmed_ || now - servable_at_ >= options_.confirm_timeout);
   }
-  bool Ready(base::Millis now) const { return !leaving() && Serving(now); }
+  bool IsReady(base::Millis now) const { return !leaving() && IsServing(now); }
 
   // `busy`: connections with a request or with bytes of an answer that have not gone out. Whoever
   // takes a request has time to answer it: what comes is rejected well before what is here is given
   // up, and the end waits for the last byte, as long as the platform waits for the process.
-  Phase At(base::Millis now, size_t busy) const {
+  Phase PhaseAt(base::Millis now, size_t busy) const {
     if (!leaving()) return Phase::kServing;
     base::Millis elapsed = now - left_at_;
     base::Millis notice = std::min(options_.notice, options_.grace / 2);
@@ -57,7 +65,7 @@
 
  private:
   Options options_;
-  base::Millis able_at_ = -1;
+  base::Millis servable_at_ = -1;  // -1 for not yet
   base::Millis left_at_ = -1;
   bool confirmed_ = false;
 };
--- /dev/null
+++ b/src/lifecycle/settings_watcher.cc
@@ -0,0 +1,38 @@
+#include "lifecycle/settings_watcher.h"
+
+#include <csignal>
+#include <utility>
+
+#include "base/log.h"
+
+namespace elderkeel::lifecycle {
+namespace {
+constexpr base::Millis kCheckEveryMs = 2000;
+}  // namespace
+
+SettingsWatcher::SettingsWatcher(base::Loop* loop, std::string path, Changed changed)
+    : path_(std::move(path)), changed_(std::move(changed)) {
+  if (auto text = base::ReadFile(path_)) text_ = *text;
+  loop->OnSignal(SIGHUP, [this] { Check(Cause::kSignal); });
+  timer_.Repeat(loop, kCheckEveryMs, [this] { Check(Cause::kTimer); });
+}
+
+void SettingsWatcher::Check(Cause cause) {
+  auto text = base::ReadFile(path_);
+  if (!text) {
+    // Without a signal the file may just be written anew.
+    if (cause == Cause::kSignal) base::Warn("settings.rejected", text.error());
+    return;
+  }
+  if (*text == text_) return;
+  text_ = *text;
+  auto settings = base::ParseSettings(text_);
+  if (!settings) {
+    base::Warn("settings.rejected", settings.error());
+    return;
+  }
+  base::Info("settings.applied", {{"file", path_}});
+  changed_(*settings);
+}
+
+}  // namespace elderkeel::lifecycle
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -51,7 +51,7 @@
           .Next());
 }
 
-Membership::Effects Membership::Take() {
+Membership::Effects Membership::TakeEffects() {
   Effects taken = std::move(out_);
   out_ = Effects();
   return taken;
@@ -215,10 +215,10 @@
   gossip_queue_[node.id] = true;
   if (node.id == self_.id || node.state == State::kLeft) return;
   if (node.state == State::kAlive) return;
-  out_.tables.push_back({node.address(), MembershipUpdate{{node}, {}}});
+  out_.updates.push_back({node.address(), MembershipUpdate{{node}, {}}});
   for (const Node* monitor : MonitorsOf(node.id)) {
     if (monitor->id != self_.id) {
-      out_.tables.push_back({monitor->address(), MembershipUpdate{{node}, {}}});
+      out_.updates.push_back({monitor->address(), MembershipUpdate{{node}, {}}});
     }
   }
 }
@@ -237,7 +237,7 @@
   for (size_t i = 0; i < kGossipFanout && !(near.empty() && far.empty()); ++i) {
     auto& from = near.empty() || (!far.empty() && random_.Below(kOtherZoneShare) == 0) ? far : near;
     size_t pick = random_.Below(from.size());
-    out_.tables.push_back({from[pick]->address(), update});
+    out_.updates.push_back({from[pick]->address(), update});
     from.erase(from.begin() + static_cast<long>(pick));
   }
 }
@@ -340,9 +340,9 @@
   bool no_controller =
       CountAlive(Program::kController) == (self_.program == Program::kController ? 1 : 0);
   if (!alone && !unknown.empty()) {
-    out_.tables.push_back({*unknown[turn % unknown.size()], MembershipUpdate{{self_}, {}}});
+    out_.updates.push_back({*unknown[turn % unknown.size()], MembershipUpdate{{self_}, {}}});
   } else if (alone || no_controller) {
-    out_.tables.push_back({seeds_[turn % seeds_.size()], MembershipUpdate{{self_}, {}}});
+    out_.updates.push_back({seeds_[turn % seeds_.size()], MembershipUpdate{{self_}, {}}});
   }
 }
 
@@ -379,7 +379,7 @@
   if (known && at->second.state != State::kAlive && at->second.boot_id == heartbeat.boot_id &&
       at->second.incarnation == heartbeat.incarnation) {
     // It is heard and yet held for lost: tell it, so that it refutes.
-    out_.tables.push_back({from, MembershipUpdate{{at->second}, {}}});
+    out_.updates.push_back({from, MembershipUpdate{{at->second}, {}}});
     return;
   }
   if (heartbeat.members != Digest()) SendPartDigests(now, from);
@@ -395,7 +395,7 @@
 
 void Membership::SendPartDigests(base::Millis now, const base::Address& to) {
   if (RecentlySent(now, to, &part_digests_sent_at_)) return;
-  out_.sums.push_back({to, part_digests_});
+  out_.part_digests.push_back({to, part_digests_});
 }
 
 void Membership::OnPartDigests(base::Millis now, const base::Address& from,
@@ -433,7 +433,7 @@
     if (at == nodes_.end() || at->second.Mark() != mark) update.wanted_ids.push_back(id);
   }
   if (!update.nodes.empty() || !update.wanted_ids.empty())
-    out_.tables.push_back({from, std::move(update)});
+    out_.updates.push_back({from, std::move(update)});
 }
 
 void Membership::Merge(base::Millis now, Node node) {
@@ -504,7 +504,7 @@
   for (const Node& node : update.nodes) {
     if (node.address() == from && (newcomer || introduces)) SendSummary(now, from, UINT32_MAX);
   }
-  if (!reply.nodes.empty()) out_.tables.push_back({from, std::move(reply)});
+  if (!reply.nodes.empty()) out_.updates.push_back({from, std::move(reply)});
 }
 
 void Membership::Leave(base::Millis now) {
@@ -516,7 +516,7 @@
   QueueGossip(self_);
   SendGossip();
   for (const Node* monitor : MonitorsOf(self_.id)) {
-    out_.tables.push_back({monitor->address(), MembershipUpdate{{self_}, {}}});
+    out_.updates.push_back({monitor->address(), MembershipUpdate{{self_}, {}}});
   }
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -122,12 +122,12 @@
   };
   struct Effects {
     std::vector<std::pair<base::Address, Heartbeat>> heartbeats;
-    std::vector<std::pair<base::Address, MembershipUpdate>> tables;
-    std::vector<std::pair<base::Address, PartDigests>> sums;
+    std::vector<std::pair<base::Address, MembershipUpdate>> updates;
+    std::vector<std::pair<base::Address, PartDigests>> part_digests;
     std::vector<std::pair<base::Address, MembershipSummary>> summaries;
     std::vector<Node> changed;  // nodes whose state changed, new ones included
     bool empty() const {
-      return heartbeats.empty() && tables.empty() && sums.empty() && summaries.empty() &&
+      return heartbeats.empty() && updates.empty() && part_digests.empty() && summaries.empty() &&
              changed.empty();
     }
   };
@@ -146,7 +146,7 @@
   void SetReady(bool ready);
   // Tells the watchers that this process leaves in order.
   void Leave(base::Millis now);
-  Effects Take();
+  Effects TakeEffects();
 
   const Node& self() const { return self_; }
   const std::map<uint64_t, Node>& nodes() const { return nodes_; }
@@ -155,7 +155,7 @@
   bool IsZoneRepresentative() const;
   // Empty for a zone that the settings don't name.
   const std::string& RegionOf(const std::string& zone) const;
-  // ReachableOthers that are alive or only suspected.
+  // Others that are alive or only suspected.
   std::vector<const Node*> ReachableOthers() const;
   // The nearest other node with a disk: one that is alive, or with `suspects` also one that may be.
   std::optional<base::Address> NearestDurable(bool suspects) const;
--- a/src/proxy/shutdown.cc
+++ b/src/proxy/shutdown.cc
@@ -2,27 +2,27 @@
 
 namespace elderkeel::proxy {
 
-bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::RequestRouter* front) {
+bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::RequestRouter* router) {
   using Phase = lifecycle::Lifecycle::Phase;
   switch (phase) {
     case Phase::kServing:
     case Phase::kNotReady:
       return false;
     case Phase::kDraining:
-      front->CloseIdle();
+      router->CloseIdle();
       return false;
     case Phase::kRejecting:
-      front->RejectNew();
-      front->CloseIdle();
+      router->RejectNew();
+      router->CloseIdle();
       return false;
     case Phase::kAnswering:
-      front->RejectNew();
-      front->FinishAll();
-      front->CloseIdle();
+      router->RejectNew();
+      router->FinishAll();
+      router->CloseIdle();
       return false;
     case Phase::kStopped:
-      front->RejectNew();
-      front->FinishAll();
+      router->RejectNew();
+      router->FinishAll();
       return true;
   }
   return true;
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -209,8 +209,8 @@
 
 void Recorder::Flush() { Export(); }
 
-Recorder::VersionCounters Recorder::counts() const {
-  VersionCounters counts;
+Recorder::Counts Recorder::counts() const {
+  Counts counts;
   counts.lost = failures_.lost() + control_.lost();
   counts.unsent = unsent_.load(std::memory_order_relaxed);
   counts.exported = exported_.load(std::memory_order_relaxed);
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -153,12 +153,12 @@
   void TakeRecords(std::function<void(Kept)> done);
   // One export now, by the caller, when no exporter runs; for the end of a process.
   void Flush();
-  struct VersionCounters {
+  struct Counts {
     uint64_t lost = 0;      // records that found no place
     uint64_t unsent = 0;    // lines that the sink did not take
     uint64_t exported = 0;  // lines that it took
   };
-  VersionCounters counts() const;
+  Counts counts() const;
 
  private:
   void Run();
--- a/src/wire/http_client.cc
+++ b/src/wire/http_client.cc
@@ -19,7 +19,7 @@
   // The connect is under way on this descriptor; libevent reports its end.
   bufferevent_socket_connect(socket_.get(), nullptr, 0);
   bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
-  // VersionCounters what the kernel took: from the first such byte on a request may have arrived.
+  // Counts what the kernel took: from the first such byte on a request may have arrived.
   evbuffer_add_cb(
       bufferevent_get_output(socket_.get()),
       [](evbuffer*, const evbuffer_cb_info* info, void* self) {
--- a/tests/compatibility/stored_data_test.cc
+++ b/tests/compatibility/stored_data_test.cc
@@ -47,7 +47,7 @@
   ASSERT_FALSE(restored.entries.empty());
   EXPECT_GT(restored.entries.back().index, restored.snapshot.index);
 
-  auto state = ControlState::Read(restored.snapshot.state);
+  auto state = ControlState::Decode(restored.snapshot.state);
   ASSERT_TRUE(state.has_value());
   for (const consensus::Entry& entry : restored.entries) {
     if (entry.index <= restored.snapshot.index) continue;
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -219,7 +219,7 @@
     ConfigurationStateOfBefore before{
         5, newest.patch ? 3 : 0, Small(3, 5, "a").body, newest, {7, 8}};
     // What follows the register in a snapshot must still be found.
-    auto state = controller::ControlState::Read(
+    auto state = controller::ControlState::Decode(
         wire::Encode(before) + wire::Encode(singleton::Assignment{5, 6, 7}) +
         wire::Encode(zone_drain::DrainedZones()) + wire::Encode(rollout::Rollouts()));
     ASSERT_TRUE(state);
@@ -771,7 +771,7 @@
   step.kind = rollout::Step::Kind::kDetected;
   step.found = {{"s", "v1"}, {"t", "v5"}};
   state.Apply(controller::MakeCommand(controller::Command::Kind::kRollout, step));
-  auto read = controller::ControlState::Read(wire::Encode(state));
+  auto read = controller::ControlState::Decode(wire::Encode(state));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->configuration.revision(), 2);
   EXPECT_EQ(read->catalog_reader.epoch, 7u);
@@ -782,20 +782,20 @@
   EXPECT_EQ(read->rollouts.InForce("t"), "v5");
   EXPECT_EQ(read->rollouts.version(), 2u);
   // Before there were roll-outs a snapshot ended with the evacuations.
-  read = controller::ControlState::Read(wire::Encode(state.configuration) +
-                                        wire::Encode(state.catalog_reader) +
-                                        wire::Encode(state.drained_zones));
+  read = controller::ControlState::Decode(wire::Encode(state.configuration) +
+                                          wire::Encode(state.catalog_reader) +
+                                          wire::Encode(state.drained_zones));
   ASSERT_TRUE(read);
   EXPECT_TRUE(read->drained_zones.IsDrained("a"));
   EXPECT_EQ(read->rollouts.version(), 0u);
   // Before there were evacuations a snapshot ended with the duty.
-  read = controller::ControlState::Read(wire::Encode(state.configuration) +
-                                        wire::Encode(state.catalog_reader));
+  read = controller::ControlState::Decode(wire::Encode(state.configuration) +
+                                          wire::Encode(state.catalog_reader));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->configuration.revision(), 2);
   EXPECT_EQ(read->catalog_reader.epoch, 7u);
   EXPECT_TRUE(read->drained_zones.zones().empty());
-  EXPECT_FALSE(controller::ControlState::Read("cut"));
+  EXPECT_FALSE(controller::ControlState::Decode("cut"));
 }
 
 }  // namespace
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -73,7 +73,7 @@
       if (measured) Look();
     }
   }
-  // DrainedZones that one more zone is drained; zones are never taken back here.
+  // Orders that one more zone is drained; zones are never taken back here.
   void OrderDrain() {
     drains_.push_back({"drained-" + std::to_string(drains_.size()), -1});
     if (!world_->DrainZone(drains_.back().first, true)) drains_.pop_back();
--- a/tests/dissemination/sync_test.cc
+++ b/tests/dissemination/sync_test.cc
@@ -153,17 +153,17 @@
   reply.asked_at = 40;
   reply.age_ms = 0;
   reply.versions = {7, 0, 0};
-  disseminator.Take();
+  disseminator.TakeEffects();
   disseminator.OnSyncReply(50, Peer(1), reply);
   EXPECT_EQ(disseminator.log_age(60), 40);  // by what was held before
-  Disseminator::Effects effects = disseminator.Take();
+  Disseminator::Effects effects = disseminator.TakeEffects();
   ASSERT_EQ(effects.pulls.size(), 1u);
   EXPECT_EQ(effects.pulls[0].second.revision, 0);
   disseminator.OnConfigurationUpdate(70, Peer(1), {6, 0, kDocument});
   EXPECT_EQ(disseminator.revision(), 7);
-  EXPECT_FALSE(disseminator.Take().configuration_adopted);
+  EXPECT_FALSE(disseminator.TakeEffects().configuration_adopted);
   disseminator.OnConfigurationUpdate(80, Peer(1), {7, 0, kDocument});
-  EXPECT_TRUE(disseminator.Take().configuration_adopted);
+  EXPECT_TRUE(disseminator.TakeEffects().configuration_adopted);
   EXPECT_EQ(disseminator.log_age(90), 50);
 }
 
@@ -193,7 +193,7 @@
              std::to_string(revision) + R"("]}})"});
   }
   ASSERT_EQ(disseminator.revision(), 4);
-  disseminator.Take();
+  disseminator.TakeEffects();
   struct Case {
     int64_t has;
     size_t sent;
@@ -203,7 +203,7 @@
     SyncRequest request;
     request.versions.revision = c.has;
     disseminator.OnSyncRequest(100, Peer(2), request);
-    Disseminator::Effects effects = disseminator.Take();
+    Disseminator::Effects effects = disseminator.TakeEffects();
     EXPECT_EQ(effects.configuration_updates.size(), c.sent) << c.has;
     ASSERT_EQ(effects.sync_replies.size(), 1u);
     EXPECT_EQ(effects.sync_replies[0].follows, c.follows) << c.has;
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -294,22 +294,22 @@
 TEST(Lifecycle, StepsOfALife) {
   lifecycle::Lifecycle r;
   using Phase = lifecycle::Lifecycle::Phase;
-  EXPECT_FALSE(r.Ready(0));
-  r.Able(100);
-  EXPECT_FALSE(r.Ready(1000));
+  EXPECT_FALSE(r.IsReady(0));
+  r.SetServable(100);
+  EXPECT_FALSE(r.IsReady(1000));
   // Through a cut of twenty seconds nothing unconfirmed is served; for good, what others serve by
   // must do.
-  EXPECT_FALSE(r.Ready(1600));
-  EXPECT_FALSE(r.Serving(25000));
-  EXPECT_TRUE(r.Serving(30100));
-  EXPECT_TRUE(r.Ready(30100));
+  EXPECT_FALSE(r.IsReady(1600));
+  EXPECT_FALSE(r.IsServing(25000));
+  EXPECT_TRUE(r.IsServing(30100));
+  EXPECT_TRUE(r.IsReady(30100));
   lifecycle::Lifecycle c;
-  c.Able(100);
-  c.Confirmed();
-  EXPECT_TRUE(c.Ready(101));
+  c.SetServable(100);
+  c.SetConfirmed();
+  EXPECT_TRUE(c.IsReady(101));
   c.Leave(10000);
-  EXPECT_FALSE(c.Ready(10000));
-  EXPECT_TRUE(c.Serving(10000));  // what is here is finished
+  EXPECT_FALSE(c.IsReady(10000));
+  EXPECT_TRUE(c.IsServing(10000));  // what is here is finished
   struct Case {
     base::Millis at;
     size_t busy;
@@ -321,7 +321,7 @@
       {14900, 2, Phase::kAnswering}, {15300, 2, Phase::kAnswering}, {15300, 0, Phase::kStopped},
       {15700, 2, Phase::kStopped},
   };
-  for (const Case& k : cases) EXPECT_EQ(c.At(k.at, k.busy), k.phase) << k.at;
+  for (const Case& k : cases) EXPECT_EQ(c.PhaseAt(k.at, k.busy), k.phase) << k.at;
 }
 
 TEST_F(ServersTest, KeepsToTheRegionsAllowedAndOutOfEvacuatedZones) {
--- a/tests/forwarding/request_router_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -367,16 +367,16 @@
   lifecycle::Lifecycle::Options options;
   options.grace = 1200;
   options.notice = 500;
-  lifecycle::Lifecycle readiness(options);
+  lifecycle::Lifecycle lifecycle(options);
   base::Millis begin = base::SteadyMillis();
-  readiness.Leave(begin);
+  lifecycle.Leave(begin);
   router_->SetLeaving();
   std::vector<Client> clients;
   base::Timer tick, wake;
   bool ended = false;
   tick.Repeat(&loop_, 20, [&] {
-    ended |=
-        proxy::AdvanceShutdown(readiness.At(base::SteadyMillis(), router_->busy()), router_.get());
+    ended |= proxy::AdvanceShutdown(lifecycle.PhaseAt(base::SteadyMillis(), router_->busy()),
+                                    router_.get());
   });
   auto receive = [](Client* client) {
     char buffer[4096];
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -123,16 +123,16 @@
       news.nodes.push_back(node);
     }
     a.OnMembershipUpdate(0, base::Address(), news);
-    a.Take();
-    b.Take();
+    a.TakeEffects();
+    b.TakeEffects();
     ASSERT_NE(a.Digest(), b.Digest());
     size_t bytes = 0;
     b.OnHeartbeat(1000, a.self().address(), {a.self().id, a.self().boot_id, 1, a.Digest()});
     Membership* from = &b;
     Membership* to = &a;
     for (int turn = 0; turn < 6; ++turn) {
-      Membership::Effects effects = from->Take();
-      for (const auto& [address, m] : effects.sums) {
+      Membership::Effects effects = from->TakeEffects();
+      for (const auto& [address, m] : effects.part_digests) {
         bytes += wire::Encode(m).size();
         to->OnPartDigests(1000, from->self().address(), m);
       }
@@ -140,7 +140,7 @@
         bytes += wire::Encode(m).size();
         to->OnSummary(1000, from->self().address(), m);
       }
-      for (const auto& [address, m] : effects.tables) {
+      for (const auto& [address, m] : effects.updates) {
         if (address != to->self().address()) continue;
         bytes += wire::Encode(m).size();
         to->OnMembershipUpdate(1000, from->self().address(), m);
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -893,18 +893,18 @@
 
   void PumpNode(size_t i) {
     Node& n = *nodes_[i];
-    auto membership = n.members->Take();
+    auto membership = n.members->TakeEffects();
     for (const auto& node : membership.changed) {
       if (node.state == membership::State::kAlive) n.disseminator->OnNodeReachable(now, node);
       if (!node.reachable()) n.disseminator->OnNodeUnreachable(node);
     }
     for (const auto& node : membership.changed) Trace(i, 110, wire::Encode(node));
     for (auto& [to, m] : membership.heartbeats) Send(i, to, m);
-    for (auto& [to, m] : membership.tables) Send(i, to, m);
-    for (auto& [to, m] : membership.sums) Send(i, to, m);
+    for (auto& [to, m] : membership.updates) Send(i, to, m);
+    for (auto& [to, m] : membership.part_digests) Send(i, to, m);
     for (auto& [to, m] : membership.summaries) Send(i, to, m);
     if (n.controller) PumpMachine(i);
-    auto effects = n.disseminator->Take();
+    auto effects = n.disseminator->TakeEffects();
     for (auto& [to, m] : effects.digests) Send(i, to, m);
     for (auto& [to, m] : effects.pulls) Send(i, to, m);
     for (auto& [to, m] : effects.sync_requests) Send(i, to, m);
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -331,10 +331,10 @@
   EXPECT_EQ(config(3, 0, R"({"revision":3,"route-list":[]})"), 4);
   EXPECT_EQ(config(6, 4, R"({"revision":6,"upsert":{"route-list":[{"label":"x"}]}})"), 6);
   EXPECT_NE(exchange.configuration_text().find("\"label\":\"x\""), std::string::npos);
-  exchange.Take();
+  exchange.TakeEffects();
   // A patch on what this node does not have: it asks for the whole instead.
   EXPECT_EQ(config(9, 8, R"({"revision":9})"), 6);
-  ASSERT_EQ(exchange.Take().pulls.size(), 1u);
+  ASSERT_EQ(exchange.TakeEffects().pulls.size(), 1u);
 }
 
 // Voters, what may be lost, and which of them have the entry on disk: is it committed?
--- a/tests/telemetry/telemetry_test.cc
+++ b/tests/telemetry/telemetry_test.cc
@@ -231,7 +231,7 @@
   record.SetAttempt("a1");
   for (int i = 0; i < 5000; ++i) recorder.Request(record, true);
   recorder.Flush();
-  Recorder::VersionCounters counts = recorder.counts();
+  Recorder::Counts counts = recorder.counts();
   EXPECT_EQ(counts.exported, 0u);
   EXPECT_GE(counts.unsent + counts.lost, 5000u);
 }
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -128,11 +128,11 @@
     Expect(verdict.status == 200, "a change is not known again");
     times.Add(kind + ", leader: Disseminator::Commit", [&] {
       told->Commit(0, *leader);
-      told->Take();
+      told->TakeEffects();
     });
     times.Add(kind + ", proxy: Disseminator::OnConfigurationUpdate", [&] {
       adopts->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
-      adopts->Take();
+      adopts->TakeEffects();
     });
     Expect(adopts->revision() == revision, "a change was not adopted");
     times.Add(kind + ", proxy: RoutingTable", [&] {
--- a/tools/scale_run.cc
+++ b/tools/scale_run.cc
@@ -22,9 +22,9 @@
 
 #include "base/log.h"
 #include "base/random.h"
+#include "cluster/cluster_node.h"
 #include "configuration/routing_table.h"
 #include "configuration/validation.h"
-#include "dissemination/peers.h"
 #include "rollout/canary_policy.h"
 #include "wire/http_client.h"
 #include "wire/http_server.h"
@@ -86,22 +86,22 @@
 class Hollow {
  public:
   Hollow(base::Loop* loop, int node) : settings_(*base::ParseSettings(SettingsText(node, ""))) {
-    dissemination::Peers::Hooks hooks;
+    cluster::ClusterNode::Callbacks hooks;
     hooks.configuration_adopted = [this] {
-      if (peers_->disseminator().revision() != shared->wanted_revision) return;
+      if (node_->disseminator().revision() != shared->wanted_revision) return;
       shared->revision_at = base::SteadyMillis();
       ++shared->revisions;
     };
     hooks.endpoints_adopted = [this] {
-      if (peers_->disseminator().endpoints().servers.empty()) return;
-      if (peers_->disseminator().endpoints().servers[0].capacity !=
+      if (node_->disseminator().endpoints().servers.empty()) return;
+      if (node_->disseminator().endpoints().servers[0].capacity !=
           static_cast<int>(shared->wanted_sequence))
         return;
       shared->catalog_at = base::SteadyMillis();
       ++shared->endpoint_updates;
     };
     hooks.rollouts_adopted = [this] {
-      canary_policy_.Adopt(base::SteadyMillis(), peers_->disseminator().rollouts());
+      canary_policy_.Adopt(base::SteadyMillis(), node_->disseminator().rollouts());
       if (!canary_policy_.active()) return;
       shared->rollout_at = base::SteadyMillis();
       ++shared->rollouts;
@@ -116,31 +116,31 @@
       }
       return report;
     };
-    hooks.other = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
+    hooks.message = [this](const base::Address& from, wire::Kind kind, std::string_view payload) {
       if (kind != wire::Kind::kLeaseRenewal) return;
       if (auto renewal = wire::Decode<rollout::LeaseRenewal>(payload)) {
         canary_policy_.OnLeaseRenewal(base::SteadyMillis(), *renewal);
-        peers_->NoteRolloutVersion(from, renewal->version);
+        node_->OnRolloutVersion(from, renewal->version);
       }
     };
-    peers_ =
-        std::make_unique<dissemination::Peers>(loop, settings_, membership::Program::kProxy, hooks);
-    if (!peers_->Start()) std::fprintf(stderr, "hollow node %d can't start\n", node);
+    node_ =
+        std::make_unique<cluster::ClusterNode>(loop, settings_, membership::Program::kProxy, hooks);
+    if (!node_->Start()) std::fprintf(stderr, "hollow node %d can't start\n", node);
     tick_.Repeat(loop, 100, [this] { Tick(); });
   }
 
  private:
   void Tick() {
     base::Millis now = base::SteadyMillis();
-    if (!peers_->disseminator().has_endpoints() && now > ask_at_) {
+    if (!node_->disseminator().has_endpoints() && now > ask_at_) {
       ask_at_ = now + 400;
-      auto controllers = peers_->Controllers();
+      auto controllers = node_->Controllers();
       if (!controllers.empty()) {
-        peers_->AskDigest(controllers[base::Hash(settings_.ip) % controllers.size()]);
+        node_->RequestDigest(controllers[base::Hash(settings_.ip) % controllers.size()]);
       }
     }
     if (!canary_policy_.active() || now < report_at_) return;
-    size_t proxies = peers_->members().CountNotLeft(membership::Program::kProxy);
+    size_t proxies = node_->membership().CountNotLeft(membership::Program::kProxy);
     report_at_ = now + std::max<base::Millis>(250, static_cast<base::Millis>(proxies));
     for (const std::string& service : canary_policy_.ActiveServices()) {
       for (int i = 0; i < 20; ++i) {
@@ -150,21 +150,21 @@
                                           rollout::CanaryPolicy::Outcome::kComplete, true, false});
       }
       rollout::ProxyReport report = canary_policy_.MakeReport(now, service);
-      report.node = peers_->members().self().id;
+      report.node = node_->membership().self().id;
       report.boot_id = 1;
       report.wants_renewal = now % 1000 < 500;
       std::string bytes = wire::Encode(report);
       for (uint64_t observer : canary_policy_.RolloutOf(service)->observers) {
-        auto at = peers_->members().nodes().find(observer);
-        if (at == peers_->members().nodes().end()) continue;
-        peers_->SendSmall(at->second.address(), wire::Kind::kProxyReport, bytes);
+        auto at = node_->membership().nodes().find(observer);
+        if (at == node_->membership().nodes().end()) continue;
+        node_->SendSmall(at->second.address(), wire::Kind::kProxyReport, bytes);
       }
     }
   }
 
   base::Settings settings_;
   rollout::CanaryPolicy canary_policy_{rollout::CanaryPolicy::Options()};
-  std::unique_ptr<dissemination::Peers> peers_;
+  std::unique_ptr<cluster::ClusterNode> node_;
   base::Timer tick_;
   base::Millis report_at_ = 0, ask_at_ = 0;
 };
