--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -206,7 +206,7 @@
   node.ready = true;
   node.durable = true;
   golden.AddEncoded("node", node);
-  golden.Add("node-digest", std::to_string(node.Mark()));
+  golden.Add("node-digest", std::to_string(node.ViewDigest()));
   golden.AddEncoded("heartbeat", membership::Heartbeat{1, 2, 3, 4});
   membership::MembershipUpdate table;
   table.nodes = {node};
@@ -217,7 +217,7 @@
   golden.AddEncoded("sums", sums);
   membership::MembershipSummary summary;
   summary.parts = 5;
-  summary.marks = {{1, 2}, {3, 4}};
+  summary.view_digests = {{1, 2}, {3, 4}};
   golden.AddEncoded("summary", summary);
 
   dissemination::Digest digest;
