--- a/src/base/names.h
+++ b/src/base/names.h
@@ -9,7 +9,7 @@
 namespace elderkeel::base {
 
 // Maps names to dense indices at the door, so that tables inside are plain vectors. An index, once
-// given, keeps its meaning for the life of the process.
+// given, keeps its meaning while the process runs.
 class Names {
  public:
   static constexpr uint32_t kNone = UINT32_MAX;
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -22,7 +22,8 @@
   uint64_t state_;
 };
 
-// A seed from the operating system; for everything that must differ between lives of a process.
+// A seed from the operating system; for everything that must differ between two starts of a
+// process.
 uint64_t RandomSeed();
 
 // FNV-1a with a final mix: places names on rings and digests documents; not for secrets.
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -13,14 +13,14 @@
 namespace elderkeel::base {
 namespace {
 
-enum class Kind { kText, kWhole, kNumber, kFlag, kAddress, kList };
+enum class Kind { kText, kInteger, kNumber, kFlag, kAddress, kList };
 
 struct Field {
   const char* name;
   Kind kind;
-  double least;
-  double most;
-  bool needed;
+  double minimum;
+  double maximum;
+  bool required;
   std::function<void(Settings*, const rapidjson::Value&)> take;
 };
 
@@ -29,18 +29,19 @@
   return parsed ? *parsed : Address{};
 }
 
-#define TEXT(name, member, needed)                                                                 \
-  {                                                                                                \
-    name, Kind::kText, 0, 0, needed, [](Settings* s, const auto& v) { s->member = v.GetString(); } \
+#define TEXT(name, member, required)                                  \
+  {                                                                   \
+    name, Kind::kText, 0, 0, required,                                \
+        [](Settings* s, const auto& v) { s->member = v.GetString(); } \
   }
-#define WHOLE(name, member, least, most)                             \
+#define INTEGER(name, member, minimum, maximum)                      \
   {                                                                  \
-    name, Kind::kWhole, least, most, false,                          \
+    name, Kind::kInteger, minimum, maximum, false,                   \
         [](Settings* s, const auto& v) { s->member = v.GetInt64(); } \
   }
-#define NUMBER(name, member, least, most)                             \
+#define NUMBER(name, member, minimum, maximum)                        \
   {                                                                   \
-    name, Kind::kNumber, least, most, false,                          \
+    name, Kind::kNumber, minimum, maximum, false,                     \
         [](Settings* s, const auto& v) { s->member = v.GetDouble(); } \
   }
 #define FLAG(name, member)                                                                      \
@@ -70,42 +71,42 @@
       ADDRESS("listeners.directory", directory),
       ADDRESS("platform.address", platform),
       FLAG("bootstrap", bootstrap),
-      WHOLE("limits.memory-mb", memory_mb, 16, 1 << 20),
-      WHOLE("limits.max-fds", max_fds, 64, 1 << 22),
+      INTEGER("limits.memory-mb", memory_mb, 16, 1 << 20),
+      INTEGER("limits.max-fds", max_fds, 64, 1 << 22),
       NUMBER("platform.rate-per-s", platform_rate_per_s, 0.1, 1e6),
-      WHOLE("platform.max-lag-ms", platform_lag_ms, 0, 600000),
-      WHOLE("bounds.contact-ms", contact_ms, 1, 600000),
-      WHOLE("bounds.ack-ms", ack_ms, 1, 600000),
-      WHOLE("bounds.drain-ms", drain_ms, 1, 600000),
+      INTEGER("platform.max-lag-ms", platform_lag_ms, 0, 600000),
+      INTEGER("bounds.contact-ms", contact_ms, 1, 600000),
+      INTEGER("bounds.ack-ms", ack_ms, 1, 600000),
+      INTEGER("bounds.drain-ms", drain_ms, 1, 600000),
       NUMBER("bounds.grace-s", grace_s, 0.1, 600),
-      WHOLE("bounds.apply-ms", apply_ms, 1, 600000),
+      INTEGER("bounds.apply-ms", apply_ms, 1, 600000),
       NUMBER("bounds.retry-ratio", retry_ratio, 0, 10),
       NUMBER("bounds.retry-window-s", retry_window_s, 0.1, 3600),
       NUMBER("bounds.retry-slack", retry_slack, 0, 1e6),
-      WHOLE("bounds.evacuate-ms", evacuate_ms, 1, 600000),
+      INTEGER("bounds.evacuate-ms", evacuate_ms, 1, 600000),
       NUMBER("bounds.warmup-excess", warmup_excess, 0, 100),
       NUMBER("bounds.warmup-slack", warmup_slack, 0, 1e6),
       NUMBER("bounds.ttl_max_s", ttl_max_s, 0, 3600),
       NUMBER("bounds.canary-share", canary_share, 0, 1),
-      WHOLE("bounds.canary-slack", canary_slack, 0, 1000000),
-      WHOLE("bounds.rollback-ms", rollback_ms, 1, 600000),
-      WHOLE("tolerance.machines", tolerance_machines, 0, 1000),
-      WHOLE("tolerance.zones", tolerance_zones, 0, 1000),
-      WHOLE("tolerance.region-list", tolerance_regions, 0, 1000),
+      INTEGER("bounds.canary-slack", canary_slack, 0, 1000000),
+      INTEGER("bounds.rollback-ms", rollback_ms, 1, 600000),
+      INTEGER("tolerance.machines", tolerance_machines, 0, 1000),
+      INTEGER("tolerance.zones", tolerance_zones, 0, 1000),
+      INTEGER("tolerance.region-list", tolerance_regions, 0, 1000),
       TEXT("elderkeel.log-level", log_level, false),
-      WHOLE("elderkeel.poll-ms", poll_ms, 0, 60000),
-      WHOLE("elderkeel.stale-catalog-ms", stale_catalog_ms, 500, 600000),
-      WHOLE("elderkeel.heartbeat-ms", heartbeat_ms, 20, 10000),
-      WHOLE("elderkeel.digest-ms", digest_ms, 20, 10000),
-      WHOLE("elderkeel.raft-heartbeat-ms", raft_heartbeat_ms, 10, 10000),
-      WHOLE("elderkeel.election-ms", election_ms, 50, 60000),
-      WHOLE("elderkeel.connect-ms", connect_ms, 10, 60000),
-      WHOLE("elderkeel.held-body-bytes", held_body_bytes, 1024, 1 << 28),
-      WHOLE("elderkeel.wait-share-percent", wait_share_percent, 0, 100),
+      INTEGER("elderkeel.poll-ms", poll_ms, 0, 60000),
+      INTEGER("elderkeel.stale-catalog-ms", stale_catalog_ms, 500, 600000),
+      INTEGER("elderkeel.heartbeat-ms", heartbeat_ms, 20, 10000),
+      INTEGER("elderkeel.digest-ms", digest_ms, 20, 10000),
+      INTEGER("elderkeel.raft-heartbeat-ms", raft_heartbeat_ms, 10, 10000),
+      INTEGER("elderkeel.election-ms", election_ms, 50, 60000),
+      INTEGER("elderkeel.connect-ms", connect_ms, 10, 60000),
+      INTEGER("elderkeel.held-body-bytes", held_body_bytes, 1024, 1 << 28),
+      INTEGER("elderkeel.wait-share-percent", wait_share_percent, 0, 100),
       FLAG("elderkeel.second-sends", second_sends),
       TEXT("elderkeel.telemetry-sink", telemetry_sink, false),
       TEXT("elderkeel.telemetry-file", telemetry_file, false),
-      WHOLE("elderkeel.telemetry-flush-ms", telemetry_flush_ms, 10, 60000),
+      INTEGER("elderkeel.telemetry-flush-ms", telemetry_flush_ms, 10, 60000),
       {"port-range", Kind::kList, 0, 0, true,
        [](Settings* s, const auto& v) {
          s->port_first = static_cast<uint16_t>(std::atoi(v[0].GetString()));
@@ -132,21 +133,21 @@
     switch (field.kind) {
       case Kind::kText:
         rule.AddMember("type", "string", a);
-        if (field.needed) rule.AddMember("minLength", 1, a);
+        if (field.required) rule.AddMember("minLength", 1, a);
         break;
       case Kind::kAddress:
         rule.AddMember("type", "string", a);
         rule.AddMember("pattern", "^[0-9]+\\.[0-9]+\\.[0-9]+\\.[0-9]+:[0-9]+$", a);
         break;
-      case Kind::kWhole:
+      case Kind::kInteger:
         rule.AddMember("type", "integer", a);
-        rule.AddMember("minimum", static_cast<int64_t>(field.least), a);
-        rule.AddMember("maximum", static_cast<int64_t>(field.most), a);
+        rule.AddMember("minimum", static_cast<int64_t>(field.minimum), a);
+        rule.AddMember("maximum", static_cast<int64_t>(field.maximum), a);
         break;
       case Kind::kNumber:
         rule.AddMember("type", "number", a);
-        rule.AddMember("minimum", field.least, a);
-        rule.AddMember("maximum", field.most, a);
+        rule.AddMember("minimum", field.minimum, a);
+        rule.AddMember("maximum", field.maximum, a);
         break;
       case Kind::kFlag:
         rule.AddMember("type", "boolean", a);
@@ -156,7 +157,7 @@
         break;
     }
     properties.AddMember(rapidjson::Value(field.name, a), rule, a);
-    if (field.needed) required.PushBack(rapidjson::Value(field.name, a), a);
+    if (field.required) required.PushBack(rapidjson::Value(field.name, a), a);
   }
   schema.AddMember("type", "object", a);
   schema.AddMember("properties", properties, a);
@@ -187,7 +188,7 @@
                         rapidjson::Document::AllocatorType& a) {
   char* end = nullptr;
   switch (field.kind) {
-    case Kind::kWhole: {
+    case Kind::kInteger: {
       long long n = std::strtoll(text.c_str(), &end, 10);
       if (!text.empty() && *end == '\0') return rapidjson::Value(static_cast<int64_t>(n));
       double d = std::strtod(text.c_str(), &end);
@@ -297,7 +298,7 @@
   for (const Field& field : Fields()) {
     auto at = lines.find(field.name);
     // An empty value of a field that may be left out counts as left out.
-    if (at == lines.end() || (at->second.empty() && !field.needed)) continue;
+    if (at == lines.end() || (at->second.empty() && !field.required)) continue;
     document.AddMember(rapidjson::StringRef(field.name),
                        ToJson(field, at->second, document.GetAllocator()), document.GetAllocator());
   }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -75,8 +75,9 @@
 
   // Ours, with defaults that suit a fleet of tens of nodes in one region.
   std::string log_level = "info";
-  int64_t poll_ms = 0;  // how often the duty holder asks the platform; 0: as `PollMs` says
-  int64_t stale_catalog_ms = 6000;  // with no word on the catalog for so long, a node asks itself
+  int64_t poll_ms =
+      0;  // how often the catalog reader reads the platform's list; 0: as `PollMs` says
+  int64_t stale_catalog_ms = 6000;  // with no update of the list for so long, a node reads it
   int64_t heartbeat_ms = 250;       // ring heartbeats
   int64_t digest_ms = 400;          // digest exchange with a random peer
   int64_t raft_heartbeat_ms = 120;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -65,7 +65,7 @@
   bool ConfirmReadByHeartbeat(uint64_t token);
   void AddLearner(const Member& member);
   void TransferLeadership();
-  // Gives up the vote; raft().may_stop() tells when this process may end.
+  // Gives up the vote; raft().may_stop() says when this process may end.
   void Leave() { raft_->Leave(); }
   void SetZone(const std::string& ip, const std::string& zone);
   const RaftNode& raft() const { return *raft_; }
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -25,7 +25,8 @@
   return base::Hash(address.ToString(), 7) | 1;
 }
 
-// What the founders agree on without a word: a hash of the seeds, in the same order everywhere.
+// What the initial voters agree on without a message: a hash of the seeds, in the same order
+// everywhere.
 uint64_t ClusterId(const std::vector<base::Address>& seeds) {
   std::vector<std::string> names;
   for (const base::Address& seed : seeds) names.push_back(seed.ToString());
@@ -413,8 +414,8 @@
   control_server_->Answer(ticket, Redirect(reason, control.ToString(), target));
 }
 
-// The leader has the votes; another controller redirects to it, or without one tells what its own
-// log has.
+// The leader has the votes; another controller redirects to it, or without one answers by its own
+// log.
 void Controller::OnRolloutReportRequest(Ticket ticket, const wire::Message& request) {
   if (request.method != "GET") {
     control_server_->Answer(ticket, wire::OwnAnswer(405, "GET only"));
--- a/src/controller/status_writer.cc
+++ b/src/controller/status_writer.cc
@@ -184,7 +184,7 @@
 
   void WriteVote(const rollout::Vote& vote) {
     json_->Text("why", vote.why);
-    json_->Number("proxies-heard", static_cast<int64_t>(vote.heard));
+    json_->Number("proxies-heard", static_cast<int64_t>(vote.reporting));
     json_->Number("proxies-in-sight", static_cast<int64_t>(vote.known_proxies));
     json_->Number("requests", vote.requests);
     json_->Number("sent-to-new", vote.exposed);
--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -64,19 +64,19 @@
   return resolution;
 }
 
-// Most watchers of a region's nodes stand in the region; when it is lost as a whole, each of its
-// nodes is noticed by one far watcher alone, and late. Its controllers are noticed within a second
-// or so. If controllers are heard of nowhere, that says nothing about any region.
+// Most monitors of a region's nodes stand in the region; when it is lost as a whole, each of its
+// nodes is noticed by one far monitor alone, and late. Its controllers are noticed within a second
+// or so. If controllers are alive nowhere, that says nothing about any region.
 std::set<std::string> Directory::DarkRegions() const {
-  std::set<std::string> heard, unheard;
+  std::set<std::string> seen, unseen;
   for (const auto& [id, node] : members_->nodes()) {
     if (node.program != membership::Program::kController || node.state == membership::State::kLeft)
       continue;
     const std::string& region = members_->RegionOf(node.zone);
-    (node.state == membership::State::kAlive ? heard : unheard).insert(region);
+    (node.state == membership::State::kAlive ? seen : unseen).insert(region);
   }
-  for (const std::string& region : heard) unheard.erase(region);
-  return unheard;
+  for (const std::string& region : seen) unseen.erase(region);
+  return unseen;
 }
 
 Directory::Choice Directory::Choose(base::Millis now, const Resolution& resolution) {
@@ -85,24 +85,24 @@
   // judged by the region; with neither known, everywhere is as near.
   std::string region = members_->RegionOf(resolution.zone);
   if (region.empty()) region = resolution.region;
-  struct Place {
+  struct Ring {
     std::vector<const membership::Node*> good, doubtful, lost;
     size_t known = 0;
-  } places[3];
+  } rings[3];
   for (const auto& [id, node] : members_->nodes()) {
     if (node.program != membership::Program::kProxy || node.front == 0) continue;
     if (node.state == membership::State::kLeft) continue;
-    Place& place = places[node.zone == resolution.zone              ? 0
-                          : members_->RegionOf(node.zone) == region ? 1
-                                                                    : 2];
-    ++place.known;
+    Ring& ring = rings[node.zone == resolution.zone              ? 0
+                       : members_->RegionOf(node.zone) == region ? 1
+                                                                 : 2];
+    ++ring.known;
     if (node.state == membership::State::kAlive && node.ready &&
         !dark.count(members_->RegionOf(node.zone))) {
-      place.good.push_back(&node);
+      ring.good.push_back(&node);
     } else if (node.reachable()) {
-      place.doubtful.push_back(&node);
+      ring.doubtful.push_back(&node);
     } else {
-      place.lost.push_back(&node);
+      ring.lost.push_back(&node);
     }
   }
   Choice choice;
@@ -118,25 +118,25 @@
   // What a crushed zone lacks is borrowed, as many as it has lost, from those next to it; so it
   // gets its clients back one by one, as its proxies return.
   size_t lacking = 0;
-  for (Place& place : places) {
-    size_t have = place.good.size();
+  for (Ring& ring : rings) {
+    size_t have = ring.good.size();
     bool first = chosen.empty();
-    take(&place.good, first ? options_.most : lacking);
+    take(&ring.good, first ? options_.most : lacking);
     if (first && have > 0) {
-      bool crushed = have * kHelpDenominator < place.known * kHelpNumerator;
-      lacking = crushed ? place.known - have : 0;
+      bool crushed = have * kHelpDenominator < ring.known * kHelpNumerator;
+      lacking = crushed ? ring.known - have : 0;
     } else {
       lacking -= std::min(lacking, have);
     }
     if (!chosen.empty() && lacking == 0) break;
   }
-  choice.elsewhere = !chosen.empty() && places[0].known + places[1].known > 0 &&
+  choice.elsewhere = !chosen.empty() && rings[0].known + rings[1].known > 0 &&
                      members_->RegionOf(chosen.front()->zone) != region;
   if (chosen.empty() && now - started_ < options_.patience) return choice;
   // Doubtful knowledge: what was last known to serve is better than nothing.
-  for (auto kind : {&Place::doubtful, &Place::lost}) {
-    for (Place& place : places) {
-      if (chosen.empty()) take(&(place.*kind), options_.most);
+  for (auto kind : {&Ring::doubtful, &Ring::lost}) {
+    for (Ring& ring : rings) {
+      if (chosen.empty()) take(&(ring.*kind), options_.most);
     }
   }
   return choice;
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -23,7 +23,7 @@
   static base::Result<Resolution> Parse(std::string_view query);
 };
 
-// Tells clients where to go: the front addresses of proxies that can serve, near ones first. Folded
+// Answers where clients may go: the addresses of proxies that can serve, near ones first. Derived
 // from the membership at each call; pure but for the order in which addresses are drawn.
 class Directory {
  public:
@@ -48,7 +48,7 @@
   Choice Choose(base::Millis now, const Resolution& resolution);
 
  private:
-  // Regions of whose controllers none is heard: of their proxies nothing is known for sure.
+  // Regions of whose controllers none is alive: of their proxies nothing is known for sure.
   std::set<std::string> DarkRegions() const;
 
   Options options_;
--- a/src/discovery/endpoints.cc
+++ b/src/discovery/endpoints.cc
@@ -152,7 +152,7 @@
   return std::move(servers_);
 }
 
-// A list may change while it is read, and a server then stand on two pages. The later word counts,
+// A list may change while it is read, and a server then stand on two pages. The later entry counts,
 // but one that is draining anywhere is draining: it does not come back from that. The same id with
 // another service or address is no list.
 std::string EndpointListReader::Merge() {
--- a/src/discovery/endpoints.h
+++ b/src/discovery/endpoints.h
@@ -24,9 +24,10 @@
   int32_t warmup_left_ms = 0;  // when this was read or sent
   base::Millis warm_at = 0;    // the same on this process's own clock; not sent
 
-  // Fixes on this process's clock how long it stays cold, as told just now.
+  // Fixes on this process's clock when its slow start ends, by what was just read or received.
   void Anchor(base::Millis now) { warm_at = warmup_left_ms > 0 ? now + warmup_left_ms : 0; }
-  // The same, and not colder than was known: a warm-up that only goes on is no change.
+  // The same, and not longer in slow start than was known: a slow start that only goes on is no
+  // change.
   bool Same(const Server& o) const {
     return id == o.id && service == o.service && address == o.address && zone == o.zone &&
            revision == o.revision && capacity == o.capacity && draining == o.draining &&
@@ -41,8 +42,8 @@
   static constexpr base::Millis kWarmSlackMs = 400;
 };
 
-// The list as one holder of the duty read it. `epoch` rises with each holder, `sequence` with each
-// change that a holder sees.
+// The list as one catalog reader read it. `epoch` rises with each reader, `sequence` with each
+// change that a reader sees.
 struct EndpointSnapshot {
   uint64_t epoch = 0;
   uint64_t sequence = 0;
@@ -55,7 +56,8 @@
   std::vector<Server> servers;
   std::string next;  // empty on the last page
 };
-// A page of the platform's list; an error for anything that is not whole and of the right types.
+// A page of the platform's list. Error: kProtocolError, for anything that is not complete and of
+// the right types.
 base::Result<Page> ParsePage(std::string_view text);
 
 // Whether the newer of two readings shows what the older one showed.
@@ -64,14 +66,16 @@
 std::vector<std::string> Differences(const std::vector<Server>& older,
                                      const std::vector<Server>& newer);
 
-// Reads the list page by page. Pure: the caller does the calls. A list that could not be read whole
-// is no list.
+// Reads the list page by page. Pure: the caller does the calls. A list of which a page could not be
+// read is no list.
 class EndpointListReader {
  public:
-  // The target of the first call, or of the next; empty when the reading is complete.
+  // The target of the first call.
   std::string Start();
+  // Takes a page's answer. The target of the next call; empty when the reading is complete. Errors:
+  // kUnavailable, kProtocolError.
   base::Result<std::string> Take(int status, std::string_view body);
-  // What was read; `now` anchors how long servers stay cold.
+  // What was read; `now` anchors how long servers stay in slow start.
   std::vector<Server> Finish(base::Millis now);
   bool active() const { return active_; }
   void Abort() { active_ = false; }
--- a/src/dissemination/confirm.cc
+++ b/src/dissemination/confirm.cc
@@ -21,7 +21,7 @@
     if (reply.leader_ip.empty()) return std::nullopt;
     return base::Address{reply.leader_ip, reply.leader_port};
   }
-  // Answers overtake each other; what one told of is never unsaid by another.
+  // Answers overtake each other; what one named is never taken back by another.
   wanted_.revision = std::max(wanted_.revision, reply.versions.revision);
   wanted_.zone_drains = std::max(wanted_.zone_drains, reply.versions.zone_drains);
   wanted_.rollouts = std::max(wanted_.rollouts, reply.versions.rollouts);
@@ -29,10 +29,10 @@
   return std::nullopt;
 }
 
-bool Confirmation::Holds(base::Millis now, const Versions& held) const {
+bool Confirmation::Holds(base::Millis now, const Versions& own) const {
   return known_at_ >= 0 && now - known_at_ <= patience_ && wanted_.revision > 0 &&
-         held.revision >= wanted_.revision && held.zone_drains >= wanted_.zone_drains &&
-         held.rollouts >= wanted_.rollouts;
+         own.revision >= wanted_.revision && own.zone_drains >= wanted_.zone_drains &&
+         own.rollouts >= wanted_.rollouts;
 }
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/confirm.h
+++ b/src/dissemination/confirm.h
@@ -32,23 +32,23 @@
   }
 };
 
-// A starting proxy's side, pure. What it holds counts as current only while it knows by an answer
+// A starting proxy's side, pure. Its state counts as current only while it knows by an answer
 // what was current at most `patience` ago: the time runs from its own question, so neither a reply
-// that was held up on its way or by a process that slept nor one to an earlier life counts.
+// that was delayed on its way or by a process that slept nor one to an earlier start counts.
 class Confirmation {
  public:
-  // Nonces count up from `seed`, which no other life of the process uses.
+  // Nonces count up from `seed`, which no other start of the process uses.
   explicit Confirmation(uint64_t seed, base::Millis patience = 1000)
       : patience_(patience), next_nonce_(seed) {}
 
   Confirm Ask(base::Millis now);
   // Where to put the same question, if the one asked names a leader.
   std::optional<base::Address> OnReply(base::Millis now, const ConfirmReply& reply);
-  // Whether what is held is as new as a fresh answer says. Then nothing needs to be asked any more.
-  bool Holds(base::Millis now, const Versions& held) const;
+  // Whether `held` is as new as a fresh answer says. Then nothing needs to be asked any more.
+  bool Holds(base::Millis now, const Versions& own) const;
   // When the question was put whose answer is the newest; -1 for none yet.
   base::Millis known_at() const { return known_at_; }
-  // The newest that answers told of.
+  // The newest that answers named.
   const Versions& wanted() const { return wanted_; }
 
  private:
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -6,15 +6,15 @@
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kFanOut = 4;            // of the node that an update starts from in a zone
-constexpr size_t kRelayFanOut = 2;       // of a node that heard it from another
-constexpr base::Millis kFetchGap = 250;  // before something is asked for again
-constexpr base::Millis kLongestFetchGap = 8000;
-constexpr base::Millis kNearFirst = 300;       // that the own zone has to get what is large
-constexpr base::Millis kReplyPatience = 2000;  // an answer older than this vouches for nothing
-constexpr size_t kSlowestLink = 250;           // bytes a millisecond: 2 Mbit/s
-constexpr size_t kServerBytes = 64;            // that one endpoint takes in an update, about
-constexpr base::Millis kResendAfter = 500;     // something large is not sent twice in so long
+constexpr size_t kFanOut = 4;                // of the node that an update starts from in a zone
+constexpr size_t kRelayFanOut = 2;           // of a node that has it from another
+constexpr base::Millis kFetchEveryMs = 250;  // before something is asked for again
+constexpr base::Millis kMaxFetchEveryMs = 8000;
+constexpr base::Millis kOwnZoneFirstMs = 300;   // that the own zone has to get what is large
+constexpr base::Millis kReplyTimeoutMs = 2000;  // an answer older than this vouches for nothing
+constexpr size_t kMinLinkBytesPerMs = 250;      // bytes a millisecond: 2 Mbit/s
+constexpr size_t kEndpointBytes = 64;           // that one endpoint takes in an update, about
+constexpr base::Millis kResendAfterMs = 500;    // something large is not sent twice in so long
 constexpr size_t kReliableSources = 3;  // nearest peers that are asked over connections, if need be
 
 SyncSchedule::Options ScheduleOptions(const Disseminator::Options& options) {
@@ -23,7 +23,9 @@
   return schedule;
 }
 
-base::Millis TransferTime(size_t bytes) { return static_cast<base::Millis>(bytes / kSlowestLink); }
+base::Millis TransferTime(size_t bytes) {
+  return static_cast<base::Millis>(bytes / kMinLinkBytesPerMs);
+}
 
 int32_t Narrow(base::Millis age) {
   return static_cast<int32_t>(std::min<base::Millis>(age, INT32_MAX));
@@ -32,7 +34,7 @@
 
 Disseminator::Disseminator(Options options, const membership::Membership* members, base::Millis now)
     : options_(std::move(options)),
-      members_(members),
+      membership_(members),
       random_(options_.seed),
       digest_at_(now),
       log_schedule_(ScheduleOptions(options_), now),
@@ -44,18 +46,18 @@
   return taken;
 }
 
-Versions Disseminator::HeldVersions() const {
+Versions Disseminator::OwnVersions() const {
   return {document_rejected_ ? 0 : revision_, drained_zones_.version(), rollouts_.version()};
 }
 
 Digest Disseminator::OwnDigest(base::Millis now) const {
-  Versions held = HeldVersions();
+  Versions own = OwnVersions();
   Digest digest;
-  digest.revision = held.revision;
+  digest.revision = own.revision;
   digest.epoch = endpoints_.epoch;
   digest.sequence = endpoints_.sequence;
-  digest.zone_drains = held.zone_drains;
-  digest.rollouts = held.rollouts;
+  digest.zone_drains = own.zone_drains;
+  digest.rollouts = own.rollouts;
   digest.endpoints_read_age_ms = Narrow(endpoints_read_age(now));
   return digest;
 }
@@ -69,9 +71,9 @@
   RequestSync(now);
   if (now < digest_at_) return;
   digest_at_ = now + options_.digest_every;
-  std::vector<const membership::Node*> near, all = members_->ReachableOthers();
+  std::vector<const membership::Node*> near, all = membership_->ReachableOthers();
   for (const membership::Node* node : all) {
-    if (node->zone == members_->self().zone) near.push_back(node);
+    if (node->zone == membership_->self().zone) near.push_back(node);
   }
   bool far = near.empty() || random_.Below(static_cast<uint64_t>(options_.in_zone_share)) == 0;
   const auto& from = far ? all : near;
@@ -83,8 +85,8 @@
 
 std::vector<const membership::Node*> Disseminator::ZonePeers() const {
   std::vector<const membership::Node*> neighbours;
-  const membership::Node& self = members_->self();
-  for (const auto& [id, node] : members_->nodes()) {
+  const membership::Node& self = membership_->self();
+  for (const auto& [id, node] : membership_->nodes()) {
     if (node.zone == self.zone && id != self.id && node.state != membership::State::kLeft) {
       neighbours.push_back(&node);
     }
@@ -104,7 +106,7 @@
   auto ask = [&](SyncSchedule* schedule, base::Millis known_at,
                  const std::optional<base::Address>& voucher) {
     if (!schedule->Due(now, known_at)) return;
-    std::vector<base::Address> sources = SyncSources(*members_, options_.seeds, voucher);
+    std::vector<base::Address> sources = SyncSources(*membership_, options_.seeds, voucher);
     bool retrying = schedule->retrying();
     size_t near = std::min(sources.size(), kReliableSources);
     for (const base::Address& to : schedule->Next(now, sources)) {
@@ -117,19 +119,19 @@
   ask(&endpoints_schedule_, KnownAt(endpoints_freshness_), reader_);
   for (const auto& [to, reliable] : targets) {
     out_.sync_requests.push_back(
-        {to, {now, HeldVersions(), HeldEndpointVersion(), exact_, reliable}});
+        {to, {now, OwnVersions(), OwnEndpointVersion(), exact_, reliable}});
   }
 }
 
 bool Disseminator::LacksEndpoints(const PeerState& peer) const {
-  return HeldEndpointVersion().Lacks(peer.endpoints) || (peer.has_endpoints && !has_endpoints());
+  return OwnEndpointVersion().Lacks(peer.endpoints) || (peer.has_endpoints && !has_endpoints());
 }
 
 bool Disseminator::Lacks(const PeerState& peer) const {
-  return !HeldVersions().Covers(peer.versions) || LacksEndpoints(peer);
+  return !OwnVersions().Covers(peer.versions) || LacksEndpoints(peer);
 }
 
-size_t Disseminator::EndpointsBytes() const { return endpoints_.servers.size() * kServerBytes; }
+size_t Disseminator::EndpointsBytes() const { return endpoints_.servers.size() * kEndpointBytes; }
 
 // Whoever has this very list knows when the platform was last read for it.
 void Disseminator::NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at) {
@@ -143,9 +145,9 @@
                           const PeerState& peer) {
   if (lacking_since_ < 0) lacking_since_ = now;
   size_t bytes = 0;
-  if (reply.versions.revision > HeldVersions().revision) bytes += reply.document_bytes;
+  if (reply.versions.revision > OwnVersions().revision) bytes += reply.document_bytes;
   if (LacksEndpoints(peer)) bytes += reply.endpoints_bytes;
-  base::Millis patience = kNearFirst + TransferTime(bytes);
+  base::Millis patience = kOwnZoneFirstMs + TransferTime(bytes);
   if (!InOtherZone(from) || now - lacking_since_ >= patience) return true;
   std::vector<const membership::Node*> near = ZonePeers();
   return std::none_of(near.begin(), near.end(), [](const membership::Node* node) {
@@ -156,32 +158,32 @@
 bool Disseminator::MayFetch(base::Millis now, Fetch* fetch, size_t bytes) {
   if (now < fetch->again_at) return false;
   fetch->gap =
-      std::min(std::max({fetch->gap * 2, kFetchGap, TransferTime(bytes)}), kLongestFetchGap);
+      std::min(std::max({fetch->gap * 2, kFetchEveryMs, TransferTime(bytes)}), kMaxFetchEveryMs);
   fetch->again_at = now + fetch->gap;
   return true;
 }
 
 void Disseminator::RequestMissing(base::Millis now, const base::Address& from,
                                   const PeerState& peer) {
-  Versions held = HeldVersions();
+  Versions own = OwnVersions();
   size_t document = std::max(document_bytes_, document_.MaxBytes());
   bool config =
-      peer.versions.revision > held.revision && MayFetch(now, &fetch_configuration_, document);
+      peer.versions.revision > own.revision && MayFetch(now, &fetch_configuration_, document);
   bool endpoints = LacksEndpoints(peer) && MayFetch(now, &fetch_endpoints_, EndpointsBytes());
   bool lacks_other =
-      peer.versions.zone_drains > held.zone_drains || peer.versions.rollouts > held.rollouts;
+      peer.versions.zone_drains > own.zone_drains || peer.versions.rollouts > own.rollouts;
   bool other = lacks_other && MayFetch(now, &fetch_other_, 0);
   if (!config && !endpoints && !other) return;
   // What is not wanted now is named as held in a version that nobody is beyond.
   PullRequest pull{INT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, exact_};
-  if (config) pull.revision = held.revision;
+  if (config) pull.revision = own.revision;
   if (endpoints) {
     pull.epoch = endpoints_.epoch;
     pull.sequence = endpoints_.sequence;
   }
   if (other) {
-    pull.zone_drains = held.zone_drains;
-    pull.rollouts = held.rollouts;
+    pull.zone_drains = own.zone_drains;
+    pull.rollouts = own.rollouts;
   }
   out_.pulls.push_back({from, pull});
 }
@@ -191,7 +193,7 @@
   bool all = true;
   // Before the list: a node that knows of servers must know which of them it may send to.
   if (peer.versions.rollouts < rollouts_.version()) out_.rollouts.push_back({to, {rollouts_}});
-  if (peer.versions.revision < HeldVersions().revision) {
+  if (peer.versions.revision < OwnVersions().revision) {
     all &= SendConfiguration(now, to, peer.versions.revision, false);
   }
   if (has_endpoints() && endpoints_.NewerThan(peer.endpoints.epoch, peer.endpoints.sequence)) {
@@ -227,9 +229,9 @@
   bool sent = out_.updates() != queued;
   SyncReply reply;
   reply.asked_at = request.asked_at;
-  reply.versions = HeldVersions();
+  reply.versions = OwnVersions();
   reply.age_ms = Narrow(log_.age(now));
-  reply.endpoints = HeldEndpointVersion();
+  reply.endpoints = OwnEndpointVersion();
   reply.endpoints_age_ms = Narrow(endpoints_freshness_.age(now));
   reply.platform_age_ms = Narrow(endpoints_read_age(now));
   reply.endpoints_bytes = static_cast<uint32_t>(EndpointsBytes());
@@ -247,15 +249,15 @@
   } else if (MayAsk(now, from, reply, peer)) {
     RequestMissing(now, from, peer);
   }
-  if (reply.asked_at > now || now - reply.asked_at > kReplyPatience) return;
+  if (reply.asked_at > now || now - reply.asked_at > kReplyTimeoutMs) return;
   if (reply.age_ms >= 0) {
-    log_.Claim(reply.asked_at - reply.age_ms, reply.versions, HeldVersions());
+    log_.Claim(reply.asked_at - reply.age_ms, reply.versions, OwnVersions());
     log_schedule_.Answered(now, from, KnownAt(log_));
   }
   // One that names an earlier reader than is known here has missed that it was replaced.
   if (reply.endpoints_age_ms >= 0 && reply.endpoints.epoch >= endpoints_.epoch) {
     endpoints_freshness_.Claim(reply.asked_at - reply.endpoints_age_ms, reply.endpoints,
-                               HeldEndpointVersion());
+                               OwnEndpointVersion());
     endpoints_schedule_.Answered(now, from, KnownAt(endpoints_freshness_));
   }
   if (reply.platform_age_ms >= 0) {
@@ -264,11 +266,11 @@
 }
 
 void Disseminator::VouchForLog(base::Millis as_of) {
-  log_.Claim(as_of, HeldVersions(), HeldVersions());
+  log_.Claim(as_of, OwnVersions(), OwnVersions());
 }
 
 void Disseminator::VouchForEndpoints(base::Millis now) {
-  endpoints_freshness_.Claim(now, HeldEndpointVersion(), HeldEndpointVersion());
+  endpoints_freshness_.Claim(now, OwnEndpointVersion(), OwnEndpointVersion());
 }
 
 void Disseminator::SetVouchers(std::optional<base::Address> leader,
@@ -280,7 +282,7 @@
 void Disseminator::OnPullRequest(base::Millis now, const base::Address& from,
                                  const PullRequest& pull) {
   if (rollouts_.version() > pull.rollouts) out_.rollouts.push_back({from, {rollouts_}});
-  if (HeldVersions().revision > pull.revision) SendConfiguration(now, from, pull.revision, true);
+  if (OwnVersions().revision > pull.revision) SendConfiguration(now, from, pull.revision, true);
   bool truer = exact_ && !pull.exact && pull.epoch == endpoints_.epoch &&
                pull.sequence == endpoints_.sequence;
   if (has_endpoints() &&
@@ -293,21 +295,21 @@
 
 bool Disseminator::RecentlySent(base::Millis now, const base::Address& to, uint64_t what) {
   Sent& sent = sent_[to];
-  if (sent.what == what && now - sent.at < kResendAfter) return true;
+  if (sent.what == what && now - sent.at < kResendAfterMs) return true;
   sent = {now, what};
   return false;
 }
 
 bool Disseminator::InOtherZone(const base::Address& from) const {
-  const membership::Node* node = members_->Find(from);
-  return node && node->zone != members_->self().zone;
+  const membership::Node* node = membership_->Find(from);
+  return node && node->zone != membership_->self().zone;
 }
 
 std::vector<const membership::Node*> Disseminator::ForwardTargets(bool origin, size_t near_count) {
-  const std::string& zone = members_->self().zone;
+  const std::string& zone = membership_->self().zone;
   std::vector<const membership::Node*> near;
   std::map<std::string, std::vector<const membership::Node*>> far, far_core;
-  for (const membership::Node* node : members_->ReachableOthers()) {
+  for (const membership::Node* node : membership_->ReachableOthers()) {
     if (node->zone == zone) {
       near.push_back(node);
     } else if (origin) {
@@ -358,14 +360,14 @@
 
 void Disseminator::OnNodeReachable(base::Millis now, const membership::Node& node) {
   // By those that kept a hint; what it missed it then asks for, once.
-  if (hints_.erase(node.id) == 0) return;
+  if (missed_updates_.erase(node.id) == 0) return;
   out_.digests.push_back({node.address(), OwnDigest(now)});
 }
 
 void Disseminator::OnNodeUnreachable(const membership::Node& node) {
   if (node.state == membership::State::kLeft) return;
-  for (const membership::Node* watcher : members_->MonitorsOf(node.id)) {
-    if (watcher->id == members_->self().id) hints_.insert(node.id);
+  for (const membership::Node* watcher : membership_->MonitorsOf(node.id)) {
+    if (watcher->id == membership_->self().id) missed_updates_.insert(node.id);
   }
 }
 
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -30,11 +30,11 @@
 // digest, so that each node takes it once. Nodes also exchange digests with a random peer. This is
 // fast, and promises nothing: any of these messages may be lost or end at a node that is cut off.
 //
-// Pull: each node knows how old what it holds may be (`Freshness`), and asks its peers in turn,
+// Pull: each node knows how old its own state may be (`Freshness`), and asks its peers in turn,
 // over zones too, once that is too old (`SyncSchedule`). The bound on how late a node learns of a
 // change follows from the timers of this path alone; docs/dissemination.md adds it up.
 //
-// Within one life nothing older replaces anything newer.
+// While a process runs nothing older replaces anything newer.
 class Disseminator {
  public:
   enum class Topic : uint8_t { kConfiguration, kEndpoints, kZoneDrain, kRollouts };
@@ -95,9 +95,9 @@
   void OnZoneDrainUpdate(base::Millis now, const base::Address& from,
                          const ZoneDrainUpdate& update);
   void OnRolloutUpdate(base::Millis now, const base::Address& from, const RolloutUpdate& update);
-  // A node that was heard has this version of the roll-outs; if that is newer, it is asked for it.
+  // A node has this version of the roll-outs; if that is newer, it is asked for it.
   void OnRolloutVersion(base::Millis now, const base::Address& from, uint64_t version);
-  // A node was heard for the first time, or again.
+  // A node is alive for the first time, or again: it is sent what it missed.
   void OnNodeReachable(base::Millis now, const membership::Node& node);
   void OnNodeUnreachable(const membership::Node& node);
 
@@ -105,24 +105,23 @@
   void Commit(base::Millis now, const configuration::ConfigurationState& state);
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
-  // From this node's own reading of the platform, as the holder of the duty.
-  // Epoch 0 is a reading that no holder vouches for; it stays in the zone.
-  // False if an update of a later holder is here already: this one was replaced and does not know
-  // it yet.
+  // From this node's own reading of the platform, as the catalog reader. Epoch 0 is a reading that
+  // no reader vouches for; it stays in the zone. False if an update of a later reader is here
+  // already: this one was replaced and does not know it yet.
   bool Publish(base::Millis now, discovery::EndpointSnapshot endpoints);
-  // The holder of `epoch` read the list and found it unchanged.
+  // The reader of `epoch` read the list and found it unchanged.
   void Confirm(base::Millis now, uint64_t epoch);
   // A reading for this node alone, when no update of the list comes any more.
   void AdoptOwnReading(base::Millis now, std::vector<discovery::Server> servers);
 
-  // A majority has said that what is held here was all that was committed at `as_of`: to the
+  // A majority has confirmed that what is here was all that was committed at `as_of`: to the
   // leader, or to a proxy that starts.
   void VouchForLog(base::Millis as_of);
   // For the reader of the list: what it published is the newest list of endpoints now.
   void VouchForEndpoints(base::Millis now);
   // Who vouches, as far as a controller knows it by the log; they are asked first.
   void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
-  // What was adopted as the configuration can't be used: it is asked for anew, whole.
+  // What was adopted as the configuration can't be used: all of it is asked for anew.
   void RejectConfiguration();
 
   Effects TakeEffects();
@@ -130,14 +129,15 @@
 
   int64_t revision() const { return revision_; }
   const std::string& configuration_text() const { return document_.text(); }
-  // The patch that led to this configuration, and from which revision; empty if it came whole.
+  // The patch that led to this configuration, and from which revision; empty if it came as a
+  // complete document.
   const std::string& configuration_patch() const;
   int64_t configuration_base() const { return patches_.last() ? patches_.last()->base : 0; }
   const discovery::EndpointSnapshot& endpoints() const { return endpoints_; }
   const zone_drain::DrainedZones& drained_zones() const { return drained_zones_; }
   const rollout::Rollouts& rollouts() const { return rollouts_; }
   bool has_endpoints() const { return read_at_ >= 0; }
-  // Milliseconds since what the log decides, as it is held here, was known to be the newest; -1 for
+  // Milliseconds since what the log decides, as it is here, was known to be the newest; -1 for
   // never. All that was acknowledged before that moment is in force here.
   base::Millis log_age(base::Millis now) const { return log_.age(now); }
   base::Millis endpoints_age(base::Millis now) const { return endpoints_freshness_.age(now); }
@@ -156,7 +156,7 @@
   // What is asked for and under way, of one kind of large state.
   struct Fetch {
     base::Millis again_at = 0;  // not asked for before
-    base::Millis gap = 0;       // grows until something newer is held
+    base::Millis gap = 0;       // grows until something newer is here
   };
   // How new another node's state is, as a digest or an answer says.
   struct PeerState {
@@ -165,14 +165,14 @@
     bool has_endpoints = false;
   };
 
-  // As of when what a topic holds counts as known, for asking peers.
+  // As of when the state of a topic counts as known, for asking peers.
   template <class Version>
   base::Millis KnownAt(const Freshness<Version>& freshness) const;
-  Versions HeldVersions() const;
-  EndpointVersion HeldEndpointVersion() const { return {endpoints_.epoch, endpoints_.sequence}; }
+  Versions OwnVersions() const;
+  EndpointVersion OwnEndpointVersion() const { return {endpoints_.epoch, endpoints_.sequence}; }
   bool Lacks(const PeerState& peer) const;
   bool LacksEndpoints(const PeerState& peer) const;
-  // Of the whole list in an update, about.
+  // Of all endpoints in an update, about.
   size_t EndpointsBytes() const;
   void NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at);
 
@@ -192,18 +192,18 @@
   void Replace(discovery::EndpointSnapshot endpoints, bool exact);
   // What the log decides is newer here than before, by what `fetch` may have asked for.
   void LogAdvanced(Fetch* fetch);
-  // Whom to tell at once of something new.
+  // Whom to send something new at once.
   std::vector<const membership::Node*> ForwardTargets(bool origin, size_t near_count);
-  // `from`: who told this node; none if the update originates here.
+  // `from`: who sent it; none if the update originates here.
   void Forward(base::Millis now, Topic topic, const base::Address* from);
   bool InOtherZone(const base::Address& from) const;
-  // Others of the zone; those suspected or dead too: they may only be hard to hear.
+  // Others of the zone; those suspected or dead too: they may only be hard to reach.
   std::vector<const membership::Node*> ZonePeers() const;
   // Asks for what is too old here, if that is due.
   void RequestSync(base::Millis now);
 
   Options options_;
-  const membership::Membership* members_;
+  const membership::Membership* membership_;
   base::Random random_;
   int64_t revision_ = 0;
   configuration::ParsedConfiguration document_;
@@ -218,14 +218,15 @@
   base::Millis digest_at_ = 0;
   base::Millis lacking_since_ = -1;  // as answers of peers say; -1 for not
   Fetch fetch_configuration_, fetch_endpoints_, fetch_other_;
-  size_t document_bytes_ = 0;  // of the newest configuration that a peer told of
+  size_t document_bytes_ = 0;  // of the newest configuration that a peer has
   Freshness<Versions> log_;
   Freshness<EndpointVersion> endpoints_freshness_;
   SyncSchedule log_schedule_;
   SyncSchedule endpoints_schedule_;
   std::optional<base::Address> leader_;
   std::optional<base::Address> reader_;
-  std::set<uint64_t> hints_;  // nodes that missed something, among those that this one watches
+  std::set<uint64_t>
+      missed_updates_;  // nodes that missed updates, among those that this one monitors
   struct Sent {
     base::Millis at = 0;
     uint64_t what = 0;
--- a/src/dissemination/disseminator_endpoints.cc
+++ b/src/dissemination/disseminator_endpoints.cc
@@ -1,4 +1,4 @@
-// The list of endpoints, as its reader tells it.
+// The endpoints, as the catalog reader publishes them.
 #include <algorithm>
 
 #include "dissemination/disseminator.h"
@@ -26,7 +26,7 @@
     }
   }
   if (first < history_.size()) {
-    update.whole = false;
+    update.complete = false;
     update.base_epoch = epoch;
     update.base_sequence = sequence;
     std::set<std::string> touched;
@@ -78,7 +78,7 @@
   exact_ = exact;
   fetch_endpoints_ = Fetch();
   out_.endpoints_adopted = true;
-  endpoints_freshness_.Advance(HeldEndpointVersion());
+  endpoints_freshness_.Advance(OwnEndpointVersion());
 }
 
 bool Disseminator::Publish(base::Millis now, discovery::EndpointSnapshot endpoints) {
@@ -88,8 +88,9 @@
   read_at_ = now;
   Forward(now, Topic::kEndpoints, nullptr);
   if (vouched) return true;
-  for (const membership::Node* node : members_->ReachableOthers()) {
-    if (node->zone == members_->self().zone) SendEndpoints(now, node->address(), 0, 0, false, true);
+  for (const membership::Node* node : membership_->ReachableOthers()) {
+    if (node->zone == membership_->self().zone)
+      SendEndpoints(now, node->address(), 0, 0, false, true);
   }
   return true;
 }
@@ -97,8 +98,8 @@
 void Disseminator::Confirm(base::Millis now, uint64_t epoch) {
   if (epoch != endpoints_.epoch) return;
   read_at_ = now;
-  // One node of each other zone hears what the newest is: a message that was lost on its way there
-  // would else wait for a digest exchange that happens to cross zones.
+  // One node of each other zone is sent what the newest is: a message that was lost on its way
+  // there would else wait for a digest exchange that happens to cross zones.
   for (const membership::Node* node : ForwardTargets(true, 0)) {
     out_.digests.push_back({node->address(), OwnDigest(now)});
   }
@@ -117,15 +118,15 @@
                                     const EndpointUpdate& update) {
   discovery::EndpointSnapshot offered{update.epoch, update.sequence, {}};
   bool newer = offered.NewerThan(endpoints_.epoch, endpoints_.sequence);
-  // The holder's own words replace a reading that this node made for itself meanwhile.
-  bool truer = update.exact && !exact_ && update.whole && update.epoch == endpoints_.epoch &&
+  // The reader's own update replaces a reading that this node made for itself meanwhile.
+  bool truer = update.exact && !exact_ && update.complete && update.epoch == endpoints_.epoch &&
                update.sequence == endpoints_.sequence;
   if (!newer && !truer && has_endpoints()) return;
   auto anchored = [now](discovery::Server server) {
     server.Anchor(now);
     return server;
   };
-  if (update.whole) {
+  if (update.complete) {
     for (const discovery::Server& server : update.servers)
       offered.servers.push_back(anchored(server));
   } else {
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -8,16 +8,16 @@
 
 bool Disseminator::SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
                                      bool asked) {
-  if (HeldVersions().revision == 0) return true;
+  if (OwnVersions().revision == 0) return true;
   size_t first = patches_.From(peer_has, document_.MaxBytes());
-  bool whole = first == patches_.size();
-  size_t bytes = whole ? document_.MaxBytes() : 0;
+  bool complete = first == patches_.size();
+  size_t bytes = complete ? document_.MaxBytes() : 0;
   for (size_t i = first; i < patches_.size(); ++i) bytes += patches_.at(i).body.size();
   if (bytes > kSmall) {
     if (!asked) return false;
     if (RecentlySent(now, to, static_cast<uint64_t>(revision_) * 2)) return true;
   }
-  if (whole)
+  if (complete)
     out_.configuration_updates.push_back({to, ConfigurationUpdate{revision_, 0, document_.text()}});
   for (size_t i = first; i < patches_.size(); ++i) {
     const PatchHistory::Patch& patch = patches_.at(i);
@@ -34,7 +34,7 @@
 
 void Disseminator::LogAdvanced(Fetch* fetch) {
   *fetch = Fetch();
-  log_.Advance(HeldVersions());
+  log_.Advance(OwnVersions());
 }
 
 void Disseminator::RejectConfiguration() {
@@ -45,8 +45,8 @@
 void Disseminator::OnConfigurationUpdate(base::Millis now, const base::Address& from,
                                          const ConfigurationUpdate& update) {
   // One that was rejected here may come once more.
-  if (update.revision < revision_ || update.revision <= HeldVersions().revision) return;
-  if (update.base != 0 && update.base != HeldVersions().revision) {
+  if (update.revision < revision_ || update.revision <= OwnVersions().revision) return;
+  if (update.base != 0 && update.base != OwnVersions().revision) {
     RequestMissing(now, from, PeerState{{update.revision, 0, 0}, {}, false});
     return;
   }
@@ -85,8 +85,8 @@
   if (patch) patches_.Add({state.base(), state.revision(), state.patch()});
   out_.configuration_adopted = true;
   LogAdvanced(&fetch_configuration_);
-  // Every controller applies the log by itself; one of a zone tells all of it.
-  if (!members_->IsZoneRepresentative()) {
+  // Every controller applies the log by itself; one of a zone sends to all of it.
+  if (!membership_->IsZoneRepresentative()) {
     Forward(now, Topic::kConfiguration, nullptr);
     return;
   }
@@ -116,7 +116,7 @@
   Forward(now, Topic::kZoneDrain, &from);
 }
 
-// Every controller tells its own zone; each of its nodes passes it on once.
+// Every controller sends to its own zone; each of its nodes forwards it once.
 void Disseminator::Commit(const rollout::Rollouts& rollouts) {
   if (rollouts.version() <= rollouts_.version()) return;
   rollouts_ = rollouts;
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -38,14 +38,14 @@
   uint64_t sequence = 0;
   uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
-  bool exact = false;  // the sender holds the list just as (epoch, sequence) names it
+  bool exact = false;  // the sender has the list just as (epoch, sequence) names it
   template <class A>
   void serialize(A& a) {
     a(revision, epoch, sequence, zone_drains, rollouts, exact);
   }
 };
 
-// A committed configuration: whole, or the patch that leads to it from `base`.
+// A committed configuration: the document, or the patch that leads to it from `base`.
 struct ConfigurationUpdate {
   int64_t revision = 0;
   int64_t base = 0;
@@ -56,12 +56,12 @@
   }
 };
 
-// The list whole, or what changed in it since (base_epoch, base_sequence).
+// All endpoints, or what changed in them since (base_epoch, base_sequence).
 struct EndpointUpdate {
   uint64_t epoch = 0;
   uint64_t sequence = 0;
-  bool whole = true;
-  bool exact = true;  // just as its holder read it, so that changes may be built upon it
+  bool complete = true;
+  bool exact = true;  // just as its reader read it, so that changes may be built upon it
   uint64_t base_epoch = 0;
   uint64_t base_sequence = 0;
   int32_t age_ms = 0;
@@ -69,7 +69,7 @@
   std::vector<std::string> gone;
   template <class A>
   void serialize(A& a) {
-    a(epoch, sequence, whole, exact, base_epoch, base_sequence, age_ms, servers, gone);
+    a(epoch, sequence, complete, exact, base_epoch, base_sequence, age_ms, servers, gone);
   }
 };
 
--- a/src/dissemination/sync.h
+++ b/src/dissemination/sync.h
@@ -15,7 +15,7 @@
   int64_t asked_at = 0;  // milliseconds of the sender's steady clock; comes back in the reply
   Versions versions;
   EndpointVersion endpoints;
-  bool exact = false;     // the sender holds the list just as `endpoints` names it
+  bool exact = false;     // the sender has the list just as `endpoints` names it
   bool reliable = false;  // sent, and to be answered, over a connection
   template <class A>
   void serialize(A& a) {
@@ -53,8 +53,8 @@
     base::Millis step = 120;
     base::Millis slowest = 1000;
   };
-  // A node that starts at `now` is told of everything by its startup probes; it asks when that has
-  // had its time.
+  // A node that starts at `now` gets everything by its startup probes; it asks when these have had
+  // their time.
   SyncSchedule(Options options, base::Millis now)
       : options_(options), step_(options.step), next_at_(now + options.max_age) {}
 
--- a/src/load/load_tracker.cc
+++ b/src/load/load_tracker.cc
@@ -8,7 +8,7 @@
 namespace {
 constexpr double kMeasureWeight = 0.3;    // of what was measured since the last tick
 constexpr double kPullToOwn = 0.08;       // of the mean towards this proxy's own, at each tick
-constexpr base::Millis kForgetMs = 5000;  // what was heard of a zone counts for so long
+constexpr base::Millis kForgetMs = 5000;  // what was received of a zone counts for so long
 constexpr base::Millis kLeastMs = 100;    // between two ticks: less measures nothing
 constexpr size_t kMostNames = 256;        // services and zones that a report may name
 }  // namespace
@@ -37,7 +37,7 @@
     auto [own, added] = own_.emplace(service, measured);
     double& mean = own->second;
     if (!m.known) {
-      // A mean that was heard before counts this proxy's clients already, as well as anybody's.
+      // A mean that was received before counts this proxy's clients already, as well as anybody's.
       m.known = true;
       m.smooth = measured;
       continue;
@@ -52,7 +52,7 @@
 
 LoadReport LoadTracker::MakeReport(base::Millis now, size_t proxies) const {
   LoadReport report;
-  auto tell = [&](uint32_t zone, base::Millis age, size_t of, const auto& means) {
+  auto add = [&](uint32_t zone, base::Millis age, size_t of, const auto& means) {
     report.push_back({zone,
                       static_cast<uint32_t>(age),
                       static_cast<uint16_t>(std::min<size_t>(of, UINT16_MAX)),
@@ -61,36 +61,36 @@
       report.back().means.push_back({service, static_cast<float>(mean)});
     }
   };
-  if (known_) tell(zone_, 0, proxies, own_);
+  if (known_) add(zone_, 0, proxies, own_);
   for (const auto& [key, zone] : others_) {
-    if (now - zone.at <= kForgetMs) tell(key, now - zone.at, zone.proxies, zone.means);
+    if (now - zone.at <= kForgetMs) add(key, now - zone.at, zone.proxies, zone.means);
   }
   return report;
 }
 
 void LoadTracker::MergeReport(base::Millis now, const LoadReport& report) {
   if (report.size() > kMostNames) return;
-  for (const ZoneLoad& heard : report) {
-    if (heard.means.size() > kMostNames) continue;
-    if (heard.zone == zone_) {
-      if (heard.age_ms > 0) continue;  // this zone's own mean is told by its proxies alone
-      for (const auto& [service, mean] : heard.means) {
+  for (const ZoneLoad& received : report) {
+    if (received.means.size() > kMostNames) continue;
+    if (received.zone == zone_) {
+      if (received.age_ms > 0) continue;  // this zone's own mean comes from its proxies alone
+      for (const auto& [service, mean] : received.means) {
         if (!(mean >= 0)) continue;
         auto [at, added] = own_.emplace(service, mean);
         if (!added) at->second = (at->second + static_cast<double>(mean)) / 2;
       }
       continue;
     }
-    base::Millis at = now - static_cast<base::Millis>(heard.age_ms);
+    base::Millis at = now - static_cast<base::Millis>(received.age_ms);
     if (now - at > kForgetMs) continue;
-    auto known = others_.find(heard.zone);
+    auto known = others_.find(received.zone);
     if (known == others_.end() && others_.size() >= kMostNames) continue;
-    Zone& zone = others_[heard.zone];
+    Zone& zone = others_[received.zone];
     if (known != others_.end() && at <= zone.at) continue;
     zone.at = at;
-    zone.proxies = heard.proxies;
+    zone.proxies = received.proxies;
     zone.means.clear();
-    for (const auto& [service, mean] : heard.means) {
+    for (const auto& [service, mean] : received.means) {
       if (mean >= 0) zone.means[service] = static_cast<double>(mean);
     }
   }
@@ -120,20 +120,20 @@
   }
   double wanted = zones[home].load;
   if (slots <= 0 || wanted <= 0) return shares;
-  double mark = std::max(home_share, load / slots);
-  double beyond = wanted - mark * zones[home].slots;
+  double level = std::max(home_share, load / slots);
+  double beyond = wanted - level * zones[home].slots;
   if (beyond <= 0) return shares;
   auto room = [&](size_t i) {
     if (i == home || zones[i].load < 0) return 0.0;
-    return std::max(0.0, mark * zones[i].slots - zones[i].load);
+    return std::max(0.0, level * zones[i].slots - zones[i].load);
   };
-  double rooms = 0;
-  for (size_t i = 0; i < zones.size(); ++i) rooms += room(i);
-  if (rooms <= 0) return shares;
-  double away = std::min(1.0, std::min(beyond, rooms) / wanted);
-  shares[home] = 1 - away;
+  double total_room = 0;
+  for (size_t i = 0; i < zones.size(); ++i) total_room += room(i);
+  if (total_room <= 0) return shares;
+  double diverted = std::min(1.0, std::min(beyond, total_room) / wanted);
+  shares[home] = 1 - diverted;
   for (size_t i = 0; i < zones.size(); ++i) {
-    if (i != home) shares[i] = away * room(i) / rooms;
+    if (i != home) shares[i] = diverted * room(i) / total_room;
   }
   return shares;
 }
--- a/src/load/load_tracker.h
+++ b/src/load/load_tracker.h
@@ -26,7 +26,7 @@
 
 uint32_t Key(const std::string& name);
 
-// How busy each zone is, as all proxies together know it. No proxy sees what the others of its zone
+// The load of each zone, as all proxies together know it. No proxy sees what the others of its zone
 // send to the same servers; so each one's own sends go into a mean that pairs of proxies level with
 // every digest they exchange, and the means of other zones are passed on, the youngest counts.
 // Pure.
@@ -40,9 +40,9 @@
 
   // Takes what was measured since the last call into the mean.
   void Tick(base::Millis now);
-  // What is told to a peer; `proxies`: of this zone, in sight.
+  // The report for a peer; `proxies`: of this zone, as known.
   LoadReport MakeReport(base::Millis now, size_t proxies) const;
-  // What a peer told.
+  // Takes a peer's report.
   void MergeReport(base::Millis now, const LoadReport& report);
 
   // Sends in flight for the service by all proxies of the zone; less than 0 if that is not known.
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -55,7 +55,7 @@
   std::unique_ptr<FallbackReader> fallback_reader_;
   std::unique_ptr<RolloutReporter> rollout_reporter_;
   std::unique_ptr<wire::HttpServer> readiness_server_;
-  bool nodes_changed_ = true;  // since the router was told
+  bool nodes_changed_ = true;  // since the router was updated
   base::Timer tick_timer_;
 };
 
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -40,14 +40,14 @@
   probe_timer_.Start(loop_, kProbeEveryMs, [this] { Probe(); });
 }
 
-dissemination::Versions StartupConfirmation::HeldVersions() const {
+dissemination::Versions StartupConfirmation::OwnVersions() const {
   const dissemination::Disseminator& disseminator = node_->disseminator();
   return {disseminator.revision(), disseminator.drained_zones().version(),
           disseminator.rollouts().version()};
 }
 
 void StartupConfirmation::Review(base::Millis now) {
-  if (!lifecycle_->confirmed() && confirmation_.Holds(now, HeldVersions())) {
+  if (!lifecycle_->confirmed() && confirmation_.Holds(now, OwnVersions())) {
     lifecycle_->SetConfirmed();
     node_->VouchForLog(confirmation_.known_at());
     base::Info("configuration.confirmed", {{"revision", node_->disseminator().revision()}});
@@ -73,7 +73,7 @@
 }
 
 bool StartupConfirmation::LacksState() const {
-  dissemination::Versions held = HeldVersions();
+  dissemination::Versions held = OwnVersions();
   const dissemination::Versions& wanted = confirmation_.wanted();
   return held.revision < std::max<int64_t>(1, wanted.revision) ||
          held.zone_drains < wanted.zone_drains || held.rollouts < wanted.rollouts ||
--- a/src/proxy/startup_confirmation.h
+++ b/src/proxy/startup_confirmation.h
@@ -30,7 +30,7 @@
  private:
   void Probe();
   bool LacksState() const;
-  dissemination::Versions HeldVersions() const;
+  dissemination::Versions OwnVersions() const;
 
   base::Loop* loop_;
   const base::Settings* settings_;
--- a/src/rollout/canary_policy.cc
+++ b/src/rollout/canary_policy.cc
@@ -32,7 +32,7 @@
       state = std::move(before->second);
     } else {
       state.since = state.lease_renewed_at = now;
-      // What is told right after the order needs no watcher's word yet.
+      // Right after the order the lease needs no renewal yet.
       state.stage_at = now;
     }
     if (state.rollout.stage != rollout.stage) {
@@ -48,7 +48,7 @@
 
 void CanaryPolicy::OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal) {
   for (auto& [service, state] : active_) {
-    // A watcher that knows of less than this proxy can't tell that nothing was taken back since.
+    // An observer that knows of less than this proxy can't know that nothing was taken back since.
     if (state.rollout.number == renewal.number && renewal.version >= version_)
       state.lease_renewed_at = now;
   }
@@ -177,7 +177,7 @@
   if (send.ending == Outcome::kComplete) return;
   ++state.bad;
   state.bad_at |= bit;
-  // One server alone is no sign of the version. A brake lets go by itself, and the move begins
+  // One server alone is no sign of the version. The breaker closes by itself, and the shift begins
   // anew.
   bool several = (state.bad_at & (state.bad_at - 1)) != 0;
   if (state.rollout.stage != Stage::kPromoting || !several || !IsFailing(state)) return;
--- a/src/rollout/canary_policy.h
+++ b/src/rollout/canary_policy.h
@@ -25,18 +25,18 @@
 };
 
 // One proxy's state in roll-outs: which version a request goes to, within this proxy's share of
-// what a version that is not proven may get, and the counts that the watchers compare. Pure.
+// what a version that is not proven may get, and the counts that the observers compare. Pure.
 class CanaryPolicy {
  public:
   struct Options {
     double share = 0.1;         // of a service's requests that may go to an unproven version
-    base::Millis lease = 2500;  // without a watcher's word for so long, no unproven version
+    base::Millis lease = 2500;  // without a renewal for so long, no unproven version
     base::Millis ramp = 1000;   // in which the traffic moves over when a version is promoted
   };
   explicit CanaryPolicy(Options options) : options_(options) {}
 
   void Adopt(base::Millis now, const Rollouts& rollouts);
-  // A watcher answered.
+  // An observer answered.
   void OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal);
   // Which versions of the service may be sent to now.
   Rule RuleOf(base::Millis now, const std::string& service) const;
@@ -71,7 +71,7 @@
   };
   void CountOutcome(base::Millis now, const SentRequest& send);
 
-  // What the watchers are told. The caller fills in who it is and what is in flight.
+  // The report to the observers. The caller fills in who it is and what is in flight.
   ProxyReport MakeReport(base::Millis now, const std::string& service) const;
 
  private:
@@ -91,7 +91,8 @@
   };
   // What this proxy's own answers say, long before a verdict can be here.
   static bool IsFailing(const ServiceState& state);
-  // Whether anything may go to the new version from here: in touch with a watcher, and not braked.
+  // Whether anything may go to the new version from here: the lease is valid and the circuit
+  // breaker closed.
   bool MaySendToNew(base::Millis now, const ServiceState& state) const {
     bool breaker_open = state.rollout.stage == Stage::kPromoting && now < state.breaker_open_until;
     return now - state.lease_renewed_at < options_.lease && !breaker_open;
--- a/src/rollout/coordinator.cc
+++ b/src/rollout/coordinator.cc
@@ -12,7 +12,7 @@
 constexpr base::Millis kMaxPromotionMs = 4500;
 constexpr base::Millis kNoVerdictMs = 1500;  // before the term: it can't be completed any more
 constexpr base::Millis kLeaveOutMs =
-    700;  // before the term: those not heard are waited for no more
+    700;  // before the term: those that don't report are waited for no more
 }  // namespace
 
 std::vector<uint64_t> ChooseObservers(const std::string& service,
@@ -78,7 +78,7 @@
     if (tracked.votes.size() < 64) tracked.votes[vote.observer] = {vote, now, {}};
     return;
   }
-  // The word of a life that another has followed counts no more, however late it comes.
+  // A vote of an earlier start of the process counts no more, however late it arrives.
   ReceivedVote& last = received->second;
   std::vector<uint64_t>& former = last.former_boot_ids;
   if (std::find(former.begin(), former.end(), vote.boot_id) != former.end()) return;
@@ -108,12 +108,12 @@
                                                              uint64_t version) const {
   VoteCount votes;
   std::string doubt;
-  bool moved_heard = false, still_moving = false;
+  bool reporting_moved = false, still_moving = false;
   for (uint64_t observer : rollout.observers) {
     auto at = tracked.votes.find(observer);
     if (at == tracked.votes.end() || now - at->second.at > options_.fresh) continue;
     const Vote& vote = at->second.vote;
-    ++votes.heard;
+    ++votes.reporting;
     if (vote.opinion == Opinion::kGood) ++votes.good;
     if (vote.opinion == Opinion::kBad) {
       ++votes.bad;
@@ -124,15 +124,15 @@
     if (vote.version < version || vote.known_proxies == 0) continue;
     bool all = vote.unconfirmed == 0 && vote.not_reporting == 0;
     votes.confirmed |= all;
-    moved_heard |= vote.heard * 2 >= vote.known_proxies;
+    reporting_moved |= vote.reporting * 2 >= vote.known_proxies;
     still_moving |= vote.unconfirmed > 0;
     if (!all) {
       votes.missing = std::to_string(vote.unconfirmed) + " of those heard and " +
                       std::to_string(vote.not_reporting) + " not heard have not confirmed";
     }
   }
-  // A watcher that is cut off itself hears few who could still be moving.
-  votes.moved_heard = moved_heard && !still_moving;
+  // An observer that is cut off itself has few reports of who could still be shifting.
+  votes.reporting_moved = reporting_moved && !still_moving;
   if (votes.why.empty()) votes.why = doubt;
   return votes;
 }
@@ -143,7 +143,7 @@
                                                             const VoteCount& votes) const {
   base::Millis term = rollout.order.over_ms;
   base::Millis age = now - tracked.since;
-  bool bad = votes.bad * 2 > votes.heard;
+  bool bad = votes.bad * 2 > votes.reporting;
   bool good = votes.good * 2 > rollout.observers.size();
   switch (rollout.stage) {
     case Stage::kCanary:
@@ -157,8 +157,8 @@
     case Stage::kPromoting:
       if (bad) return {Stage::kReverting, "voted bad while it was promoted: " + votes.why};
       if (votes.confirmed) return {Stage::kCompleted, "all proxies have moved"};
-      // Those that can't be heard learn of it when they are; nothing of theirs can be waited for.
-      if (age >= term - kLeaveOutMs && votes.moved_heard) {
+      // Those that can't be reached learn of it when they can; they can't be waited for.
+      if (age >= term - kLeaveOutMs && votes.reporting_moved) {
         return {Stage::kCompleted, "all proxies that are heard have moved; " + votes.missing};
       }
       if (age >= term + options_.overtime) {
@@ -203,7 +203,7 @@
     } else {
       step.kind = Step::Kind::kObservers;
       step.observers = ChooseObservers(service, candidates, rollout.observers);
-      // A watcher that is lost is replaced; one more than are there can't be named.
+      // An observer that is lost is replaced; one more than are there can't be named.
       if (step.observers == rollout.observers || step.observers.empty()) continue;
       std::vector<uint64_t> sorted = step.observers, before = rollout.observers;
       std::sort(sorted.begin(), sorted.end());
--- a/src/rollout/coordinator.h
+++ b/src/rollout/coordinator.h
@@ -15,8 +15,8 @@
   uint64_t id = 0;
   std::string zone;
 };
-// The watchers of a service's next roll-out: those that the ring names for it, from as many zones
-// as there are. `keep`: those of before that are still there.
+// The observers of a service's next roll-out: those that a hash ring names for it, from as many
+// zones as there are. `keep`: those of before that are still there.
 std::vector<uint64_t> ChooseObservers(const std::string& service,
                                       const std::vector<Candidate>& candidates,
                                       const std::vector<uint64_t>& keep = {});
@@ -44,9 +44,9 @@
   struct ReceivedVote {
     Vote vote;
     base::Millis at = 0;
-    std::vector<uint64_t> former_boot_ids;  // of the watcher, the last 16
+    std::vector<uint64_t> former_boot_ids;  // of the observer, the last 16
   };
-  // By watcher; of the newest life of each.
+  // By observer; of the newest start of each process.
   const std::map<uint64_t, ReceivedVote>& VotesOn(uint64_t number) const;
 
   // How long before its term a roll-out moves its traffic at the latest. All that is sent after
@@ -63,10 +63,10 @@
     uint64_t proposed_version = 0;
   };
   struct VoteCount {
-    size_t heard = 0, good = 0, bad = 0;
-    std::string why;           // of a vote that says bad, or of one that can't say good
-    bool confirmed = false;    // some watcher has heard it of every proxy
-    bool moved_heard = false;  // or at least of every proxy whose word comes
+    size_t reporting = 0, good = 0, bad = 0;
+    std::string why;               // of a vote that says bad, or of one that can't say good
+    bool confirmed = false;        // some observer has it of every proxy
+    bool reporting_moved = false;  // or at least of every proxy that reports
     std::string missing;
   };
   VoteCount CountVotes(base::Millis now, const Rollout& rollout, const TrackedRollout& tracked,
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -8,8 +8,8 @@
 
 namespace elderkeel::rollout {
 
-// What became of the sends to one version, on one route. Numbers only rise within a proxy's life,
-// so that telling them twice, or out of order, changes nothing.
+// What became of the sends to one version, on one route. Numbers only rise while a proxy runs,
+// so that reporting them twice, or out of order, changes nothing.
 struct VersionCounters {
   uint32_t answers = 0;  // whole or not; what was turned away unrun is none
   uint32_t failed = 0;   // failures of the server's own
@@ -31,7 +31,7 @@
     broken_at |= o.broken_at;
     late_at |= o.late_at;
   }
-  // What came on top of `before`, which was told by the same life.
+  // What came on top of `before`, an earlier report of the same process.
   VersionCounters Since(const VersionCounters& before) const;
   template <class A>
   void serialize(A& a) {
@@ -49,7 +49,7 @@
 };
 uint32_t RouteKey(const std::string& label);
 
-// A proxy's word to the watchers of one roll-out.
+// A proxy's report to the observers of one roll-out. Counters are of the process since it started.
 struct ProxyReport {
   uint64_t node = 0;  // its id on the ring
   uint64_t boot_id = 0;
@@ -61,7 +61,7 @@
   uint32_t old_in_flight = 0;  // sends in flight at servers of the old version
   uint32_t new_in_flight = 0;  // and of the new one
   bool confirmed = false;      // sends nothing new to the version that the stage moves away from
-  bool wants_renewal = false;  // would like to be told the newest version of the state
+  bool wants_renewal = false;  // asks for a LeaseRenewal
   std::vector<Row> rows;
   template <class A>
   void serialize(A& a) {
@@ -70,8 +70,8 @@
   }
 };
 
-// A watcher's answer to a tally, sent as long as the watcher itself hears a leader. A proxy that
-// gets none is out of touch and sends nothing to a version that is not proven.
+// An observer's answer to a report, sent as long as the observer itself is in contact with a
+// leader. A proxy that gets none sends nothing to a version that is not proven.
 struct LeaseRenewal {
   uint64_t number = 0;
   uint64_t version = 0;
@@ -84,7 +84,7 @@
 enum class Opinion : uint8_t { kAbstains, kGood, kBad };
 const char* OpinionName(Opinion opinion);
 
-// What a watcher tells the leader.
+// An observer's vote to the leader.
 struct Vote {
   uint64_t number = 0;
   uint64_t observer = 0;
@@ -92,18 +92,18 @@
   uint64_t version = 0;  // of the state that it watches by
   Opinion opinion = Opinion::kAbstains;
   std::string why;
-  uint32_t age_ms = 0;  // of the order, by the oldest knowledge of any proxy
-  uint32_t heard = 0;   // proxies whose word is fresh
+  uint32_t age_ms = 0;     // of the order, by the oldest knowledge of any proxy
+  uint32_t reporting = 0;  // proxies whose reports are fresh
   uint32_t known_proxies = 0;
   uint64_t requests = 0;          // for the service, by all of them
   uint64_t exposed = 0;           // sends to the new version
-  uint32_t unconfirmed = 0;       // proxies heard that have not confirmed the stage's move
-  uint32_t not_reporting = 0;     // proxies that have not, and whose word does not come
+  uint32_t unconfirmed = 0;       // proxies reporting that have not confirmed the stage
+  uint32_t not_reporting = 0;     // proxies that have not, and do not report
   std::vector<uint64_t> missing;  // some of both, by id
   std::vector<Row> rows;          // the sums
   template <class A>
   void serialize(A& a) {
-    a(number, observer, boot_id, version, opinion, why, age_ms, heard, known_proxies, requests,
+    a(number, observer, boot_id, version, opinion, why, age_ms, reporting, known_proxies, requests,
       exposed, unconfirmed, not_reporting, missing, rows);
   }
 };
--- a/src/rollout/observer.cc
+++ b/src/rollout/observer.cc
@@ -6,14 +6,14 @@
 namespace elderkeel::rollout {
 namespace {
 
-constexpr double kBad = 9;      // the sum at which a version is called bad
-constexpr double kDoubt = 3.5;  // and the one from which on it is not called good
-constexpr double kPrior = 25;   // answers that the rates supposed in order count as
-constexpr double kMemory = 600;
-constexpr double kFewAnswers = 12;  // below these, nothing is called good
+constexpr double kBadSum = 9;         // the sum at which a version is called bad
+constexpr double kDoubtSum = 3.5;     // and the one from which on it is not called good
+constexpr double kPriorAnswers = 25;  // answers that the rates supposed in order count as
+constexpr double kMemoryAnswers = 600;
+constexpr double kMinAnswers = 12;  // below these, nothing is called good
 // A route that should have had so many answers of the new version must have had half of them. Those
 // that are asked for less often are judged together.
-constexpr double kOwnRoute = 20;
+constexpr double kMinRouteAnswers = 20;
 
 // Rates that are in order whatever the old version shows, and how much more is looked for.
 struct Rate {
@@ -28,7 +28,7 @@
 
 int Bits(uint64_t bits) { return __builtin_popcountll(bits); }
 
-// Trouble of single servers is no trouble of the version: at least two must show it, and half of
+// A fault of single servers is no fault of the version: at least two must show it, and half of
 // those that were asked.
 bool Widespread(uint64_t at, uint64_t seen) {
   return Bits(seen) < 2 || (Bits(at) >= 2 && Bits(at) * 2 >= Bits(seen));
@@ -47,13 +47,13 @@
   sum_ = std::max(0.0, sum_ + gain);
 }
 
-void Comparison::Lately::Take(const VersionCounters& more) {
+void Comparison::RecentCounts::Take(const VersionCounters& more) {
   answers += more.answers;
   failed += more.failed;
   broken += more.broken;
   timed += more.timed;
   late += more.late;
-  if (answers < kMemory) return;
+  if (answers < kMemoryAnswers) return;
   for (double* part : {&answers, &failed, &broken, &timed, &late}) *part /= 2;
 }
 
@@ -61,12 +61,13 @@
   route->sums.old_version.Add(more.old_version);
   route->sums.new_version.Add(more.new_version);
   route->old_version.Take(more.old_version);
-  const Lately& old = route->old_version;
+  const RecentCounts& old = route->old_version;
   const VersionCounters& now = more.new_version;
   const VersionCounters& sum = route->sums.new_version;
   auto test = [&](ChangeTest* change, uint32_t all, uint32_t yes, double old_all, double old_yes,
                   const Rate& rate) {
-    double usual = (old_yes + kPrior * rate.floor / rate.allowance) / (old_all + kPrior);
+    double usual =
+        (old_yes + kPriorAnswers * rate.floor / rate.allowance) / (old_all + kPriorAnswers);
     double before = std::min(0.6, std::max(rate.floor, rate.allowance * usual));
     change->Take(all, yes, before, std::min(0.95, 2 * before + rate.more));
   };
@@ -78,11 +79,11 @@
     bad_ = name + ": " + std::to_string(yes) + " of " + std::to_string(all) + " " + what +
            ", of the old version's " + Percent(old_yes, old_all);
   };
-  if (route->failed.sum() >= kBad) {
+  if (route->failed.sum() >= kBadSum) {
     convict("failed", sum.failed, sum.answers, old.failed, old.answers);
-  } else if (route->broken.sum() >= kBad && Widespread(sum.broken_at, sum.seen)) {
+  } else if (route->broken.sum() >= kBadSum && Widespread(sum.broken_at, sum.seen)) {
     convict("were broken off", sum.broken, sum.answers, old.broken, old.answers);
-  } else if (route->late.sum() >= kBad && Widespread(sum.late_at, sum.seen)) {
+  } else if (route->late.sum() >= kBadSum && Widespread(sum.late_at, sum.seen)) {
     convict("came late", sum.late, sum.timed, old.late, old.timed);
   }
 }
@@ -96,16 +97,16 @@
 
 std::string Comparison::Missing(double canary_share) const {
   const VersionCounters& sum = all_.sums.new_version;
-  if (sum.answers < kFewAnswers) return "too few answers";
-  if (sum.timed < kFewAnswers) return "too few answers of servers that are warm";
+  if (sum.answers < kMinAnswers) return "too few answers";
+  if (sum.timed < kMinAnswers) return "too few answers of servers that are warm";
   auto doubtful = [](const Route& r) {
-    return r.failed.sum() >= kDoubt || r.broken.sum() >= kDoubt || r.late.sum() >= kDoubt;
+    return r.failed.sum() >= kDoubtSum || r.broken.sum() >= kDoubtSum || r.late.sum() >= kDoubtSum;
   };
   if (doubtful(all_)) return "a doubt";
   for (const auto& [key, route] : routes_) {
     if (doubtful(route)) return "a doubt on route " + std::to_string(key);
     double expected = route.sums.old_version.answers * canary_share;
-    if (expected >= kOwnRoute && route.sums.new_version.answers < kOwnRoute / 2) {
+    if (expected >= kMinRouteAnswers && route.sums.new_version.answers < kMinRouteAnswers / 2) {
       return "too few answers on route " + std::to_string(key);
     }
   }
@@ -137,15 +138,16 @@
   auto at = watches_.find(report.number);
   if (at == watches_.end()) return false;
   Watch& watch = at->second;
-  ReceivedReport& heard = watch.proxies[report.node];
-  bool same_boot = heard.report.boot_id == report.boot_id;
-  // Datagrams overtake each other; an older word says nothing new.
-  if (same_boot && (report.age_ms < heard.report.age_ms || report.version < heard.report.version)) {
+  ReceivedReport& reporting = watch.proxies[report.node];
+  bool same_boot = reporting.report.boot_id == report.boot_id;
+  // Datagrams overtake each other; an older report says nothing new.
+  if (same_boot &&
+      (report.age_ms < reporting.report.age_ms || report.version < reporting.report.version)) {
     return true;
   }
   std::map<uint32_t, Row> before;
   if (same_boot) {
-    for (const Row& row : heard.report.rows) before[row.route] = row;
+    for (const Row& row : reporting.report.rows) before[row.route] = row;
   }
   for (const Row& row : report.rows) {
     Row more;
@@ -155,10 +157,10 @@
     if (more.old_version.answers + more.new_version.answers > 0) watch.comparison.Take(more);
   }
   watch.requests +=
-      report.requests - (same_boot ? std::min(report.requests, heard.report.requests) : 0);
+      report.requests - (same_boot ? std::min(report.requests, reporting.report.requests) : 0);
   watch.exposed +=
-      report.exposed - (same_boot ? std::min(report.exposed, heard.report.exposed) : 0);
-  heard = {report, now};
+      report.exposed - (same_boot ? std::min(report.exposed, reporting.report.exposed) : 0);
+  reporting = {report, now};
   return true;
 }
 
@@ -171,26 +173,26 @@
   vote.version = version_;
   vote.requests = watch.requests;
   vote.exposed = watch.exposed;
-  for (const auto& [id, heard] : watch.proxies) {
-    vote.age_ms =
-        std::max(vote.age_ms, static_cast<uint32_t>(heard.report.age_ms + (now - heard.at)));
+  for (const auto& [id, reporting] : watch.proxies) {
+    vote.age_ms = std::max(vote.age_ms,
+                           static_cast<uint32_t>(reporting.report.age_ms + (now - reporting.at)));
   }
   for (const KnownProxy& proxy : proxies) {
     vote.known_proxies += proxy.reachable;
     auto at = watch.proxies.find(proxy.id);
-    bool heard = at != watch.proxies.end() && now - at->second.at < options_.fresh;
-    vote.heard += heard && proxy.reachable;
+    bool reporting = at != watch.proxies.end() && now - at->second.at < options_.fresh;
+    vote.reporting += reporting && proxy.reachable;
     bool confirmed = false;
-    if (heard && at->second.report.version >= version_) {
+    if (reporting && at->second.report.version >= version_) {
       const ProxyReport& t = at->second.report;
       confirmed = watch.rollout.stage == Stage::kPromoting   ? t.confirmed && t.old_in_flight == 0
                   : watch.rollout.stage == Stage::kReverting ? t.new_in_flight == 0
                                                              : true;
     }
     if (confirmed) continue;
-    // What counts is whether its word comes, whatever the ring says of it: it may be cut off from
-    // the watchers alone.
-    ++(heard ? vote.unconfirmed : vote.not_reporting);
+    // What counts is whether it reports, whatever membership says of it: it may be cut off from the
+    // observers alone.
+    ++(reporting ? vote.unconfirmed : vote.not_reporting);
     if (vote.missing.size() < 8) vote.missing.push_back(proxy.id);
   }
   vote.rows = watch.comparison.PartDigests();
@@ -199,7 +201,7 @@
   } else if (!watch.comparison.bad().empty()) {
     vote.opinion = Opinion::kBad;
     vote.why = watch.comparison.bad();
-  } else if (vote.heard * 2 < vote.known_proxies || vote.known_proxies == 0) {
+  } else if (vote.reporting * 2 < vote.known_proxies || vote.known_proxies == 0) {
     vote.why = "hears too few proxies";
   } else {
     vote.why = watch.comparison.Missing(options_.canary_share);
--- a/src/rollout/observer.h
+++ b/src/rollout/observer.h
@@ -24,7 +24,7 @@
 };
 
 // Compares the new version of a service with the old one, over the same proxies, routes and time,
-// so that trouble which strikes both convicts neither. Pure.
+// so that a fault which strikes both convicts neither. Pure.
 class Comparison {
  public:
   // What came since the last time, on one route.
@@ -37,13 +37,13 @@
 
  private:
   // How often the old version's answers were bad lately: older ones count less.
-  struct Lately {
+  struct RecentCounts {
     double answers = 0, failed = 0, broken = 0, timed = 0, late = 0;
     void Take(const VersionCounters& more);
   };
   struct Route {
     Row sums;
-    Lately old_version;
+    RecentCounts old_version;
     ChangeTest failed, broken, late;
   };
   void Test(Route* route, const Row& more, const std::string& name);
@@ -53,7 +53,7 @@
   std::string bad_;
 };
 
-// A watcher's part: it sums what the proxies tell, compares, and votes. Pure.
+// An observer's part: it sums what the proxies report, compares, and votes. Pure.
 class Observer {
  public:
   struct Options {
@@ -61,7 +61,7 @@
     uint64_t boot_id = 0;
     double canary_share = 0.06;     // that proxies aim at
     base::Millis vote_every = 400;  // and whenever something changes
-    base::Millis fresh = 1500;      // a proxy's word, for so long
+    base::Millis fresh = 1500;      // a proxy's report, for so long
     base::Millis gap = 1000;        // a longer pause of its own means that it slept
   };
   explicit Observer(Options options) : options_(options) {}
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -51,7 +51,7 @@
   return nullptr;
 }
 
-// The same order again is a repeated call, also after it came to its end: callers that heard no
+// The same order again is a repeated call, also after it came to its end: callers that got no
 // answer send it anew, and must not begin it anew.
 base::Verdict Rollouts::Evaluate(const RolloutOrder& order) const {
   const Rollout* known = Of(order.service);
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -20,7 +20,7 @@
 // running there is waited for.
 enum class Stage : uint8_t { kCanary, kPromoting, kCompleted, kReverting, kReverted };
 const char* StageName(Stage stage);
-// The word that the operator's interface has for it.
+// The status that the operator's interface has for it.
 const char* StatusName(Stage stage);
 inline bool Ended(Stage stage) { return stage == Stage::kCompleted || stage == Stage::kReverted; }
 
@@ -76,7 +76,8 @@
   }
 };
 
-// Which version of each service is in force, and the newest roll-out of each; folded from the log.
+// Which version of each service is in force, and the newest roll-out of each, as a state machine
+// above the log.
 // The version rises with each entry that changes something, so that of two views the newer is known
 // by it.
 class Rollouts {
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -118,7 +118,7 @@
       return "server.gone";
     case ControlRecord::What::kProbe:
       return "server.probed";
-    case ControlRecord::What::kHeldOut:
+    case ControlRecord::What::kEjected:
       return "server.ejected";
     case ControlRecord::What::kReturned:
       return "server.returned";
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -57,7 +57,7 @@
 // Something that concerns the node and no single request.
 struct ControlRecord {
   static constexpr uint32_t kType = 2;
-  enum class What : uint8_t { kVersion, kDraining, kGone, kProbe, kHeldOut, kReturned, kClock };
+  enum class What : uint8_t { kVersion, kDraining, kGone, kProbe, kEjected, kReturned, kClock };
   What what = What::kVersion;
   uint8_t good = 0;
   uint32_t server = UINT32_MAX;
--- a/src/wire/http_client.cc
+++ b/src/wire/http_client.cc
@@ -101,8 +101,8 @@
   if (progress == MessageReader::Progress::kMore) {
     if (!large_ || streaming_ || !reader_.head_done()) return;
     int64_t length = reader_.stated_length();
-    size_t held = limits_.body_bytes;
-    if (reader_.body_size() <= held && length <= static_cast<int64_t>(held)) return;
+    size_t buffered = limits_.body_bytes;
+    if (reader_.body_size() <= buffered && length <= static_cast<int64_t>(buffered)) return;
     BodySink sink = large_(reader_.message(), length);
     if (!sink) {
       Close();
--- a/src/wire/http_server.cc
+++ b/src/wire/http_server.cc
@@ -29,7 +29,7 @@
   std::unique_ptr<Message> answer;  // held whole until its turn
   enum class Stream { kNone, kOpen, kEnded } stream = Stream::kNone;
   bool chunks = false;
-  EvbufferPtr held;  // of a streamed answer, until its turn
+  EvbufferPtr buffered;  // of a streamed answer, until its turn
 };
 
 struct HttpServer::Connection {
@@ -247,8 +247,8 @@
 
 evbuffer* HttpServer::OutputOf(Connection* c, Slot* slot) const {
   if (slot == &c->slots.front()) return bufferevent_get_output(c->socket.get());
-  if (!slot->held) slot->held.reset(evbuffer_new());
-  return slot->held.get();
+  if (!slot->buffered) slot->buffered.reset(evbuffer_new());
+  return slot->buffered.get();
 }
 
 // Writes all answers whose turn has come.
@@ -257,9 +257,9 @@
   bool wrote = false;
   while (!c->slots.empty() && !c->closing) {
     Slot& slot = c->slots.front();
-    if (slot.held) {
-      evbuffer_add_buffer(out, slot.held.get());
-      slot.held.reset();
+    if (slot.buffered) {
+      evbuffer_add_buffer(out, slot.buffered.get());
+      slot.buffered.reset();
     }
     bool last = c->slots.size() == 1 && !c->waiting;
     if (slot.answer) {
--- a/src/wire/mesh.cc
+++ b/src/wire/mesh.cc
@@ -170,17 +170,17 @@
 // At most one event a second, which counts those between.
 bool Mesh::Drop(const base::Address& to, Kind kind, size_t bytes, const char* why) {
   base::Millis now = base::SteadyMillis();
-  if (drop_told_ != 0 && now - drop_told_ < kDropEventMs) {
-    ++drops_untold_;
+  if (drop_logged_at_ != 0 && now - drop_logged_at_ < kDropEventMs) {
+    ++unlogged_drops_;
     return false;
   }
   base::Warn("frame.dropped", {{"peer", to.ToString()},
                                {"kind", static_cast<int>(kind)},
                                {"bytes", bytes},
                                {"why", why},
-                               {"untold", drops_untold_}});
-  drop_told_ = now;
-  drops_untold_ = 0;
+                               {"untold", unlogged_drops_}});
+  drop_logged_at_ = now;
+  unlogged_drops_ = 0;
   return false;
 }
 
--- a/src/wire/mesh.h
+++ b/src/wire/mesh.h
@@ -57,8 +57,8 @@
   std::map<base::Address, std::unique_ptr<Link>> links_;
   std::map<uint64_t, std::unique_ptr<Incoming>> incoming_;
   uint64_t next_id_ = 1;
-  base::Millis drop_told_ = 0;
-  uint64_t drops_untold_ = 0;
+  base::Millis drop_logged_at_ = 0;
+  uint64_t unlogged_drops_ = 0;
 };
 
 }  // namespace elderkeel::wire
--- a/src/zone_drain/drained_zones.h
+++ b/src/zone_drain/drained_zones.h
@@ -9,7 +9,7 @@
 
 namespace elderkeel::zone_drain {
 
-// An operator's word about one zone.
+// An operator's order about one zone. Part of the log: the order of the fields is a format.
 struct DrainOrder {
   std::string zone;
   bool drain = true;  // false: the zone is taken back
@@ -19,8 +19,8 @@
   }
 };
 
-// Which zones are emptied by order, folded from the log. The version rises with each order that
-// changes something, so that of two views the newer is known by it.
+// Which zones are drained by order, as a state machine above the log. The version rises with each
+// order that changes something, so that of two views the newer is known by it.
 class DrainedZones {
  public:
   // True if it changed something.
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -236,7 +236,7 @@
   dissemination::EndpointUpdate endpoints;
   endpoints.epoch = 2;
   endpoints.sequence = 3;
-  endpoints.whole = false;
+  endpoints.complete = false;
   endpoints.exact = true;
   endpoints.base_epoch = 2;
   endpoints.base_sequence = 1;
@@ -286,7 +286,7 @@
   vote.opinion = rollout::Opinion::kBad;
   vote.why = "reason";
   vote.age_ms = 5;
-  vote.heard = 6;
+  vote.reporting = 6;
   vote.known_proxies = 7;
   vote.requests = 8;
   vote.exposed = 9;
--- a/tests/rollout/rollout_test.cc
+++ b/tests/rollout/rollout_test.cc
@@ -476,10 +476,10 @@
       vote.observer = i + 1;
       vote.version = state.version();
       vote.opinion = c.votes[i];
-      vote.known_proxies = vote.heard = 4;
+      vote.known_proxies = vote.reporting = 4;
       vote.unconfirmed = c.unconfirmed;
       vote.not_reporting = c.not_reporting;
-      if (c.not_reporting > 2) vote.heard = 1;
+      if (c.not_reporting > 2) vote.reporting = 1;
       coordinator.OnVote(1000 + c.age, vote);
     }
     Vote stranger;
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -210,14 +210,15 @@
   const consensus::Timing timing;
   Founders follower;
   follower.Follow(2);
-  Millis heard = follower.now;
+  Millis reporting = follower.now;
   ASSERT_EQ(follower.raft().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
-  while (follower.now < heard + 1000) {
+  while (follower.now < reporting + 1000) {
     follower.Turn(false);
     bool named = follower.raft().LeaderInContact(follower.now).has_value();
     // It may ask for votes before, and then names nobody; it never names the silent one later.
-    if (follower.now - heard > timing.election_timeout) EXPECT_FALSE(named) << follower.now;
-    if (follower.now - heard < timing.heartbeat_interval * 3) EXPECT_TRUE(named) << follower.now;
+    if (follower.now - reporting > timing.election_timeout) EXPECT_FALSE(named) << follower.now;
+    if (follower.now - reporting < timing.heartbeat_interval * 3)
+      EXPECT_TRUE(named) << follower.now;
   }
   Founders leader;
   leader.Lead();
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -792,9 +792,9 @@
     if (!n.controller) return;
     if (auto* m = std::get_if<dissemination::Confirm>(&body)) OnConfirm(i, from, *m);
     if (auto* m = std::get_if<rollout::ProxyReport>(&body)) {
-      bool heard = n.raft->HasCommittedInTerm() ||
-                   (n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200);
-      if (n.observer->OnProxyReport(now, *m) && m->wants_renewal && heard) {
+      bool reporting = n.raft->HasCommittedInTerm() || (n.raft->last_leader_contact() &&
+                                                        now - n.raft->last_leader_contact() < 1200);
+      if (n.observer->OnProxyReport(now, *m) && m->wants_renewal && reporting) {
         Send(i, from, rollout::LeaseRenewal{m->number, n.state.rollouts.version()});
       }
     }
@@ -813,8 +813,9 @@
   std::vector<singleton::Candidate> Candidates(const Node& n) {
     std::vector<singleton::Candidate> candidates;
     for (const auto& v : n.raft->voters()) {
-      Millis heard = n.raft->LastContact(v.id);
-      candidates.push_back({v.id, heard < 0 ? INT64_MAX : now - heard, v.id == n.raft->self().id});
+      Millis reporting = n.raft->LastContact(v.id);
+      candidates.push_back(
+          {v.id, reporting < 0 ? INT64_MAX : now - reporting, v.id == n.raft->self().id});
     }
     return candidates;
   }
@@ -858,8 +859,8 @@
     if (n.raft->HasCommittedInTerm())
       Name(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
     Vouch(n);
-    bool heard = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
-    if (!n.raft->is_leader() && !heard && now >= n.join_at) {
+    bool reporting = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
+    if (!n.raft->is_leader() && !reporting && now >= n.join_at) {
       n.join_at = now + 400;
       for (int k = 0; k < options_.controllers; ++k) {
         if (nodes_[k].get() != &n) Send(i, nodes_[k]->address, n.raft->self());
