--- /dev/null
+++ b/src/forwarding/connection_pool.cc
@@ -0,0 +1,123 @@
+#include "forwarding/connection_pool.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace elderkeel::forwarding {
+namespace {
+
+constexpr base::Millis kIdleMs = 8000;  // that a connection is kept whose server names no time
+// What may run only once keeps off connections that may be closing: those idle for longer than
+// this; and off those that may still bring bytes of an earlier answer: those idle for less than
+// that.
+constexpr base::Millis kFreshIdleMs = 300;
+constexpr base::Millis kQuietMs = 15;
+constexpr size_t kMaxHeaderBytes = 64 << 10;
+// Of a server's connections that the proxies use together: some room is left for those just
+// started.
+constexpr double kConnectionShare = 0.8;
+constexpr double kMinConnections = 2;
+constexpr size_t kUnknownServiceConnections = 4;
+
+base::Millis KeepMs(const wire::HttpConnection& connection) {
+  return connection.keep_alive_ms() > 0 ? connection.keep_alive_ms() : kIdleMs;
+}
+
+}  // namespace
+
+ConnectionPool::ServerPool& ConnectionPool::Of(uint32_t server) {
+  if (server >= pools_.size()) pools_.resize(server + 1);
+  return pools_[server];
+}
+
+ConnectionPool::Connection ConnectionPool::TakeIdle(uint32_t server, bool idempotent) {
+  std::vector<Connection>& idle = Of(server).idle;
+  base::Millis now = base::SteadyMillis();
+  for (size_t i = idle.size(); i-- > 0;) {
+    base::Millis longest_idle = std::min(KeepMs(*idle[i]) / 2, kFreshIdleMs);
+    base::Millis idle_ms = now - idle[i]->idle_since();
+    if (!idempotent && (idle_ms > longest_idle || idle_ms < kQuietMs)) continue;
+    Connection connection = std::move(idle[i]);
+    idle.erase(idle.begin() + static_cast<long>(i));
+    if (connection->Usable()) return connection;
+    Discard(server, std::move(connection));
+  }
+  return nullptr;
+}
+
+size_t ConnectionPool::MaxConnections(const configuration::Service* service) const {
+  if (!service) return kUnknownServiceConnections;
+  double share = service->max_conns * kConnectionShare / static_cast<double>(proxies_);
+  return static_cast<size_t>(std::max(kMinConnections, share));
+}
+
+ConnectionPool::Connection ConnectionPool::Acquire(uint32_t server,
+                                                   const configuration::Service* service,
+                                                   bool idempotent) {
+  if (Connection connection = TakeIdle(server, idempotent)) return connection;
+  ServerPool& pool = Of(server);
+  if (pool.open >= MaxConnections(service)) {
+    if (pool.idle.empty()) return nullptr;
+    Discard(server, std::move(pool.idle.front()));
+    pool.idle.erase(pool.idle.begin());
+  }
+  wire::Limits limits;
+  limits.header_bytes = kMaxHeaderBytes;
+  limits.body_bytes = static_cast<size_t>(settings_->held_body_bytes);
+  ++pool.open;
+  return std::make_unique<wire::HttpConnection>(loop_, balancer_->at(server).address,
+                                                settings_->connect_ms, limits);
+}
+
+void ConnectionPool::Release(uint32_t server, Connection connection) {
+  const ServerState& state = balancer_->at(server);
+  bool excluded = state.version_role == ServerState::VersionRole::kExcluded;
+  if (connection->closed() || !state.listed || state.draining || excluded) {
+    Discard(server, std::move(connection));
+    return;
+  }
+  connection->OnLost([this, server, lost = connection.get()] { OnIdleLost(server, lost); });
+  Of(server).idle.push_back(std::move(connection));
+}
+
+void ConnectionPool::OnIdleLost(uint32_t server, const wire::HttpConnection* lost) {
+  std::vector<Connection>& idle = Of(server).idle;
+  auto found = std::find_if(idle.begin(), idle.end(),
+                            [lost](const Connection& kept) { return kept.get() == lost; });
+  if (found == idle.end()) return;
+  Connection connection = std::move(*found);
+  idle.erase(found);
+  Discard(server, std::move(connection));
+}
+
+void ConnectionPool::Discard(uint32_t server, Connection connection) {
+  if (!connection) return;
+  --Of(server).open;
+  std::shared_ptr<wire::HttpConnection> last(std::move(connection));
+  loop_->Defer([last] {});
+}
+
+void ConnectionPool::CloseIdle(uint32_t server) {
+  if (server >= pools_.size()) return;
+  std::vector<Connection> idle = std::move(pools_[server].idle);
+  pools_[server].idle.clear();
+  for (Connection& connection : idle) Discard(server, std::move(connection));
+}
+
+void ConnectionPool::CloseExpired(base::Millis now) {
+  for (uint32_t server = 0; server < pools_.size(); ++server) {
+    std::vector<Connection>& idle = pools_[server].idle;
+    for (size_t i = 0; i < idle.size();) {
+      bool expired = now - idle[i]->idle_since() > KeepMs(*idle[i]) * 9 / 10;
+      if (!idle[i]->closed() && !expired) {
+        ++i;
+        continue;
+      }
+      Connection old = std::move(idle[i]);
+      idle.erase(idle.begin() + static_cast<long>(i));
+      Discard(server, std::move(old));
+    }
+  }
+}
+
+}  // namespace elderkeel::forwarding
--- /dev/null
+++ b/src/forwarding/outlier_detection.cc
@@ -0,0 +1,115 @@
+// What an attempt shows of its server: limits, latency, ejection and the way back.
+#include <algorithm>
+
+#include "forwarding/load_balancer.h"
+
+namespace elderkeel::forwarding {
+namespace {
+constexpr double kLatencyWeight = 0.15;  // of the newest attempt in a latency ratio
+constexpr double kLimitGrowth = 0.25;    // of the limit, for each good answer
+constexpr double kSilentAge = 2.5;  // in mean latencies: an attempt given up after so long was late
+}  // namespace
+
+void LoadBalancer::Begin(base::Millis now, uint32_t server) {
+  ServerState& state = servers_[server];
+  ++state.in_flight;
+  state.sent_at.push_back(now);
+  if (IsInSlowStart(now, state)) state.tokens -= 1;
+}
+
+void LoadBalancer::RemoveInFlight(uint32_t server, base::Millis sent_at) {
+  ServerState& state = servers_[server];
+  --state.in_flight;
+  auto at = std::find(state.sent_at.begin(), state.sent_at.end(), sent_at);
+  if (at != state.sent_at.end()) state.sent_at.erase(at);
+}
+
+void LoadBalancer::UpdateLatencyRatio(ServerState* state, double latency_ratio) {
+  state->latency_ratio +=
+      kLatencyWeight * (std::clamp(latency_ratio, 0.1, 10.0) - state->latency_ratio);
+}
+
+// Silence ends nothing for the request that waits, but where the next one goes must not forget it:
+// a server that has gone dark gives no sign but this on a connection that is already there.
+void LoadBalancer::OnAttemptAbandoned(base::Millis now, uint32_t server, base::Millis sent_at,
+                                      double mean_ms) {
+  RemoveInFlight(server, sent_at);
+  ServerState& state = servers_[server];
+  double age = static_cast<double>(now - sent_at) / std::max(1.0, mean_ms);
+  if (age < kSilentAge || now < state.slow_start_until) return;
+  if (age > state.latency_ratio) UpdateLatencyRatio(&state, age);
+  if (++state.failures >= 2 || state.probation) Eject(now, &state);
+}
+
+void LoadBalancer::Eject(base::Millis now, ServerState* state) {
+  base::Millis hold = options_.first_ejection << std::min(state->failures - 1, 6);
+  state->ejected_until = now + std::min(hold, options_.longest_ejection);
+  state->probation = false;
+}
+
+void LoadBalancer::End(base::Millis now, uint32_t server, base::Millis sent_at, Signal signal,
+                       double latency_ms, double mean_ms) {
+  RemoveInFlight(server, sent_at);
+  ServerState& state = servers_[server];
+  switch (signal) {
+    case Signal::kGood:
+      state.failures = state.failed_probes = 0;
+      state.ejected_until = 0;
+      state.probation = false;
+      state.limit = std::min<double>(state.capacity + 1, state.limit + kLimitGrowth);
+      if (latency_ms >= 0 && mean_ms > 0 && now >= state.slow_start_until) {
+        UpdateLatencyRatio(&state, latency_ms / mean_ms);
+      }
+      break;
+    case Signal::kFull:
+      state.limit = std::max(1.0, state.limit / 2);
+      break;
+    case Signal::kBroken:
+      state.limit = std::max(1.0, state.limit / 2);
+      if (++state.failures >= 2 || state.probation) Eject(now, &state);
+      break;
+    case Signal::kUnreachable:
+      ++state.failures;
+      Eject(now, &state);
+      break;
+    case Signal::kMisplaced:
+      // Its address is another'state: gone, whatever an older list may say.
+      state.failures += 4;
+      state.ejected_until = now + options_.longest_ejection;
+      break;
+  }
+}
+
+std::vector<uint32_t> LoadBalancer::DueProbes(base::Millis now) {
+  std::vector<uint32_t> due;
+  for (const auto& service : by_service_) {
+    for (uint32_t i : service) {
+      ServerState& state = servers_[i];
+      if (state.draining || state.zone_drained || state.probing || state.probation) continue;
+      if (state.version_role == ServerState::VersionRole::kExcluded) continue;
+      if (state.ejected_until == 0 || now < state.ejected_until) continue;
+      state.probing = true;
+      due.push_back(i);
+    }
+  }
+  return due;
+}
+
+void LoadBalancer::OnProbeResult(base::Millis now, uint32_t server, bool good) {
+  ServerState& state = servers_[server];
+  state.probing = false;
+  if (state.ejected_until == 0) return;  // an answer spoke first
+  state.failed_probes = good ? 0 : state.failed_probes + 1;
+  // Health answers may lie both ways. A good one lets the server show itself with one request; so
+  // does every second bad one, since a server that is well must not stay out for ever.
+  if (good || state.failed_probes % 2 == 0) {
+    state.ejected_until = 0;
+    state.probation = true;
+    state.limit = 1;
+    return;
+  }
+  ++state.failures;
+  Eject(now, &state);
+}
+
+}  // namespace elderkeel::forwarding
--- /dev/null
+++ b/src/forwarding/request_completion.cc
@@ -0,0 +1,89 @@
+// RequestRouter: the final answers of requests, and their end.
+
+#include <memory>
+#include <utility>
+
+#include "forwarding/headers.h"
+#include "forwarding/request_router.h"
+
+namespace elderkeel::forwarding {
+namespace {
+
+using telemetry::Step;
+using wire::Message;
+
+}  // namespace
+
+void RequestRouter::FailRequest(PendingRequest* pending, const Cause& cause, bool deadline) {
+  if (pending->streaming != 0) {
+    Record(*pending, 0, cause, true);
+    server_.Reset(pending->ticket);
+    Erase(pending);
+    return;
+  }
+  // Asked before the attempts are dropped: one that is still in flight may run.
+  int status = deadline ? 504 : 502;
+  if (pending->attempt_log.IsCertainlyNotRun()) status = 503;
+  Message answer = wire::OwnAnswer(status, cause.reason);
+  if (status == 503) answer.headers.push_back({"Retry-After", kRetryAfter});
+  Finish(pending, answer, cause, true);
+}
+
+void RequestRouter::Finish(PendingRequest* pending, const Message& answer, const Cause& cause,
+                           bool failed) {
+  Record(*pending, answer.status, cause, failed);
+  server_.Answer(pending->ticket, answer);
+  Erase(pending);
+}
+
+void RequestRouter::Record(const PendingRequest& pending, int status, const Cause& cause,
+                           bool failed) {
+  telemetry::RequestRecord record;
+  record.SetAttempt(pending.attempt_id);
+  record.SetReason(cause.reason);
+  record.revision = pending.table->revision();
+  record.route = pending.route_index;
+  record.service = pending.service;
+  record.server = pending.last_server;
+  if (pending.last_server != LoadBalancer::kNone) {
+    record.version = balancer_.at(pending.last_server).version;
+  }
+  record.total_us = static_cast<uint32_t>((base::SteadyNanos() - pending.arrived_ns) / 1000);
+  record.waited_us = static_cast<uint32_t>(pending.waited_ns / 1000);
+  record.status = static_cast<uint16_t>(status);
+  record.sends = static_cast<uint8_t>(pending.attempt_log.attempts());
+  record.step = cause.step;
+  recorder_->Request(record, failed);
+}
+
+void RequestRouter::Erase(PendingRequest* pending) {
+  if (pending->queued) queue_.Remove(pending);
+  bool had_attempts = !pending->attempts.empty();
+  uint32_t service = pending->service;
+  AbandonAttempts(pending);
+  pending->timer.Cancel();
+  auto found = requests_.find(pending->ticket);
+  // It may be on the stack of its own timer.
+  std::shared_ptr<PendingRequest> last(std::move(found->second));
+  requests_.erase(found);
+  loop_->Defer([last] {});
+  if (had_attempts) PumpQueue(service);
+}
+
+void RequestRouter::OnClientGone(Ticket ticket) {
+  PendingRequest* pending = Find(ticket);
+  if (!pending) return;
+  Record(*pending, 0, {Step::kClient, "the client left"}, true);
+  Erase(pending);
+}
+
+void RequestRouter::FinishAll() {
+  std::vector<PendingRequest*> all;
+  all.reserve(requests_.size());
+  for (auto& [ticket, pending] : requests_) all.push_back(pending.get());
+  for (PendingRequest* pending : all) {
+    FailRequest(pending, {Step::kDeadline, "this node ends"}, false);
+  }
+}
+
+}  // namespace elderkeel::forwarding
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -7,13 +7,13 @@
 
 namespace elderkeel::forwarding {
 
-// This node's part of the budget for further sends that all nodes share. Over any window, all nodes
-// together may send `ratio` x requests + `slack` arrivals past the first of each request.
+// This node's part of the budget for retries and hedges that all nodes share. Over any window, all
+// nodes together may send `ratio` x requests + `slack` arrivals past the first of each request.
 //
 // Each node earns `share` x ratio for each request it takes and may save up to its part of the
 // slack. What a node spends in a window is then at most what it earned in that window plus what it
 // had saved, and the savings of all nodes together stay below the slack. A node that just started
-// has saved nothing: its former life may have spent its part.
+// has saved nothing: before its restart it may have spent its part.
 class RetryBudget {
  public:
   struct Bounds {
--- /dev/null
+++ b/src/forwarding/server_messages.cc
@@ -0,0 +1,78 @@
+#include "forwarding/server_messages.h"
+
+#include <algorithm>
+#include <string_view>
+
+#include "forwarding/headers.h"
+
+namespace elderkeel::forwarding {
+namespace {
+
+bool IsOwnHeader(std::string_view name) {
+  std::string_view prefix = kOwnHeaderPrefix;
+  return name.size() > prefix.size() && wire::EqualNoCase(name.substr(0, prefix.size()), prefix);
+}
+
+// Headers that are written anew for the server.
+bool IsReplaced(const std::string& name) {
+  return wire::EqualNoCase(name, kRemainingHeader) ||
+         wire::EqualNoCase(name, kExpectedServerHeader) || wire::EqualNoCase(name, "Expect");
+}
+
+bool IsLength(const std::string& name) {
+  return wire::EqualNoCase(name, "Content-Length") || wire::EqualNoCase(name, "Transfer-Encoding");
+}
+
+void AppendHeader(std::string_view name, std::string_view value, std::string* out) {
+  out->append(name).append(": ").append(value).append("\r\n");
+}
+
+}  // namespace
+
+std::string SerializeRequest(const wire::Message& request, const std::string& server_id,
+                             base::Millis remaining_ms) {
+  std::string out;
+  out.reserve(512 + request.body.size());
+  out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
+  const std::string* named = request.Find("Connection");
+  std::string_view connection = named ? std::string_view(*named) : std::string_view();
+  bool has_length = false;
+  for (const wire::Header& header : request.headers) {
+    if (IsReplaced(header.name)) continue;
+    if (IsLength(header.name)) {
+      has_length = true;
+      continue;
+    }
+    if (!IsOwnHeader(header.name) && wire::IsHopByHop(header.name, connection)) continue;
+    AppendHeader(header.name, header.value, &out);
+  }
+  AppendHeader(kRemainingHeader, std::to_string(std::max<base::Millis>(1, remaining_ms)), &out);
+  AppendHeader(kExpectedServerHeader, server_id, &out);
+  if (has_length || !request.body.empty()) {
+    AppendHeader("Content-Length", std::to_string(request.body.size()), &out);
+  }
+  out.append("\r\n").append(request.body);
+  return out;
+}
+
+std::string FaultOfAnswer(const wire::Message& answer, const std::string& attempt_id) {
+  if (!IsSuccess(answer.status)) return "";
+  if (!answer.Find(kSealHeader)) return "no seal";
+  const std::string* id = answer.Find(kAttemptIdHeader);
+  if (!id || *id != attempt_id) return "answer to another request";
+  if (answer.Find("Content-Encoding")) return "encoded body";
+  return "";
+}
+
+bool SaysNotRun(const wire::Message& answer) {
+  bool says = answer.status == 421 || answer.Find(kNotExecutedHeader) != nullptr;
+  return says && !IsSuccess(answer.status);
+}
+
+bool IsPromise(int status) { return status == 503 || status == 429 || status == 408; }
+
+bool IsFinal(int status) {
+  return IsSuccess(status) || (status < 500 && status != 429 && status != 408);
+}
+
+}  // namespace elderkeel::forwarding
--- /dev/null
+++ b/src/forwarding/version_routing.cc
@@ -0,0 +1,109 @@
+#include "forwarding/version_routing.h"
+
+#include <algorithm>
+
+#include "base/random.h"
+
+namespace elderkeel::forwarding {
+namespace {
+
+constexpr base::Millis kMinLeaseMs = 500;
+
+rollout::CanaryPolicy::Options PolicyOptions(const base::Settings& settings) {
+  rollout::CanaryPolicy::Options options;
+  options.share = settings.canary_share;
+  options.lease = std::max<base::Millis>(kMinLeaseMs, settings.rollback_ms / 2);
+  return options;
+}
+
+}  // namespace
+
+VersionRouting::VersionRouting(const base::Settings& settings, base::Names* services,
+                               LoadBalancer* balancer)
+    : services_(services), balancer_(balancer), policy_(PolicyOptions(settings)) {}
+
+std::vector<uint32_t> VersionRouting::Adopt(base::Millis now, const rollout::Rollouts& rollouts) {
+  policy_.Adopt(now, rollouts);
+  version_ = rollouts.version();
+  for (const auto& [service, version] : rollouts.in_force()) rules_[service];
+  for (const auto& [service, rollout] : rollouts.rollouts()) rules_[service];
+  return Review(now);
+}
+
+std::vector<uint32_t> VersionRouting::Review(base::Millis now) {
+  std::vector<uint32_t> excluded;
+  for (auto& [service, in_force] : rules_) {
+    rollout::Rule rule = policy_.RuleOf(now, service);
+    if (rule == in_force) continue;
+    in_force = rule;
+    for (uint32_t server :
+         balancer_->SetVersions(services_->Intern(service), rule, policy_.CanaryShare())) {
+      excluded.push_back(server);
+    }
+  }
+  return excluded;
+}
+
+void VersionRouting::OnLeaseRenewal(base::Millis now, const rollout::LeaseRenewal& renewal) {
+  policy_.OnLeaseRenewal(now, renewal);
+}
+
+void VersionRouting::OnRequest(uint32_t service) {
+  if (policy_.active()) policy_.CountRequest(services_->Name(service));
+}
+
+// A request drawn for the secondary version goes there, when that has room; a retry goes to the
+// version that is known to be good.
+uint32_t VersionRouting::ChooseServer(base::Millis now, const PendingRequest& pending,
+                                      const Choose& choose) const {
+  if (!policy_.active()) return choose(false);
+  const std::string& service = services_->Name(pending.service);
+  bool retries_to_secondary = policy_.RetriesToSecondary(now, service);
+  bool secondary = retries_to_secondary;
+  if (pending.tried.empty()) {
+    secondary = policy_.TakesSecondary(now, service, base::Hash(pending.attempt_id));
+  }
+  uint32_t server = secondary ? choose(true) : LoadBalancer::kNone;
+  if (server == LoadBalancer::kNone) server = choose(false);
+  // While traffic shifts, what one version has no room for goes to the other.
+  if (server == LoadBalancer::kNone && retries_to_secondary) server = choose(true);
+  return server;
+}
+
+void VersionRouting::OnAttemptBegun(uint32_t server) {
+  if (!policy_.active()) return;
+  policy_.CountAttempt(services_->Name(balancer_->at(server).service),
+                       balancer_->VersionOf(server));
+}
+
+void VersionRouting::OnAttemptEnded(const PendingRequest& pending, const Attempt& attempt,
+                                    rollout::CanaryPolicy::Outcome outcome, base::Millis took) {
+  if (!policy_.active()) return;
+  rollout::CanaryPolicy::SentRequest sent;
+  sent.service = services_->Name(balancer_->at(attempt.server).service);
+  if (!policy_.RolloutOf(sent.service)) return;
+  sent.version = balancer_->VersionOf(attempt.server);
+  sent.server = balancer_->at(attempt.server).id;
+  sent.route = pending.route->label;
+  sent.ending = outcome;
+  sent.timed = attempt.timed;
+  sent.late = took > attempt.late_after;
+  policy_.CountOutcome(base::SteadyMillis(), sent);
+}
+
+std::vector<AddressedReport> VersionRouting::MakeReports(base::Millis now) {
+  std::vector<AddressedReport> reports;
+  for (const std::string& service : policy_.ActiveServices()) {
+    const rollout::Rollout& rollout = *policy_.RolloutOf(service);
+    AddressedReport addressed;
+    addressed.report = policy_.MakeReport(now, service);
+    addressed.observers = rollout.observers;
+    uint32_t index = services_->Intern(service);
+    addressed.report.new_in_flight = balancer_->InFlight(index, rollout.order.version);
+    addressed.report.old_in_flight = balancer_->InFlight(index, rollout.from);
+    reports.push_back(std::move(addressed));
+  }
+  return reports;
+}
+
+}  // namespace elderkeel::forwarding
--- a/src/wire/http_client.h
+++ b/src/wire/http_client.h
@@ -50,7 +50,7 @@
   // Stops reading while whoever takes the body can't keep up, at the longest until its end.
   void Pause(bool pause);
   // Called when the connection, while idle, is closed or can no longer be trusted.
-  void OnNodeUnreachable(std::function<void()> lost) { lost_ = std::move(lost); }
+  void OnLost(std::function<void()> lost) { lost_ = std::move(lost); }
 
   bool busy() const { return done_ != nullptr; }
   bool connected() const { return connected_; }
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -15,7 +15,7 @@
 using forwarding::AttemptLog;
 using forwarding::AttemptOutcome;
 using forwarding::LoadBalancer;
-using forwarding::Server;
+using forwarding::ServerState;
 using forwarding::Signal;
 
 TEST(AttemptLog, SaysWhatMayFollow) {
@@ -91,7 +91,7 @@
                                      std::vector<uint32_t> tried = {}) {
     std::map<std::string, int> counts;
     for (int i = 0; i < 200; ++i) {
-      uint32_t s = balancer_.Choose(now, names_.Find("s"), 100, tried, idempotent, allowed_);
+      uint32_t s = balancer_.Choose(now, {names_.Find("s"), 100, idempotent, tried, allowed_});
       ++counts[s == LoadBalancer::kNone ? "none" : balancer_.at(s).id];
     }
     return counts;
@@ -121,7 +121,7 @@
   EXPECT_EQ(Choices(1, true, {2})["none"], 200);
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here", true)}));
   EXPECT_EQ(Choices(2)["none"], 200);
-  EXPECT_FALSE(balancer_.Any(names_.Find("s"), {}));
+  EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
 }
 
 TEST_F(ServersTest, HoldsOutWhatFailsAndLetsItBackByATrial) {
@@ -332,17 +332,17 @@
   EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // nor for a further try
   allowed_ = {regions_.Intern("nowhere")};
   EXPECT_EQ(Choices(0)["none"], 200);
-  EXPECT_FALSE(balancer_.Any(names_.Find("s"), allowed_));
+  EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), allowed_));
   allowed_.clear();
   balancer_.SetDrainedZones(100, {"afar", "here"}, 3000);
   EXPECT_EQ(Choices(100)["b"], 200);
   balancer_.SetDrainedZones(200, {"afar", "here", "there"}, 3000);
   EXPECT_EQ(Choices(200)["none"], 200);
-  EXPECT_FALSE(balancer_.Any(names_.Find("s"), {}));
+  EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
   // Taken back it may be cold, and is used as such.
   balancer_.SetDrainedZones(300, {}, 3000);
-  EXPECT_TRUE(balancer_.Any(names_.Find("s"), {}));
-  EXPECT_EQ(balancer_.at(0).warm_at, 3300);
+  EXPECT_TRUE(balancer_.HasUsable(names_.Find("s"), {}));
+  EXPECT_EQ(balancer_.at(0).slow_start_until, 3300);
 }
 
 TEST_F(ServersTest, SendsOnlyToVersionsThatAreAllowed) {
@@ -374,7 +374,7 @@
   auto versions = [&](bool secondary) {
     std::map<std::string, std::set<std::string>> used;
     for (int i = 0; i < 400; ++i) {
-      uint32_t at = balancer_.Choose(0, s, 100, {}, true, {}, secondary);
+      uint32_t at = balancer_.Choose(0, {s, 100, true, {}, {}}, secondary);
       if (at == LoadBalancer::kNone) continue;
       used[balancer_.VersionOf(at)].insert(balancer_.at(at).id);
       balancer_.Begin(0, at);
@@ -388,7 +388,7 @@
   size_t limited = 0;
   std::map<uint32_t, int> zones;
   for (uint32_t i = 0; i < balancer_.size(); ++i) {
-    if (balancer_.at(i).part != Server::Part::kSecondary) continue;
+    if (balancer_.at(i).version_role != ServerState::VersionRole::kSecondary) continue;
     EXPECT_EQ(balancer_.VersionOf(i), "v2");
     ++zones[balancer_.at(i).zone];
     ++limited;
@@ -403,7 +403,7 @@
   EXPECT_EQ(versions(false).begin()->first, "v2");
   EXPECT_EQ(versions(true).begin()->first, "v1");
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 0u);
-  balancer_.Begin(0, balancer_.Choose(0, s, 100, {}, true, {}, true));
+  balancer_.Begin(0, balancer_.Choose(0, {s, 100, true, {}, {}}, true));
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 1u);
   // Turned down: never, not even if nothing else is left; another one then is used.
   rule = rollout::Rule();
@@ -433,9 +433,9 @@
     for (size_t i = 0; i < kProxies; ++i) all.push_back(random.Next());
     std::vector<std::unique_ptr<LoadBalancer>> proxies(kProxies);
     discovery::Server cold{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
-    auto start = [&](size_t i, base::Millis now, base::Millis warm_at) {
+    auto start = [&](size_t i, base::Millis now, base::Millis slow_start_until) {
       proxies[i] = std::make_unique<LoadBalancer>(options, &names, &regions, random.Next());
-      cold.warm_at = warm_at;
+      cold.warm_at = slow_start_until;
       proxies[i]->SetWarmup(names.Intern("s"), kPerS);
       proxies[i]->Adopt(now, MakeCatalog({cold}));
       proxies[i]->SetZoneProxies(all[i], all);
@@ -453,7 +453,7 @@
         proxies[i]->SetZoneProxies(all[i], some);
       }
       for (size_t i = 0; i < kProxies; ++i) {
-        uint32_t s = proxies[i]->Choose(now, names.Find("s"), 100, {}, true, {});
+        uint32_t s = proxies[i]->Choose(now, {names.Find("s"), 100, true, {}, {}});
         if (s == LoadBalancer::kNone) continue;
         proxies[i]->Begin(now, s);
         proxies[i]->End(now, s, now, Signal::kGood, 10, 100);
