--- a/src/base/log.h
+++ b/src/base/log.h
@@ -12,11 +12,14 @@
 // One line of key=value pairs per event.
 class LogValue {
  public:
+  // Implicit, so that calls name values as they are.
+  // NOLINTBEGIN(google-explicit-constructor)
   LogValue(std::string_view text) : text_(text) {}
   LogValue(const char* text) : text_(text) {}
   LogValue(const std::string& text) : text_(text) {}
   template <class N, class = std::enable_if_t<std::is_arithmetic_v<N>>>
   LogValue(N number) : text_(std::to_string(number)) {}
+  // NOLINTEND(google-explicit-constructor)
   const std::string& text() const { return text_; }
 
  private:
--- a/src/base/loop.cc
+++ b/src/base/loop.cc
@@ -1,10 +1,10 @@
 #include "base/loop.h"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <cstdio>
 #include <cstdlib>
 
@@ -90,9 +90,9 @@
 
 Millis UntilMultiple(Millis now, Millis after, Millis every) {
   // Not the same moments in all processes: those of a fleet should not all wake together.
-  static const Millis phase = static_cast<Millis>(RandomSeed() % 1000);
-  Millis due = now + std::max<Millis>(after, 0) + phase;
-  return (due + every - 1) / every * every - phase - now;
+  static const Millis kPhase = static_cast<Millis>(RandomSeed() % 1000);
+  Millis due = now + std::max<Millis>(after, 0) + kPhase;
+  return (due + every - 1) / every * every - kPhase - now;
 }
 
 void Timer::Fire(evutil_socket_t, short, void* self) {
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -55,7 +55,7 @@
   }
 
 const std::vector<Field>& Fields() {
-  static const std::vector<Field> fields = {
+  static const std::vector<Field> kFields = {
       TEXT("node-name", node_name, true),
       TEXT("role", role, false),
       TEXT("ip", ip, true),
@@ -120,7 +120,7 @@
          }
        }},
   };
-  return fields;
+  return kFields;
 }
 
 rapidjson::Document BuildSchema() {
@@ -234,7 +234,7 @@
   if (colon == std::string::npos)
     return Failure(ErrorCode::kInvalidArgument, "address", text, "has no port");
   Address address{text.substr(0, colon), 0};
-  in_addr parsed;
+  in_addr parsed{};
   if (inet_pton(AF_INET, address.ip.c_str(), &parsed) != 1) {
     return Failure(ErrorCode::kInvalidArgument, "address", text, "is not an IPv4 address");
   }
@@ -292,7 +292,7 @@
 }
 
 Result<Settings> ParseSettings(const std::string& text) {
-  static const rapidjson::Document schema = BuildSchema();
+  static const rapidjson::Document kSchema = BuildSchema();
   std::map<std::string, std::string> lines = ParseLines(text);
   rapidjson::Document document(rapidjson::kObjectType);
   for (const Field& field : Fields()) {
@@ -302,7 +302,7 @@
     document.AddMember(rapidjson::StringRef(field.name),
                        ToJson(field, at->second, document.GetAllocator()), document.GetAllocator());
   }
-  std::string fault = SchemaFault(schema, document);
+  std::string fault = SchemaFault(kSchema, document);
   if (!fault.empty()) return Bad(fault);
 
   Settings settings;
@@ -325,7 +325,7 @@
   }
   if (settings.region.empty()) settings.region = settings.RegionOf(settings.zone);
   if (settings.poll_ms > 0 && settings.poll_ms < 50) return Bad("elderkeel.poll-ms: is too small");
-  in_addr parsed;
+  in_addr parsed{};
   if (inet_pton(AF_INET, settings.ip.c_str(), &parsed) != 1) {
     return Bad("ip: is not an IPv4 address");
   }
--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -219,20 +219,22 @@
                                       std::string_view payload) {
   switch (kind) {
     case wire::Kind::kHeartbeat:
-      Decoded<membership::Heartbeat>(from, payload,
-                                     [&](const auto& m) { membership_.OnHeartbeat(now, from, m); });
+      Decoded<membership::Heartbeat>(
+          from, payload, [&](const auto& message) { membership_.OnHeartbeat(now, from, message); });
       return true;
     case wire::Kind::kMembershipUpdate:
-      Decoded<membership::MembershipUpdate>(
-          from, payload, [&](const auto& m) { membership_.OnMembershipUpdate(now, from, m); });
+      Decoded<membership::MembershipUpdate>(from, payload, [&](const auto& message) {
+        membership_.OnMembershipUpdate(now, from, message);
+      });
       return true;
     case wire::Kind::kPartDigests:
-      Decoded<membership::PartDigests>(
-          from, payload, [&](const auto& m) { membership_.OnPartDigests(now, from, m); });
+      Decoded<membership::PartDigests>(from, payload, [&](const auto& message) {
+        membership_.OnPartDigests(now, from, message);
+      });
       return true;
     case wire::Kind::kSummary:
       Decoded<membership::MembershipSummary>(
-          from, payload, [&](const auto& m) { membership_.OnSummary(now, from, m); });
+          from, payload, [&](const auto& message) { membership_.OnSummary(now, from, message); });
       return true;
     default:
       return false;
@@ -243,35 +245,42 @@
                                          wire::Kind kind, std::string_view payload) {
   switch (kind) {
     case wire::Kind::kDigest:
-      Decoded<Digest>(from, payload, [&](const auto& m) { OnDigest(now, from, m); });
+      Decoded<Digest>(from, payload, [&](const auto& message) { OnDigest(now, from, message); });
       return true;
     case wire::Kind::kPullRequest:
-      Decoded<dissemination::PullRequest>(
-          from, payload, [&](const auto& m) { disseminator_.OnPullRequest(now, from, m); });
+      Decoded<dissemination::PullRequest>(from, payload, [&](const auto& message) {
+        disseminator_.OnPullRequest(now, from, message);
+      });
       return true;
     case wire::Kind::kSyncRequest:
-      Decoded<dissemination::SyncRequest>(
-          from, payload, [&](const auto& m) { disseminator_.OnSyncRequest(now, from, m); });
+      Decoded<dissemination::SyncRequest>(from, payload, [&](const auto& message) {
+        disseminator_.OnSyncRequest(now, from, message);
+      });
       return true;
     case wire::Kind::kSyncReply:
-      Decoded<dissemination::SyncReply>(
-          from, payload, [&](const auto& m) { disseminator_.OnSyncReply(now, from, m); });
+      Decoded<dissemination::SyncReply>(from, payload, [&](const auto& message) {
+        disseminator_.OnSyncReply(now, from, message);
+      });
       return true;
     case wire::Kind::kConfigurationUpdate:
-      Decoded<dissemination::ConfigurationUpdate>(
-          from, payload, [&](const auto& m) { disseminator_.OnConfigurationUpdate(now, from, m); });
+      Decoded<dissemination::ConfigurationUpdate>(from, payload, [&](const auto& message) {
+        disseminator_.OnConfigurationUpdate(now, from, message);
+      });
       return true;
     case wire::Kind::kEndpointUpdate:
-      Decoded<dissemination::EndpointUpdate>(
-          from, payload, [&](const auto& m) { disseminator_.OnEndpointUpdate(now, from, m); });
+      Decoded<dissemination::EndpointUpdate>(from, payload, [&](const auto& message) {
+        disseminator_.OnEndpointUpdate(now, from, message);
+      });
       return true;
     case wire::Kind::kZoneDrainUpdate:
-      Decoded<dissemination::ZoneDrainUpdate>(
-          from, payload, [&](const auto& m) { disseminator_.OnZoneDrainUpdate(now, from, m); });
+      Decoded<dissemination::ZoneDrainUpdate>(from, payload, [&](const auto& message) {
+        disseminator_.OnZoneDrainUpdate(now, from, message);
+      });
       return true;
     case wire::Kind::kRolloutUpdate:
-      Decoded<dissemination::RolloutUpdate>(
-          from, payload, [&](const auto& m) { disseminator_.OnRolloutUpdate(now, from, m); });
+      Decoded<dissemination::RolloutUpdate>(from, payload, [&](const auto& message) {
+        disseminator_.OnRolloutUpdate(now, from, message);
+      });
       return true;
     default:
       return false;
--- a/src/configuration/change.cc
+++ b/src/configuration/change.cc
@@ -10,7 +10,7 @@
   for (size_t i = 0; i < 8; ++i) {
     header[i + 1] = static_cast<uint8_t>(static_cast<uint64_t>(if_match) >> (8 * i));
   }
-  sha256_ctx sha;
+  sha256_ctx sha{};
   sha256_init(&sha);
   sha256_update(&sha, header.size(), header.data());
   sha256_update(&sha, body.size(), reinterpret_cast<const uint8_t*>(body.data()));
--- a/src/configuration/json.cc
+++ b/src/configuration/json.cc
@@ -18,18 +18,18 @@
   int depth = 0;
   bool in_string = false;
   for (size_t i = 0; i < text.size(); ++i) {
-    char c = text[i];
+    char character = text[i];
     if (in_string) {
-      if (c == '\\') {
+      if (character == '\\') {
         ++i;
-      } else if (c == '"') {
+      } else if (character == '"') {
         in_string = false;
       }
-    } else if (c == '"') {
+    } else if (character == '"') {
       in_string = true;
-    } else if (c == '{' || c == '[') {
+    } else if (character == '{' || character == '[') {
       if (++depth > kMaxJsonDepth) return true;
-    } else if (c == '}' || c == ']') {
+    } else if (character == '}' || character == ']') {
       --depth;
     }
   }
@@ -58,8 +58,9 @@
 }
 
 std::string ToLower(std::string text) {
-  std::transform(text.begin(), text.end(), text.begin(),
-                 [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char character) {
+    return static_cast<char>(std::tolower(character));
+  });
   return text;
 }
 
--- a/src/configuration/operator_call.cc
+++ b/src/configuration/operator_call.cc
@@ -53,7 +53,7 @@
 }
 
 const rapidjson::Document& RolloutOrderSchema() {
-  static const rapidjson::Document schema = [] {
+  static const rapidjson::Document kSchema = [] {
     rapidjson::Document parsed;
     parsed.Parse(R"({
       "type": "object",
@@ -65,7 +65,7 @@
       }})");
     return parsed;
   }();
-  return schema;
+  return kSchema;
 }
 
 tl::expected<OperatorCall, base::Verdict> ParseRolloutOrder(const std::string& body) {
--- a/src/configuration/parsed_configuration.cc
+++ b/src/configuration/parsed_configuration.cc
@@ -25,6 +25,20 @@
   return location + route["path-prefix"].GetString();
 }
 
+// Adds what one list of a patch removes or puts. False if it is none.
+bool ParseChanges(const Value& name, const Value& list, bool remove, ParsedPatch* patch) {
+  bool is_route = name == "route-list";
+  bool known = is_route || name == "service-list";
+  if (!known || !list.IsArray()) return false;
+  for (const Value& item : list.GetArray()) {
+    const char* removed = item.IsString() ? item.GetString() : nullptr;
+    const char* label = remove ? removed : LabelOf(item);
+    if (!label) return false;
+    patch->changes.push_back({is_route, label, remove ? "" : WriteJson(item)});
+  }
+  return true;
+}
+
 // As ApplyPatch reads it: what is removed goes before what is put, wherever it stands.
 std::optional<ParsedPatch> ParsePatch(std::string_view text) {
   Document document;
@@ -38,15 +52,7 @@
     if (part == document.MemberEnd()) continue;
     if (!part->value.IsObject()) return std::nullopt;
     for (const auto& list : part->value.GetObject()) {
-      bool is_route = list.name == "route-list";
-      bool known = is_route || list.name == "service-list";
-      if (!known || !list.value.IsArray()) return std::nullopt;
-      for (const Value& item : list.value.GetArray()) {
-        const char* removed = item.IsString() ? item.GetString() : nullptr;
-        const char* label = remove ? removed : LabelOf(item);
-        if (!label) return std::nullopt;
-        patch.changes.push_back({is_route, label, remove ? "" : WriteJson(item)});
-      }
+      if (!ParseChanges(list.name, list.value, remove, &patch)) return std::nullopt;
     }
   }
   return patch;
@@ -83,6 +89,25 @@
   return json + "}";
 }
 
+// How many routes use each service, more or less than before.
+using ServiceUses = std::unordered_map<std::string, int64_t>;
+
+// Whether all routes of the list find their location free: `taken` before, but for those `freed`.
+// Counts the services that they use.
+bool PlaceRoutes(const Value& routes, const std::unordered_set<std::string>& taken,
+                 const std::unordered_set<std::string>& freed, ServiceUses* uses) {
+  std::unordered_set<std::string> placed;
+  for (const Value& route : routes.GetArray()) {
+    std::string location = LocationOf(route);
+    if (taken.count(location) && !freed.count(location)) return false;
+    if (!placed.insert(location).second) return false;
+    RouteTargets targets = TargetsOf(route);
+    if (targets.weight == 0) return false;
+    for (const std::string& service : targets.services) ++(*uses)[service];
+  }
+  return true;
+}
+
 }  // namespace
 
 bool ParsedConfiguration::ItemList::Add(std::string label, std::string text) {
@@ -237,8 +262,8 @@
   FinalItems routes = FinalItemsOf(patch, true);
   FinalItems services = FinalItemsOf(patch, false);
 
-  std::unordered_set<std::string> freed, taken;   // locations
-  std::unordered_map<std::string, int64_t> uses;  // of services, more or less than before
+  std::unordered_set<std::string> freed;  // locations
+  ServiceUses uses;
   for (const auto& [label, item] : routes) {
     const Item* before = index.routes.Find(label);
     if (!before) continue;
@@ -247,14 +272,7 @@
     freed.insert(LocationOf(route));
     for (const std::string& service : TargetsOf(route).services) --uses[service];
   }
-  for (const Value& route : changed["route-list"].GetArray()) {
-    std::string location = LocationOf(route);
-    if (relations.locations.count(location) && !freed.count(location)) return false;
-    if (!taken.insert(location).second) return false;
-    RouteTargets targets = TargetsOf(route);
-    if (targets.weight == 0) return false;
-    for (const std::string& service : targets.services) ++uses[service];
-  }
+  if (!PlaceRoutes(changed["route-list"], relations.locations, freed, &uses)) return false;
   auto is_listed = [&](const std::string& service) {
     auto touched = services.find(service);
     if (touched != services.end()) return !touched->second->empty();
--- a/src/configuration/validation.cc
+++ b/src/configuration/validation.cc
@@ -15,9 +15,9 @@
 using rapidjson::Value;
 
 const Document& Schema() {
-  static const Document schema = [] {
-    Document d;
-    d.Parse(R"({
+  static const Document kSchema = [] {
+    Document document;
+    document.Parse(R"({
       "type": "object",
       "required": ["revision", "route-list", "service-list"],
       "properties": {
@@ -63,9 +63,9 @@
           "idle-timeout-ms": {"type": "integer", "minimum": 1, "maximum": 3600000}
         }}
       }})");
-    return d;
+    return document;
   }();
-  return schema;
+  return kSchema;
 }
 
 tl::unexpected<base::Error> Invalid(std::string reason) {
@@ -80,7 +80,9 @@
     return Invalid("route " + label + ": needs target or weighted-targets");
   }
   for (const std::string& service : targets.services) {
-    if (!services.count(service)) return Invalid("route " + label + ": unknown service " + service);
+    if (services.count(service)) continue;
+    return Invalid(
+        std::string("route ").append(label).append(": unknown service ").append(service));
   }
   if (targets.weight == 0) return Invalid("route " + label + ": weights add up to 0");
   return {};
@@ -128,8 +130,8 @@
 }
 
 bool MatchesSchema(const Document& document) {
-  static const rapidjson::SchemaDocument compiled(Schema());
-  rapidjson::SchemaValidator validator(compiled);
+  static const rapidjson::SchemaDocument kCompiled(Schema());
+  rapidjson::SchemaValidator validator(kCompiled);
   return document.Accept(validator);
 }
 
@@ -140,7 +142,7 @@
   if (single == weighted) return targets;
   if (single) return {{route["target"].GetString()}, 1};
   for (const Value& target : route["weighted-targets"].GetArray()) {
-    targets.services.push_back(target["target"].GetString());
+    targets.services.emplace_back(target["target"].GetString());
     targets.weight += target["weight"].GetInt64();
   }
   return targets;
@@ -159,7 +161,7 @@
   auto routes = document.FindMember("route-list");
   if (routes == document.MemberEnd() || !routes->value.IsArray()) return labels;
   for (const Value& route : routes->value.GetArray()) {
-    if (const char* label = LabelOf(route)) labels.push_back(label);
+    if (const char* label = LabelOf(route)) labels.emplace_back(label);
   }
   return labels;
 }
--- a/src/consensus/disk_store.cc
+++ b/src/consensus/disk_store.cc
@@ -103,10 +103,10 @@
   options.compression = leveldb::kNoCompression;
   cache_.reset(leveldb::NewLRUCache(kBlockCacheBytes));
   options.block_cache = cache_.get();
-  leveldb::DB* db = nullptr;
-  status = leveldb::DB::Open(options, directory_, &db);
+  leveldb::DB* opened = nullptr;
+  status = leveldb::DB::Open(options, directory_, &opened);
   if (!status.ok()) return base::Failure(MakeError("store.open", status));
-  db_.reset(db);
+  db_.reset(opened);
   written_bytes_ = TableBytes();  // some of it may have been dropped before the process started
   return {};
 }
--- a/src/consensus/file_system.cc
+++ b/src/consensus/file_system.cc
@@ -23,8 +23,8 @@
 }  // namespace
 
 const FileSystem& RealFileSystem() {
-  static const FileSystem files{leveldb::Env::Default(), SyncDirectory};
-  return files;
+  static const FileSystem kFiles{leveldb::Env::Default(), SyncDirectory};
+  return kFiles;
 }
 
 std::string ParentDirectory(const std::string& path) {
--- a/src/consensus/pending_writes.h
+++ b/src/consensus/pending_writes.h
@@ -15,7 +15,7 @@
 class PendingWrites {
  public:
   struct DeferredMessage {
-    uint64_t after;  // the write that it waits for
+    uint64_t after = 0;  // the write that it waits for
     OutgoingMessage message;
   };
 
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -234,7 +234,7 @@
   void ForgetSilentLearners(base::Millis now);
   bool PromoteLearner(base::Millis now);
   void RemoveVoter(base::Millis now);
-  void ProposeVoters(base::Millis now, std::vector<Member> voters);
+  void ProposeVoters(base::Millis now, const std::vector<Member>& voters);
   std::vector<Member> VotersWithout(MemberId id) const;
   base::Millis SilenceOf(base::Millis now, const Member& voter) const;
   bool IsSilent(base::Millis now, const Member& voter) const;
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -17,7 +17,7 @@
 
 // An error without digits: the numbers of LevelDB's files change with each opening.
 std::string WithoutDigits(std::string text) {
-  auto is_digit = [](char c) { return c >= '0' && c <= '9'; };
+  auto is_digit = [](char character) { return character >= '0' && character <= '9'; };
   text.erase(std::remove_if(text.begin(), text.end(), is_digit), text.end());
   return text;
 }
--- a/src/consensus/voter_changes.cc
+++ b/src/consensus/voter_changes.cc
@@ -141,7 +141,7 @@
     }
     std::vector<Member> voters = voters_;
     voters.push_back(std::move(learner));
-    ProposeVoters(now, std::move(voters));
+    ProposeVoters(now, voters);
     return true;
   }
   return false;
@@ -167,7 +167,7 @@
   }
 }
 
-void RaftNode::ProposeVoters(base::Millis now, std::vector<Member> voters) {
+void RaftNode::ProposeVoters(base::Millis now, const std::vector<Member>& voters) {
   Append(EntryKind::kVoters, wire::Encode(voters));
   Broadcast(now);
 }
--- a/src/controller/confirmation_service.h
+++ b/src/controller/confirmation_service.h
@@ -22,7 +22,7 @@
  private:
   struct PendingConfirm {
     base::Address from;
-    uint64_t nonce;
+    uint64_t nonce = 0;
   };
   void SendElsewhere(const base::Address& from, uint64_t nonce);
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -29,6 +29,7 @@
 // everywhere.
 uint64_t ClusterId(const std::vector<base::Address>& seeds) {
   std::vector<std::string> names;
+  names.reserve(seeds.size());
   for (const base::Address& seed : seeds) names.push_back(seed.ToString());
   std::sort(names.begin(), names.end());
   std::string all;
--- a/src/controller/diagnosis_service.h
+++ b/src/controller/diagnosis_service.h
@@ -30,7 +30,7 @@
 
  private:
   struct PendingInquiry {
-    Ticket ticket;
+    Ticket ticket = 0;
     diagnosis::Inquiry inquiry;
   };
   std::vector<diagnosis::Target> TargetsOf(const diagnosis::Question& question) const;
--- a/src/diagnosis/diagnosis.cc
+++ b/src/diagnosis/diagnosis.cc
@@ -27,7 +27,7 @@
 
 std::string TimeOfDay(int64_t us) {
   time_t seconds = us / 1000000;
-  tm parts;
+  tm parts{};
   gmtime_r(&seconds, &parts);
   char text[40];
   size_t n = strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &parts);
--- a/src/discovery/endpoints.cc
+++ b/src/discovery/endpoints.cc
@@ -12,7 +12,7 @@
 constexpr int kMaxPages = 1000;
 
 const rapidjson::Document& Schema() {
-  static const rapidjson::Document schema = [] {
+  static const rapidjson::Document kSchema = [] {
     rapidjson::Document d;
     d.Parse(R"({
       "type": "object",
@@ -34,11 +34,11 @@
       }})");
     return d;
   }();
-  return schema;
+  return kSchema;
 }
 
 std::string Escape(const std::string& text) {
-  static const char* kHex = "0123456789ABCDEF";
+  static constexpr char kHex[] = "0123456789ABCDEF";
   std::string out;
   for (unsigned char c : text) {
     if (std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '~') {
--- a/src/dissemination/confirm.cc
+++ b/src/dissemination/confirm.cc
@@ -14,8 +14,9 @@
 }
 
 std::optional<base::Address> Confirmation::OnReply(base::Millis now, const ConfirmReply& reply) {
-  auto asked = std::find_if(questions_.begin(), questions_.end(),
-                            [&](const Question& q) { return q.nonce == reply.nonce; });
+  auto asked = std::find_if(questions_.begin(), questions_.end(), [&](const Question& question) {
+    return question.nonce == reply.nonce;
+  });
   if (asked == questions_.end() || now - asked->asked > patience_) return std::nullopt;
   if (!reply.confirmed) {
     if (reply.leader_ip.empty()) return std::nullopt;
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -80,7 +80,7 @@
   if (from.empty()) return;
   Digest digest = OwnDigest(now);
   digest.answer = true;
-  out_.digests.push_back({from[random_.Below(from.size())]->address(), digest});
+  out_.digests.emplace_back(from[random_.Below(from.size())]->address(), digest);
 }
 
 std::vector<const membership::Node*> Disseminator::ZonePeers() const {
@@ -185,7 +185,7 @@
     pull.zone_drains = own.zone_drains;
     pull.rollouts = own.rollouts;
   }
-  out_.pulls.push_back({from, pull});
+  out_.pulls.emplace_back(from, pull);
 }
 
 bool Disseminator::SendMissing(base::Millis now, const base::Address& to, const PeerState& peer,
@@ -217,7 +217,7 @@
   if (digest.answer || !sent_all) {
     Digest own = OwnDigest(now);
     own.reliable = digest.reliable;
-    out_.digests.push_back({from, own});
+    out_.digests.emplace_back(from, own);
   }
 }
 
@@ -354,14 +354,14 @@
         out_.rollouts.push_back({node->address(), {rollouts_}});
         break;
     }
-    if (!sent) out_.digests.push_back({node->address(), announce});
+    if (!sent) out_.digests.emplace_back(node->address(), announce);
   }
 }
 
 void Disseminator::OnNodeReachable(base::Millis now, const membership::Node& node) {
   // By those that kept a hint; what it missed it then asks for, once.
   if (missed_updates_.erase(node.id) == 0) return;
-  out_.digests.push_back({node.address(), OwnDigest(now)});
+  out_.digests.emplace_back(node.address(), OwnDigest(now));
 }
 
 void Disseminator::OnNodeUnreachable(const membership::Node& node) {
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -59,7 +59,7 @@
     struct Reply {
       base::Address to;
       SyncReply reply;
-      bool follows;
+      bool follows = false;
     };
     std::vector<Reply> sync_replies;
     bool configuration_adopted = false;
--- a/src/dissemination/disseminator_endpoints.cc
+++ b/src/dissemination/disseminator_endpoints.cc
@@ -56,7 +56,7 @@
   for (discovery::Server& server : update.servers) {
     server.warmup_left_ms = static_cast<int32_t>(std::max<base::Millis>(0, server.warm_at - now));
   }
-  out_.endpoint_updates.push_back({to, std::move(update)});
+  out_.endpoint_updates.emplace_back(to, std::move(update));
   return true;
 }
 
@@ -101,7 +101,7 @@
   // One node of each other zone is sent what the newest is: a message that was lost on its way
   // there would else wait for a digest exchange that happens to cross zones.
   for (const membership::Node* node : ForwardTargets(true, 0)) {
-    out_.digests.push_back({node->address(), OwnDigest(now)});
+    out_.digests.emplace_back(node->address(), OwnDigest(now));
   }
 }
 
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -18,18 +18,19 @@
     if (RecentlySent(now, to, static_cast<uint64_t>(revision_) * 2)) return true;
   }
   if (complete)
-    out_.configuration_updates.push_back({to, ConfigurationUpdate{revision_, 0, document_.text()}});
+    out_.configuration_updates.emplace_back(to,
+                                            ConfigurationUpdate{revision_, 0, document_.text()});
   for (size_t i = first; i < patches_.size(); ++i) {
     const PatchHistory::Patch& patch = patches_.at(i);
-    out_.configuration_updates.push_back(
-        {to, ConfigurationUpdate{patch.revision, patch.base, patch.body}});
+    out_.configuration_updates.emplace_back(
+        to, ConfigurationUpdate{patch.revision, patch.base, patch.body});
   }
   return true;
 }
 
 const std::string& Disseminator::configuration_patch() const {
-  static const std::string none;
-  return patches_.last() ? patches_.last()->body : none;
+  static const std::string kNone;
+  return patches_.last() ? patches_.last()->body : kNone;
 }
 
 void Disseminator::LogAdvanced(Fetch* fetch) {
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -125,6 +125,9 @@
   uint32_t PickZone(uint32_t service);
   void AssignOwners();
   void AssignVersionRoles(uint32_t service);
+  // By zone, the servers of a version that only some may take requests for, with their order.
+  using CanariesByZone = std::map<uint32_t, std::vector<std::pair<uint64_t, uint32_t>>>;
+  void ChooseCanaries(double share, CanariesByZone* canaries);
   bool IsOwner(const ServerState& state) const;
   bool IsInSlowStart(base::Millis now, const ServerState& state) const {
     return now < state.slow_start_until && SlowStartRate(state.service) > 0;
--- a/src/forwarding/version_roles.cc
+++ b/src/forwarding/version_roles.cc
@@ -1,9 +1,28 @@
 // Which servers requests may go to while a version is rolled out.
+
 #include <algorithm>
+#include <cmath>
 
 #include "forwarding/load_balancer.h"
 
 namespace elderkeel::forwarding {
+namespace {
+
+constexpr size_t kMinCanaries = 3;  // in all zones together
+
+// Of a server of `version`; one of a limited secondary version is excluded unless it is a canary.
+ServerState::VersionRole RoleOf(const std::string& version, const rollout::Rule& rule) {
+  using VersionRole = ServerState::VersionRole;
+  if (!rule.excluded.empty() && version == rule.excluded) return VersionRole::kExcluded;
+  if (!rule.secondary.empty() && version == rule.secondary) {
+    return rule.limited ? VersionRole::kExcluded : VersionRole::kSecondary;
+  }
+  bool is_primary = rule.primary.empty() || version == rule.primary;
+  return is_primary ? VersionRole::kPrimary : VersionRole::kExcluded;
+}
+
+}  // namespace
+
 std::vector<uint32_t> LoadBalancer::SetVersions(uint32_t service, const rollout::Rule& rule,
                                                 double limited_share) {
   if (service >= rules_.size()) rules_.resize(service + 1);
@@ -18,41 +37,38 @@
   return excluded;
 }
 
+// The same few on every proxy, and in each zone, so that they see load as all will, and a request
+// need not leave its zone.
+void LoadBalancer::ChooseCanaries(double share, CanariesByZone* canaries) {
+  size_t zones = canaries->size();
+  for (auto& [zone, servers] : *canaries) {
+    std::sort(servers.begin(), servers.end());
+    size_t least = (kMinCanaries + zones - 1) / zones;
+    auto by_share = static_cast<size_t>(std::lround(share * static_cast<double>(servers.size())));
+    size_t count = std::min(std::max(least, by_share), servers.size());
+    for (size_t i = 0; i < count; ++i) {
+      servers_[servers[i].second].version_role = ServerState::VersionRole::kSecondary;
+    }
+  }
+}
+
 void LoadBalancer::AssignVersionRoles(uint32_t service) {
   if (service >= rules_.size() || !rules_[service].rule.known) return;
   const rollout::Rule& rule = rules_[service].rule;
   using VersionRole = ServerState::VersionRole;
   bool any_primary = false;
-  // By zone, the servers of a version that only a few may show.
-  std::map<uint32_t, std::vector<std::pair<uint64_t, uint32_t>>> limited;
+  CanariesByZone canaries;
   for (uint32_t i : by_service_[service]) {
     ServerState& state = servers_[i];
     const std::string& version = versions_.Name(state.version);
-    if (!rule.excluded.empty() && version == rule.excluded) {
-      state.version_role = VersionRole::kExcluded;
-    } else if (!rule.secondary.empty() && version == rule.secondary) {
-      state.version_role = rule.limited ? VersionRole::kExcluded : VersionRole::kSecondary;
-      if (rule.limited && !state.draining) {
-        limited[state.zone].push_back({base::Hash(state.id, rule.number), i});
-      }
-    } else {
-      state.version_role = rule.primary.empty() || version == rule.primary ? VersionRole::kPrimary
-                                                                           : VersionRole::kExcluded;
-    }
+    state.version_role = RoleOf(version, rule);
     any_primary |= state.version_role == VersionRole::kPrimary && !state.draining;
-  }
-  // The same few on every proxy, and in each zone, so that they see load as all will, and a request
-  // need not leave its zone.
-  for (auto& [zone, servers] : limited) {
-    std::sort(servers.begin(), servers.end());
-    size_t least = (3 + limited.size() - 1) / limited.size();
-    size_t count = std::max(
-        least, static_cast<size_t>(
-                   rules_[service].limited_share * static_cast<double>(servers.size()) + 0.5));
-    for (size_t k = 0; k < std::min(count, servers.size()); ++k) {
-      servers_[servers[k].second].version_role = VersionRole::kSecondary;
+    bool limited = rule.limited && version == rule.secondary && version != rule.excluded;
+    if (limited && !version.empty() && !state.draining) {
+      canaries[state.zone].emplace_back(base::Hash(state.id, rule.number), i);
     }
   }
+  ChooseCanaries(rules_[service].limited_share, &canaries);
   if (any_primary) return;
   // No server is left that may be sent to: what this node knows of versions is older than the list.
   for (uint32_t i : by_service_[service]) {
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -28,7 +28,7 @@
     for (size_t rank = 0; rank < monitors.size(); ++rank) {
       int divisor = HeartbeatDivisor(node, *monitors[rank], rank);
       if (id == self_.id) {
-        monitors_.push_back({monitors[rank]->id, divisor});
+        monitors_.emplace_back(monitors[rank]->id, divisor);
       } else if (monitors[rank]->id == self_.id) {
         monitored_[id] = divisor;
       }
@@ -49,7 +49,7 @@
   Heartbeat heartbeat{self_.id, self_.boot_id, self_.incarnation, Digest()};
   for (const auto& [id, divisor] : monitors_) {
     if (heartbeat_count_ % static_cast<uint64_t>(divisor) != 0) continue;
-    effects_.heartbeats.push_back({table_.Find(id)->address(), heartbeat});
+    effects_.heartbeats.emplace_back(table_.Find(id)->address(), heartbeat);
   }
   if (heartbeat_count_ % kProbeDeadEvery == 0) ProbeDeadNode(heartbeat);
 }
@@ -63,7 +63,7 @@
   }
   if (dead.empty()) return;
   const Node* probed = dead[random_.Below(dead.size())];
-  effects_.heartbeats.push_back({probed->address(), heartbeat});
+  effects_.heartbeats.emplace_back(probed->address(), heartbeat);
 }
 
 void Membership::OnHeartbeat(base::Millis now, const base::Address& from,
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -111,7 +111,7 @@
 }
 
 void Membership::SendUpdate(const base::Address& to, MembershipUpdate update) {
-  effects_.updates.push_back({to, std::move(update)});
+  effects_.updates.emplace_back(to, std::move(update));
 }
 
 // A suspicion goes to the other monitors, who can confirm it, and to the suspect, who can refute
--- a/src/membership/messages.h
+++ b/src/membership/messages.h
@@ -67,7 +67,7 @@
       uint64_t id = 0;
       uint32_t digest = 0;
       archive(id, digest);
-      view_digests.push_back({id, digest});
+      view_digests.emplace_back(id, digest);
     }
   }
 };
--- a/src/membership/node_table.cc
+++ b/src/membership/node_table.cc
@@ -59,9 +59,9 @@
 }
 
 const std::string& NodeTable::RegionOf(const std::string& zone) const {
-  static const std::string unnamed;
+  static const std::string kUnnamed;
   auto region = regions_.find(zone);
-  return region == regions_.end() ? unnamed : region->second;
+  return region == regions_.end() ? kUnnamed : region->second;
 }
 
 NodeTable::Distance NodeTable::DistanceBetween(const Node& a, const Node& b) const {
--- a/src/membership/table_sync.cc
+++ b/src/membership/table_sync.cc
@@ -19,7 +19,7 @@
 
 void Membership::SendPartDigests(base::Millis now, const base::Address& to) {
   if (RecentlySent(now, to, &part_digests_sent_at_)) return;
-  effects_.part_digests.push_back({to, table_.part_digests()});
+  effects_.part_digests.emplace_back(to, table_.part_digests());
 }
 
 void Membership::OnPartDigests(base::Millis now, const base::Address& from,
@@ -38,9 +38,9 @@
   MembershipSummary summary;
   summary.parts = parts;
   for (const auto& [id, node] : table_.nodes()) {
-    if (summary.Covers(id)) summary.view_digests.push_back({id, node.ViewDigest()});
+    if (summary.Covers(id)) summary.view_digests.emplace_back(id, node.ViewDigest());
   }
-  effects_.summaries.push_back({to, std::move(summary)});
+  effects_.summaries.emplace_back(to, std::move(summary));
 }
 
 void Membership::OnSummary(base::Millis now, const base::Address& from,
--- a/src/proxy/main.cc
+++ b/src/proxy/main.cc
@@ -4,7 +4,8 @@
 #include "proxy/proxy.h"
 
 int main(int argc, char** argv) {
-  using namespace elderkeel;
+  namespace base = elderkeel::base;
+  namespace proxy = elderkeel::proxy;
   CLI::App app{"elderkeel's data plane: forwards requests to servers"};
   app.set_version_flag("--version", "elderkeel proxy " ELDERKEEL_VERSION);
   app.require_subcommand(1);
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -216,7 +216,7 @@
     return;
   }
   // Taken and searched on the exporter's thread; only the reply comes back to this one.
-  recorder_->TakeRecords([this, from, query](telemetry::Recorder::Kept kept) {
+  recorder_->TakeRecords([this, from, query](const telemetry::Recorder::Kept& kept) {
     diagnosis::Question question;
     question.about = query.about;
     question.value = query.value;
--- a/src/rollout/coordinator.cc
+++ b/src/rollout/coordinator.cc
@@ -27,7 +27,7 @@
       named.push_back(candidate.id);
       zones.insert(candidate.zone);
     } else {
-      order.push_back({base::Random(key ^ candidate.id).Next(), &candidate});
+      order.emplace_back(base::Random(key ^ candidate.id).Next(), &candidate);
     }
   }
   std::sort(order.begin(), order.end());
@@ -97,9 +97,9 @@
 
 const std::map<uint64_t, RolloutCoordinator::ReceivedVote>& RolloutCoordinator::VotesOn(
     uint64_t number) const {
-  static const std::map<uint64_t, ReceivedVote> none;
+  static const std::map<uint64_t, ReceivedVote> kNone;
   auto at = tracked_.find(number);
-  return at == tracked_.end() ? none : at->second.votes;
+  return at == tracked_.end() ? kNone : at->second.votes;
 }
 
 RolloutCoordinator::VoteCount RolloutCoordinator::CountVotes(base::Millis now,
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -144,7 +144,7 @@
       }
       if (!best || entry.second > best->second) best = &entry;
     }
-    if (best) found.push_back({service, best->first});
+    if (best) found.emplace_back(service, best->first);
   }
   return found;
 }
--- a/src/telemetry/buffer.h
+++ b/src/telemetry/buffer.h
@@ -224,7 +224,7 @@
       // Fails only if a writer pushed the reader meanwhile, and then it stands where it must.
       read_count_.compare_exchange_strong(read, read + sbuf_, std::memory_order_acq_rel);
       const auto* bytes = reinterpret_cast<const std::byte*>(storages_[spare_].get());
-      Header header;
+      Header header{};
       std::memcpy(&header, bytes, sizeof header);
       return Chunk{header.begin_time, header.lost, bytes + sizeof(Header),
                    static_cast<size_t>(header.used) - sizeof(Header)};
--- a/src/wire/http.cc
+++ b/src/wire/http.cc
@@ -110,13 +110,13 @@
   return std::string_view(target).substr(0, target.find('?'));
 }
 
-MessageReader::MessageReader(http_parser_type type) : type_(type) {
-  static const bool once = [] {
+MessageReader::MessageReader(http_parser_type type) : type_(type), parser_() {
+  static const bool kOnce = [] {
     // Our own limit on the head is judged first and exactly; this one must only not be below it.
     http_parser_set_max_header_size(16u << 20);
     return true;
   }();
-  (void)once;
+  (void)kOnce;
   Reset();
 }
 
@@ -212,7 +212,7 @@
 }
 
 const http_parser_settings& MessageReader::Callbacks() {
-  static const http_parser_settings settings = [] {
+  static const http_parser_settings kSettings = [] {
     http_parser_settings s;
     http_parser_settings_init(&s);
     s.on_header_field = &OnField;
@@ -224,7 +224,7 @@
     s.on_message_complete = &OnComplete;
     return s;
   }();
-  return settings;
+  return kSettings;
 }
 
 MessageReader::Progress MessageReader::CheckHead(const Limits& limits) {
--- a/src/wire/mesh.cc
+++ b/src/wire/mesh.cc
@@ -55,8 +55,8 @@
 };
 
 struct Mesh::Incoming {
-  Mesh* mesh;
-  uint64_t id;
+  Mesh* mesh = nullptr;
+  uint64_t id = 0;
   BuffereventPtr socket;
   base::Address from;  // port 0 until the peer has said which one it listens on
 };
--- a/src/wire/socket.cc
+++ b/src/wire/socket.cc
@@ -32,12 +32,12 @@
 }
 
 int StartConnect(const base::Address& address, int user_timeout_ms, const std::string& from) {
-  sockaddr_in to;
+  sockaddr_in to{};
   if (!Fill(address, &to)) return -1;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
   TuneSocket(fd, user_timeout_ms);
-  sockaddr_in source;
+  sockaddr_in source{};
   if (!from.empty() && (!Fill({from, 0}, &source) ||
                         bind(fd, reinterpret_cast<sockaddr*>(&source), sizeof source))) {
     close(fd);
@@ -51,7 +51,7 @@
 }
 
 base::Address PeerOf(int fd) {
-  sockaddr_in peer;
+  sockaddr_in peer{};
   socklen_t size = sizeof peer;
   if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return {};
   char text[INET_ADDRSTRLEN] = "";
@@ -60,7 +60,7 @@
 }
 
 base::Status Listener::Open(base::Loop* loop, const base::Address& address, Accept accept) {
-  sockaddr_in at;
+  sockaddr_in at{};
   if (!Fill(address, &at))
     return base::Failure(base::ErrorCode::kInvalidArgument, "listen", address.ToString(),
                          "is not an address");
