--- a/tests/compatibility/stored_data_test.cc
+++ b/tests/compatibility/stored_data_test.cc
@@ -36,7 +36,7 @@
   std::filesystem::path copy_;
 };
 
-TEST_F(StoredDataTest, IsReadWhole) {
+TEST_F(StoredDataTest, IsReadCompletely) {
   consensus::RestoredState restored = Load();
   EXPECT_FALSE(restored.empty);
   EXPECT_NE(restored.hard_state.cluster, 0u);
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -239,7 +239,7 @@
   EXPECT_EQ(nothing->Evaluate(Small(0, 1, "a")).status, 0);
 }
 
-TEST(ConfigurationState, ASnapshotHoldsOneDocument) {
+TEST(ConfigurationState, ASnapshotHasOneDocument) {
   ConfigurationState state;
   std::string big(1 << 20, 'x');
   ASSERT_TRUE(state.Apply(Small(0, 1, big)));
@@ -252,7 +252,7 @@
 // A log whose every step the test takes.
 class FakeLog : public ReplicatedLog {
  public:
-  bool HasCommittedInTerm() const override { return settled_; }
+  bool HasCommittedInTerm() const override { return committed_in_term_; }
   bool is_leader() const override { return leading_; }
   uint64_t term() const override { return term_; }
   std::optional<std::string> leader_control() const override { return leader_; }
@@ -274,7 +274,7 @@
   }
   bool HasZone(const std::string& zone) const override { return zones_.count(zone) > 0; }
   bool HasService(const std::string& service) const override { return service == "s"; }
-  bool settled_ = true, leading_ = true;
+  bool committed_in_term_ = true, leading_ = true;
   uint64_t term_ = 0;
   std::set<std::string> zones_ = {"a", "b"};
   std::optional<std::string> leader_;
@@ -409,7 +409,7 @@
   uint64_t ticket = 10;
   for (const Case& c : cases) {
     log_.leading_ = c.is_leader;
-    log_.settled_ = c.HasCommittedInTerm;
+    log_.committed_in_term_ = c.HasCommittedInTerm;
     log_.leader_ = c.leader;
     api_.OnRequest(0, ++ticket, Call("GET", "", ""));
     EXPECT_EQ(StatusOf(ticket), c.status);
@@ -432,39 +432,39 @@
   api_.OnRequest(1000, 2, Call("PUT", "0", Document(3, kRoute)));
   ConfirmReads();
   EXPECT_EQ(StatusOf(2), 0);  // still waits for the entry that is under way
-  log_.leading_ = log_.settled_ = false;
+  log_.leading_ = log_.committed_in_term_ = false;
   api_.OnRoleChanged();
   EXPECT_EQ(StatusOf(2), 503);
   // Leading again: the old entry was committed after all, so the old call is now acknowledged.
   state_.Apply(log_.proposed_[0]);
-  log_.leading_ = log_.settled_ = true;
+  log_.leading_ = log_.committed_in_term_ = true;
   api_.OnRequest(1200, 3, Call("PUT", "0", Document(2, kRoute)));
   api_.OnRequest(1200, 4, Call("PUT", "0", Document(3, kRoute)));
   ConfirmReads();
   EXPECT_EQ(StatusOf(3), 200);
   EXPECT_EQ(StatusOf(4), 412);
   // A leader that is not settled yet asks again instead of answering.
-  log_.settled_ = false;
+  log_.committed_in_term_ = false;
   api_.OnRequest(1300, 5, Call("GET", "", ""));
   EXPECT_TRUE(log_.reads_.empty());
-  log_.settled_ = true;
+  log_.committed_in_term_ = true;
   api_.Tick(1350);
   ConfirmReads();
   EXPECT_EQ(StatusOf(5), 200);
 }
 
 // Which zones there are is news to a node that has just started, or is cut off.
-TEST_F(OperatorApiTest, RefusesAZoneOnlyWhereItLeadsByAMajoritysWord) {
+TEST_F(OperatorApiTest, RejectsAZoneOnlyAsAConfirmedLeader) {
   wire::Message request;
   request.method = "POST";
   request.target = "/elderkeel/evacuation/nowhere";
-  log_.leading_ = log_.settled_ = false;
+  log_.leading_ = log_.committed_in_term_ = false;
   api_.OnRequest(0, 1, request);
   EXPECT_EQ(StatusOf(1), 503);
   log_.leader_ = "10.0.0.4:8080";
   api_.OnRequest(0, 2, request);
   EXPECT_EQ(StatusOf(2), 307);
-  log_.leading_ = log_.settled_ = true;
+  log_.leading_ = log_.committed_in_term_ = true;
   api_.OnRequest(0, 3, request);
   EXPECT_EQ(StatusOf(3), 0);
   ConfirmReads();
@@ -478,7 +478,7 @@
   EXPECT_EQ(log_.drained_zones_.size(), 1u);
 }
 
-TEST_F(OperatorApiTest, EvacuatesAndTakesBackByTheLog) {
+TEST_F(OperatorApiTest, DrainsAndRestoresAZoneByTheLog) {
   auto order = [&](const char* method, const char* zone) {
     wire::Message request;
     request.method = method;
@@ -507,7 +507,7 @@
   uint64_t ticket = 100;
   for (const Case& c : cases) {
     size_t before = log_.drained_zones_.size();
-    log_.leading_ = log_.settled_ = c.is_leader;
+    log_.leading_ = log_.committed_in_term_ = c.is_leader;
     api_.OnRequest(0, ++ticket, order(c.method, c.zone));
     ConfirmReads();
     EXPECT_EQ(log_.drained_zones_.size() - before, c.commit || c.status == 0 ? 1u : 0u) << c.name;
@@ -603,7 +603,7 @@
   EXPECT_EQ(call("GET", get, ""), 503);
 }
 
-wire::Message Evacuation(const char* method, const char* zone) {
+wire::Message DrainCall(const char* method, const char* zone) {
   wire::Message request;
   request.method = method;
   request.target = std::string("/elderkeel/evacuation/") + zone;
@@ -638,7 +638,7 @@
   for (const Case& c : cases) {
     drained_zones_ = zone_drain::DrainedZones();
     log_.drained_zones_.clear();
-    api_.OnRequest(0, ++ticket, Evacuation(c.method, "a"));
+    api_.OnRequest(0, ++ticket, DrainCall(c.method, "a"));
     for (const auto& [zone, drained] : c.meanwhile) {
       drained_zones_.Apply({zone, drained});
       api_.OnApplied(0, 1);
@@ -651,7 +651,7 @@
   }
 }
 
-TEST_F(OperatorApiTest, AnOrderOfARollOutThatWasOvertakenIsNotProposed) {
+TEST_F(OperatorApiTest, ASupersededRolloutOrderIsNotProposed) {
   auto end = [&](const char* version) {
     rollout::Step step;
     step.kind = rollout::Step::Kind::kOrder;
@@ -674,23 +674,23 @@
 }
 
 TEST_F(OperatorApiTest, ProposesNothingForACallerThatHasGoneOrWasTooLate) {
-  api_.OnRequest(0, 1, Evacuation("POST", "a"));
+  api_.OnRequest(0, 1, DrainCall("POST", "a"));
   api_.OnCallerGone(1);
   ConfirmReads();
   EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(1), 0);
   // The process slept between the call and the confirmation.
-  api_.OnRequest(0, 2, Evacuation("POST", "a"));
+  api_.OnRequest(0, 2, DrainCall("POST", "a"));
   api_.OnReadFinished(20000, log_.reads_.back(), true);
   EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(2), 503);
   // What was proposed goes its way.
   log_.reads_.clear();
-  api_.OnRequest(0, 3, Evacuation("POST", "a"));
+  api_.OnRequest(0, 3, DrainCall("POST", "a"));
   ConfirmReads();
   ASSERT_EQ(log_.drained_zones_.size(), 1u);
   api_.OnCallerGone(3);
-  api_.OnRequest(0, 4, Evacuation("POST", "a"));
+  api_.OnRequest(0, 4, DrainCall("POST", "a"));
   ConfirmReads();
   EXPECT_EQ(log_.drained_zones_.size(), 1u);
   drained_zones_.Apply(log_.drained_zones_[0]);
@@ -719,23 +719,23 @@
 }
 
 TEST_F(OperatorApiTest, RefusesNoZoneByAStateThatIsNotConfirmed) {
-  log_.leading_ = log_.settled_ = false;
-  api_.OnRequest(0, 1, Evacuation("POST", "unheard-of"));
+  log_.leading_ = log_.committed_in_term_ = false;
+  api_.OnRequest(0, 1, DrainCall("POST", "unheard-of"));
   EXPECT_EQ(StatusOf(1), 503);
-  log_.leading_ = log_.settled_ = true;
-  api_.OnRequest(0, 2, Evacuation("POST", "unheard-of"));
+  log_.leading_ = log_.committed_in_term_ = true;
+  api_.OnRequest(0, 2, DrainCall("POST", "unheard-of"));
   EXPECT_EQ(StatusOf(2), 0);
   ConfirmReads();
   EXPECT_EQ(StatusOf(2), 404);
 }
 
-TEST_F(OperatorApiTest, AnEvacuatedZoneThatLostItsLastServerIsTakenBack) {
+TEST_F(OperatorApiTest, ADrainedZoneThatLostItsLastServerCanBeRestored) {
   drained_zones_.Apply({"a", true});
   log_.zones_.clear();
-  api_.OnRequest(0, 1, Evacuation("POST", "a"));
+  api_.OnRequest(0, 1, DrainCall("POST", "a"));
   ConfirmReads();
   EXPECT_EQ(StatusOf(1), 200);  // sent again
-  api_.OnRequest(0, 2, Evacuation("DELETE", "a"));
+  api_.OnRequest(0, 2, DrainCall("DELETE", "a"));
   ConfirmReads();
   ASSERT_EQ(log_.drained_zones_.size(), 1u);
   drained_zones_.Apply(log_.drained_zones_[0]);
@@ -743,7 +743,7 @@
   EXPECT_EQ(StatusOf(2), 200);
 }
 
-TEST_F(OperatorApiTest, HoldsABoundedSumOfBodies) {
+TEST_F(OperatorApiTest, BuffersABoundedSumOfBodies) {
   std::string large(3u << 20, ' ');  // less than is refused for its size alone
   for (uint64_t ticket = 1; ticket <= 10; ++ticket) {
     api_.OnRequest(0, ticket, Call("PUT", "0", large));
--- a/tests/configuration/parsed_configuration_test.cc
+++ b/tests/configuration/parsed_configuration_test.cc
@@ -111,7 +111,7 @@
     }
     return items;
   }
-  std::string Whole(int64_t revision) {
+  std::string Full(int64_t revision) {
     std::string services;
     for (int i = 0; i < 6; ++i) {
       services += (i ? "," : "") + ServiceItem("s" + std::to_string(i));
@@ -156,7 +156,7 @@
 };
 
 // All that a table tells of the places that the writer writes, and of every service.
-std::string TableTells(const RoutingTable& table, const base::Names& names) {
+std::string TableDescribes(const RoutingTable& table, const base::Names& names) {
   std::string text = std::to_string(table.revision());
   for (int place = 0; place < 60; ++place) {
     for (const char* host : {"h", "a.b"}) {
@@ -179,8 +179,8 @@
   return text;
 }
 
-TEST(ParsedConfiguration, GivesTheTextAndVerdictsOfTheWholeWay) {
-  int by_parsed_patch = 0, whole_way = 0;
+TEST(ParsedConfiguration, GivesTheTextAndVerdictsOfTheFullParse) {
+  int by_parsed_patch = 0, full_parse = 0;
   std::set<std::string> reasons;
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     Writer writer(seed);
@@ -193,7 +193,7 @@
       bool patch = full.revision() > 0 ? !writer.OneIn(25) : writer.OneIn(10);
       int64_t revision = full.revision() + (writer.OneIn(40) ? 0 : 1);
       int64_t match = full.revision() - (writer.OneIn(40) ? 1 : 0);
-      Change change{patch, match, patch ? writer.Patch(revision) : writer.Whole(revision)};
+      Change change{patch, match, patch ? writer.Patch(revision) : writer.Full(revision)};
       if (!patch && writer.OneIn(6)) change.body.resize(change.body.size() / 2);
       std::string text;
       base::Verdict want = full.Evaluate(change, &text);
@@ -209,24 +209,24 @@
         ASSERT_EQ(state.text(), full.text());
         continue;
       }
-      (by_patch ? by_parsed_patch : whole_way) += patch ? 1 : 0;
+      (by_patch ? by_parsed_patch : full_parse) += patch ? 1 : 0;
       if (patch && !full.text().empty()) {
         ASSERT_TRUE(follower.ApplyUnchecked(change.body).has_value());
       } else {
         follower = ParsedConfiguration(text);
       }
       // A table made of the one before is as one made of the whole, and leaves that one as it was.
-      auto whole = RoutingTable::Build(text, &names, &regions);
+      auto built = RoutingTable::Build(text, &names, &regions);
       if (patch && table) {
-        std::string before = TableTells(*table, names);
+        std::string before = TableDescribes(*table, names);
         auto next = RoutingTable::Patch(*table, change.body, &names, &regions);
         ASSERT_TRUE(next);
-        ASSERT_EQ(TableTells(*next, names), TableTells(*whole, names)) << change.body;
-        ASSERT_EQ(TableTells(*table, names), before) << change.body;
+        ASSERT_EQ(TableDescribes(*next, names), TableDescribes(*built, names)) << change.body;
+        ASSERT_EQ(TableDescribes(*table, names), before) << change.body;
         ASSERT_LE(next->changed().size(), 5u);
         table = next;
       } else {
-        table = whole;
+        table = built;
       }
       full.Apply(std::move(text));
       ASSERT_EQ(state.text(), full.text()) << change.body;
@@ -240,7 +240,7 @@
   }
   // Both ways were gone, and many kinds of refusals met.
   EXPECT_GT(by_parsed_patch, 500);
-  EXPECT_GT(whole_way, 20);
+  EXPECT_GT(full_parse, 20);
   EXPECT_GT(reasons.size(), 12u);
 }
 
@@ -316,7 +316,7 @@
   }
 }
 
-TEST(ParsedConfiguration, TellsLabelsApartBehindANul) {
+TEST(ParsedConfiguration, DistinguishesLabelsBehindANul) {
   ParsedConfiguration document(
       R"({"revision":1,"route-list":[],"service-list":[{"label":"s\u0000x"}]})");
   EXPECT_FALSE(document.HasService("s"));
@@ -325,21 +325,21 @@
 
 // A verdict that was kept holds for the state it was found on, and for that very body.
 TEST(ParsedConfiguration, AKeptVerdictIsOfItsChangeAlone) {
-  auto whole = [](int64_t revision, const char* prefix) {
+  auto full = [](int64_t revision, const char* prefix) {
     return R"({"revision":)" + std::to_string(revision) +
            R"(,"route-list":[{"label":"a","host":"h","path-prefix":")" + prefix +
            R"(","variant":"effectful","timeout-ms":5,"target":"s"}],"service-list":[{"label":"s"}]})";
   };
   ConfigurationState state;
-  Change good{false, 0, whole(5, "/")}, bad{false, 0, whole(5, "x")};
+  Change good{false, 0, full(5, "/")}, bad{false, 0, full(5, "x")};
   EXPECT_EQ(state.Evaluate(good).status, 0);
   EXPECT_EQ(state.Evaluate(bad).status, 400);
   EXPECT_FALSE(state.Apply(bad));
   EXPECT_EQ(state.Evaluate(good).status, 0);
-  EXPECT_TRUE(state.Apply({false, 0, whole(7, "/")}));  // overtakes the one that was judged
+  EXPECT_TRUE(state.Apply({false, 0, full(7, "/")}));  // overtakes the one that was judged
   EXPECT_EQ(state.Evaluate(good).status, 412);
   EXPECT_FALSE(state.Apply(good));
-  EXPECT_EQ(state.text(), whole(7, "/"));
+  EXPECT_EQ(state.text(), full(7, "/"));
 }
 
 }  // namespace
--- a/tests/consensus/disk_store_test.cc
+++ b/tests/consensus/disk_store_test.cc
@@ -45,7 +45,7 @@
   std::filesystem::path path_;
 };
 
-TEST_F(StoreTest, HoldsVoteEntriesAndSnapshotOverOpenings) {
+TEST_F(StoreTest, KeepsVoteEntriesAndSnapshotAcrossOpenings) {
   EXPECT_TRUE(Reload().empty);
   WriteRequest first;
   first.hard_state_changed = true;
@@ -92,7 +92,7 @@
   EXPECT_FALSE(OpenDiskStore(path_.string()).has_value());
 }
 
-TEST_F(StoreTest, MovesAsideOnlyWhatIsDamaged) {
+TEST_F(StoreTest, QuarantinesOnlyDamagedStores) {
   WriteRequest write;
   write.hard_state_changed = true;
   write.hard_state = {1, 2, 3, 4};
--- a/tests/consensus/model_checker.h
+++ b/tests/consensus/model_checker.h
@@ -131,9 +131,9 @@
       d.Add(deferred.after - writes.finished(), model::DigestOf(deferred.message.message));
     }
     const consensus::Timing& timing = raft.timing_;
-    base::Millis leader_silence = now - raft.last_leader_contact_;
-    d.Add(raft.leader_id_ != 0 && leader_silence < timing.election_timeout);
-    d.Add(raft.leader_id_ != 0 && leader_silence > timing.election_timeout * 2);
+    base::Millis leader_contact_gap = now - raft.last_leader_contact_;
+    d.Add(raft.leader_id_ != 0 && leader_contact_gap < timing.election_timeout);
+    d.Add(raft.leader_id_ != 0 && leader_contact_gap > timing.election_timeout * 2);
     if (raft.role_ == Role::kPreCandidate || raft.role_ == Role::kCandidate) {
       d.Add(raft.votes_.size());
       for (MemberId id : raft.votes_) d.Add(id);
@@ -148,7 +148,7 @@
  private:
   static void AddTo(model::Digest* digest, const PeerProgress& peer, const Timing& timing,
                     base::Millis now) {
-    base::Millis silence = now - peer.last_contact;
+    base::Millis contact_gap = now - peer.last_contact;
     digest->Add(peer.member.id, peer.match_index, peer.next_index, peer.last_reply_round,
                 peer.is_voter, peer.acknowledged_round, peer.rewound_round, peer.state_lost,
                 peer.window.size_bytes(), peer.snapshot_offset,
@@ -158,7 +158,7 @@
     for (base::Millis span : {timing.heartbeat_interval * 4, timing.election_timeout,
                               timing.election_timeout * 2, timing.replace_silent_after,
                               timing.replace_silent_after * 2, timing.remove_silent_after}) {
-      digest->Add(silence > span, silence == span);
+      digest->Add(contact_gap > span, contact_gap == span);
     }
     digest->Add(peer.leave_requested_at >= 0 &&
                 peer.last_contact - peer.leave_requested_at < timing.election_timeout);
@@ -232,7 +232,7 @@
 // One member with its disk. Never changed once it is part of a state: steps copy it first.
 struct Node {
   bool up = false;
-  int lives = 0, wipes = 0;
+  int incarnations = 0, wipes = 0;
   Millis now = 1000;
   RestoredState disk;                // what is synced
   std::vector<WriteRequest> writes;  // outstanding, oldest first
@@ -589,13 +589,13 @@
     o.self = MemberOf(i, n->wipes);
     o.timing = options_.timing;
     o.tolerance = options_.tolerance;
-    o.seed = static_cast<uint64_t>(1 + i * 100 + n->lives);
+    o.seed = static_cast<uint64_t>(1 + i * 100 + n->incarnations);
     if (founding) {
       o.founders = founders_;
       o.cluster = 77;
     }
     n->up = true;
-    ++n->lives;
+    ++n->incarnations;
     n->chain = 0;
     n->raft.emplace(o, n->disk, n->now);
     for (int k = 0; k < options_.founders + options_.spares; ++k) {
@@ -866,7 +866,7 @@
     std::string text = model.Describe(state, step);
     if (!fault.empty() || !model.Apply(&state, step, &fault)) return false;
     steps.push_back(step);
-    told.push_back(text);
+    notified.push_back(text);
     return true;
   }
   // Finishes all writes, of one node if given.
@@ -904,7 +904,7 @@
   Model model;
   State state;
   std::vector<Step> steps;
-  std::vector<std::string> told;
+  std::vector<std::string> notified;
   std::string fault;
 };
 
@@ -920,28 +920,28 @@
 }
 
 struct Result {
-  size_t states = 0;   // distinct
-  size_t steps = 0;    // taken
-  int depth = 0;       // after the beginning
-  bool whole = false;  // all states within the bound were seen
+  size_t states = 0;      // distinct
+  size_t steps = 0;       // taken
+  int depth = 0;          // after the beginning
+  bool complete = false;  // all states within the bound were seen
   double seconds = 0;
   std::string fault;
   std::vector<Step> trace;  // from the model's beginning
-  std::vector<std::string> told;
+  std::vector<std::string> notified;
   size_t begun = 0;  // of the trace, steps of the script
 
   std::string Summary() const {
     char text[200];
     std::snprintf(text, sizeof text, "states=%zu steps=%zu depth=%d whole=%d seconds=%.1f", states,
-                  steps, depth, whole ? 1 : 0, seconds);
+                  steps, depth, complete ? 1 : 0, seconds);
     std::string out = text;
     if (fault.empty()) return out;
     out += "\n" + fault + "\n";
-    for (size_t k = 0; k < told.size(); ++k) {
+    for (size_t k = 0; k < notified.size(); ++k) {
       const Step& s = trace[k];
       out += (k < begun ? "  " : "> ") + std::string("{") +
              std::to_string(static_cast<int>(s.kind)) + "," + std::to_string(s.node) + "," +
-             std::to_string(s.other) + "," + std::to_string(s.nth) + "} " + told[k] + "\n";
+             std::to_string(s.other) + "," + std::to_string(s.nth) + "} " + notified[k] + "\n";
     }
     return out;
   }
@@ -957,13 +957,13 @@
   std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
 };
 
-inline void Tell(const Script& script, const std::vector<Step>& found, Result* result) {
+inline void Notify(const Script& script, const std::vector<Step>& found, Result* result) {
   Script again(script.model.options());
   result->trace = script.steps;
   result->trace.insert(result->trace.end(), found.begin(), found.end());
   result->begun = script.steps.size();
   for (const Step& step : result->trace) again.Do(step);
-  result->told = again.told;
+  result->notified = again.notified;
 }
 
 // Breadth first from where the script ended: the first violation has a shortest trace.
@@ -981,7 +981,7 @@
   std::vector<std::pair<size_t, State>> now, next;
   if (!script.fault.empty()) {
     result.fault = script.fault;
-    Tell(script, {}, &result);
+    Notify(script, {}, &result);
     return result;
   }
   State first = script.state;
@@ -1005,7 +1005,7 @@
           for (size_t k = link; k != 0; k = links[k].parent) found.push_back(links[k].step);
           std::reverse(found.begin(), found.end());
           result.fault = fault;
-          Tell(script, found, &result);
+          Notify(script, found, &result);
           break;
         }
         if (!seen.insert(reached.DigestValue()).second) continue;
@@ -1021,7 +1021,7 @@
     next.clear();
   }
   result.states = seen.size();
-  result.whole = !cut_short && result.fault.empty();
+  result.complete = !cut_short && result.fault.empty();
   result.seconds = watch.seconds();
   return result;
 }
@@ -1091,7 +1091,7 @@
         result.fault = fault;
         result.states = seen.size();
         result.seconds = watch.seconds();
-        Tell(script, Shrink(script, taken, fault), &result);
+        Notify(script, Shrink(script, taken, fault), &result);
         return result;
       }
       seen.insert(state.DigestValue());
--- a/tests/consensus/model_checker_test.cc
+++ b/tests/consensus/model_checker_test.cc
@@ -17,7 +17,7 @@
   Result result = Search(script, scenario.budget, scenario.depth);
   std::printf("%s: %s\n", scenario.name.c_str(), result.Summary().c_str());
   EXPECT_EQ(result.fault, "") << result.Summary();
-  EXPECT_TRUE(result.whole);
+  EXPECT_TRUE(result.complete);
   EXPECT_EQ(result.depth, scenario.depth) << "the bound ends early: nothing is left to do";
   EXPECT_GT(result.states, 100u);
 }
--- a/tests/consensus/power_loss_env.h
+++ b/tests/consensus/power_loss_env.h
@@ -75,13 +75,13 @@
       folder.synced_names = folder.names;
       return 0;
     }
-    auto [folder, name] = Holder(o.path);
+    auto [folder, name] = Owner(o.path);
     if (o.kind == Kind::kRemove) {
       folder->names.erase(name);
       return 0;
     }
     if (o.kind == Kind::kRename) {
-      auto [to_folder, to_name] = Holder(o.to);
+      auto [to_folder, to_name] = Owner(o.to);
       to_folder->names[to_name] = folder->names.at(name);
       folder->names.erase(name);
       return 0;
@@ -153,7 +153,7 @@
     }
     return changed;
   }
-  std::pair<Node*, std::string> Holder(const std::string& path) {
+  std::pair<Node*, std::string> Owner(const std::string& path) {
     size_t cut = path.rfind('/');
     return {&nodes_.at(Find(path.substr(0, cut))), path.substr(cut + 1)};
   }
@@ -187,9 +187,9 @@
   void Advance(size_t changes) {
     std::unique_lock<std::mutex> lock(mutex_);
     allowed_ = changes;
-    held_ = false;
+    open_ = false;
     changed_.notify_all();
-    changed_.wait(lock, [this] { return held_ || (work_.empty() && !working_); });
+    changed_.wait(lock, [this] { return open_ || (work_.empty() && !working_); });
   }
   // From here on LevelDB's thread runs freely, as openings and closings need it to.
   void Release() {
@@ -352,10 +352,10 @@
     std::unique_lock<std::mutex> lock(mutex_);
     if (std::this_thread::get_id() == worker_.get_id()) {
       if (allowed_ == 0) {
-        held_ = true;
+        open_ = true;
         changed_.notify_all();
         changed_.wait(lock, [this] { return allowed_ > 0; });
-        held_ = false;
+        open_ = false;
       }
       if (allowed_ != SIZE_MAX) --allowed_;
     }
@@ -402,7 +402,7 @@
   size_t allowed_ = SIZE_MAX;
   int log_ = 0;
   bool working_ = false;
-  bool held_ = false;
+  bool open_ = false;
   bool ending_ = false;
   std::thread worker_;
 };
--- a/tests/consensus/power_loss_test.cc
+++ b/tests/consensus/power_loss_test.cc
@@ -173,15 +173,15 @@
   }
 
   // Some lives, each begun after a loss of power in the one before.
-  void Play(uint64_t lives, uint64_t one_of) {
+  void Play(uint64_t incarnations, uint64_t one_of) {
     using Kind = DiskOperation::Kind;
     Disk disk;
     RestoredState state;
     size_t points = 0, logs = 0, tables = 0;
-    for (uint64_t life = 0; life < lives; ++life) {
-      Live(disk, state, 150, life);
+    for (uint64_t incarnation = 0; incarnation < incarnations; ++incarnation) {
+      Live(disk, state, 150, incarnation);
       if (HasFatalFailure()) return;
-      base::Random random(life);
+      base::Random random(incarnation);
       RestoredState after = state;
       if (!writes_.empty()) Apply(writes_[0], &after);
       size_t end = history_.size() - random.Below(history_.size() / 4);
@@ -214,8 +214,8 @@
     }
     std::cout << points << " points, " << checked_ << " disks, " << refused_ << " refused, " << logs
               << " log files, " << tables << " tables\n";
-    EXPECT_GT(logs, 3 * lives);
-    EXPECT_GE(tables, 3 * lives);
+    EXPECT_GT(logs, 3 * incarnations);
+    EXPECT_GE(tables, 3 * incarnations);
   }
 
   std::vector<WriteRequest> writes_;
@@ -274,7 +274,7 @@
 }
 
 // LevelDB refuses a manifest with a hole. That is the end of this copy, but it is told.
-TEST_F(StorePowerTest, TailsWrittenOutOfOrderAreNeverTakenForWhole) {
+TEST_F(StorePowerTest, TailsWrittenOutOfOrderAreDetected) {
   holes_ = true;
   Play(1, 8);
   EXPECT_LT(refused_ * 10, checked_);
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -147,7 +147,7 @@
 TEST(InstallSnapshot, KeepsWhatTheLogHoldsAfterIt) {
   struct Case {
     const char* name;
-    Index held;          // acknowledged entries of term 2 up to here
+    Index delayed;       // acknowledged entries of term 2 up to here
     Term snapshot_term;  // of the entry at `index`
     Index index;
     Index last;  // afterwards, in memory and on disk
@@ -161,10 +161,10 @@
   for (const Case& c : cases) {
     SCOPED_TRACE(c.name);
     Node node(2);
-    auto replies = node.Receive(10, Entries(2, 1, 2, c.held, 1, 1));
+    auto replies = node.Receive(10, Entries(2, 1, 2, c.delayed, 1, 1));
     ASSERT_EQ(replies.size(), 1u);
     ASSERT_TRUE(replies[0].granted);
-    ASSERT_EQ(replies[0].index, c.held);
+    ASSERT_EQ(replies[0].index, c.delayed);
     // The same leader's snapshot, which another connection delivers only now.
     Term term = c.snapshot_term;
     replies = node.Receive(20, SnapshotUpTo(term, c.snapshot_term, c.index, 2));
@@ -453,7 +453,7 @@
 }
 
 // The member that is told so ends its part and asks for a new identity.
-TEST(Follower, EndsItsIdentityWhenToldThatItLostState) {
+TEST(Follower, DropsItsIdentityWhenNotifiedOfLostState) {
   Node node(2);
   node.Receive(10, Entries(2, 1, 2, 5, 1, 1));
   Message old = From(1, 2, MessageType::kStateLost, 1);
@@ -512,7 +512,7 @@
           link.queued -= frame.bytes;
           if (Node* node = Of(frame.message.to)) {
             Send(node->Receive(now, frame.message));
-            if (heard) heard(frame.message);
+            if (received) received(frame.message);
           }
         }
       }
@@ -538,7 +538,7 @@
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::pair<MemberId, MemberId>, Link> links;
   std::function<bool(const Message&)> loses;
-  std::function<void(const Message&)> heard;
+  std::function<void(const Message&)> received;
   Millis now = 0;
 };
 
@@ -582,18 +582,18 @@
     lead = leader();
     slow = lead->raft->self().id == 3 ? 2 : 3;
     for (MemberId id = 1; id <= 3; ++id) links[{id, slow}].bytes_per_ms = kRate;
-    loses = [this](const Message& m) { return away && (m.to == slow || m.from == slow); };
-    heard = [this](const Message& m) {
+    loses = [this](const Message& m) { return unreachable && (m.to == slow || m.from == slow); };
+    received = [this](const Message& m) {
       bool leads = m.type == MessageType::kAppendEntries || m.type == MessageType::kInstallSnapshot;
-      if (m.to != slow || away || !leads) return;
-      gap = std::max(gap, now - heard_at);
-      heard_at = now;
+      if (m.to != slow || unreachable || !leads) return;
+      gap = std::max(gap, now - received_at);
+      received_at = now;
       stood |= Of(slow)->raft->role() != Role::kFollower;
     };
   }
-  void Away(bool gone) {
-    away = gone;
-    heard_at = now;
+  void Unreachable(bool gone) {
+    unreachable = gone;
+    received_at = now;
   }
   // A change at the leader, and the cut of every log that grew long.
   void Change(size_t bytes) {
@@ -629,8 +629,8 @@
   std::string state;
   Node* lead = nullptr;
   MemberId slow = 0;
-  bool away = false;
-  Millis heard_at = 0, gap = 0;
+  bool unreachable = false;
+  Millis received_at = 0, gap = 0;
   bool stood = false;
 };
 
@@ -643,23 +643,23 @@
   for (const Case& c : cases) {
     SCOPED_TRACE(c.name);
     SlowMember world;
-    world.Away(true);
+    world.Unreachable(true);
     for (int k = 0; k < 120; ++k) {
       world.Change(100);
       world.Run(10);
     }
     world.Run(1000);
     world.Cut(*world.lead);
-    world.Away(false);
+    world.Unreachable(false);
     size_t before = world.Sent();
     Millis took = 0;
     if (c.breaks) {
       took += world.Catch(8000, c.changes);
       EXPECT_EQ(took, 8000);
       world.links[{world.lead->raft->self().id, world.slow}].Break();
-      world.away = true;
+      world.unreachable = true;
       world.Run(300);
-      world.away = false;
+      world.unreachable = false;
     }
     took += world.Catch(30000, c.changes);
     EXPECT_LT(took, 20000);  // 16.8 s for the bytes alone
@@ -677,7 +677,7 @@
 
 TEST(SlowLink, ANewLeaderSendsItsOwnSnapshotAfterHalfOfTheFormerOnes) {
   SlowMember world(1u << 20);
-  world.Away(true);
+  world.Unreachable(true);
   for (int k = 0; k < 120; ++k) {
     world.Change(100);
     world.Run(10);
@@ -686,7 +686,7 @@
   for (auto& node : world.nodes) {
     if (node->raft->self().id != world.slow) world.Cut(*node);
   }
-  world.Away(false);
+  world.Unreachable(false);
   EXPECT_EQ(world.Catch(2000), 2000);
   world.nodes[world.lead->raft->self().id - 1].reset();
   // It settles once the slow one, of whom it needs a majority, has the snapshot: 4.2 s for the
@@ -702,13 +702,13 @@
 
 TEST(SlowLink, EntriesGoOnceAndInBoundedParts) {
   SlowMember world;
-  world.Away(true);
+  world.Unreachable(true);
   for (int k = 0; k < 60; ++k) {
     world.Change(20000);
     world.Run(10);
   }
   world.Run(1000);
-  world.Away(false);
+  world.Unreachable(false);
   size_t before = world.Sent();
   EXPECT_LT(world.Catch(20000), 7000);  // 4.8 s for the bytes alone
   EXPECT_LT(world.gap, 600);
--- a/tests/directory/directory_test.cc
+++ b/tests/directory/directory_test.cc
@@ -116,7 +116,7 @@
 
 // Found in an incident: a region was lost, and for the six seconds that it was away the directories
 // elsewhere named its proxies.
-TEST_F(DirectoryTest, ARegionOfWhoseControllersNoneIsHeardIsDoubtful) {
+TEST_F(DirectoryTest, ARegionWithoutAReachableControllerIsDoubtful) {
   for (int n : {1, 2}) Put(n, "a1");
   for (int n : {6, 7}) Put(n, "b1");
   auto core = [&](int n, const char* zone, membership::State state) {
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -20,10 +20,10 @@
 constexpr Millis kContactMs = 4000;  // trouble is known of after so long
 constexpr Millis kBetweenChanges = 350;
 constexpr int kChanges = 24;
-constexpr int kFewChanges = 8;   // where there are many proxies
-constexpr Millis kPollMs = 500;  // between two looks at the simulated list
+constexpr int kChangesOfManyProxies = 8;  // where there are many proxies
+constexpr Millis kPollMs = 500;           // between two looks at the simulated list
 
-enum class Trouble {
+enum class Fault {
   kNone,
   kDead,
   kCut,   // from the other controllers
@@ -39,21 +39,21 @@
 
 struct Case {
   const char* name;
-  Trouble trouble;
+  Fault fault;
 };
 
 const Case kCases[] = {
-    {"none", Trouble::kNone},
-    {"dead", Trouble::kDead},
-    {"cut", Trouble::kCut},
-    {"near", Trouble::kNear},
-    {"deaf", Trouble::kDeaf},
-    {"mute", Trouble::kMute},
-    {"frozen", Trouble::kFrozen},
-    {"disk hangs", Trouble::kDiskHangs},
-    {"wiped", Trouble::kWiped},
-    {"no controller", Trouble::kNoController},
-    {"leader cut", Trouble::kLeaderCut},
+    {"none", Fault::kNone},
+    {"dead", Fault::kDead},
+    {"cut", Fault::kCut},
+    {"near", Fault::kNear},
+    {"deaf", Fault::kDeaf},
+    {"mute", Fault::kMute},
+    {"frozen", Fault::kFrozen},
+    {"disk hangs", Fault::kDiskHangs},
+    {"wiped", Fault::kWiped},
+    {"no controller", Fault::kNoController},
+    {"leader cut", Fault::kLeaderCut},
 };
 
 // How long ago the oldest thing was decided that a proxy still lacks, by kind.
@@ -122,32 +122,32 @@
   std::string where_;
 };
 
-void Begin(World* world, Trouble trouble, size_t victim, size_t controllers) {
+void Begin(World* world, Fault fault, size_t victim, size_t controllers) {
   for (size_t other = 0; other < world->size(); ++other) {
     if (other == victim) continue;
     bool core = other < controllers;
     bool far = world->node(other).zone != world->node(victim).zone;
-    switch (trouble) {
-      case Trouble::kCut:
-      case Trouble::kLeaderCut:
+    switch (fault) {
+      case Fault::kCut:
+      case Fault::kLeaderCut:
         if (core) world->Cut(victim, other, true);
         break;
-      case Trouble::kNear:
+      case Fault::kNear:
         if (core || far) world->Cut(victim, other, true);
         break;
-      case Trouble::kDeaf:
+      case Fault::kDeaf:
         if (core) world->CutOneWay(other, victim, true);
         break;
-      case Trouble::kMute:
+      case Fault::kMute:
         if (core) world->CutOneWay(victim, other, true);
         break;
       default:
         break;
     }
   }
-  if (trouble == Trouble::kDead) world->Crash(victim);
-  if (trouble == Trouble::kFrozen) world->Freeze(victim, true);
-  if (trouble == Trouble::kDiskHangs) world->node(victim).disk_hangs_until = INT64_MAX;
+  if (fault == Fault::kDead) world->Crash(victim);
+  if (fault == Fault::kFrozen) world->Freeze(victim, true);
+  if (fault == Fault::kDiskHangs) world->node(victim).disk_hangs_until = INT64_MAX;
 }
 
 struct Worst {
@@ -157,10 +157,10 @@
 };
 
 // The worst staleness of any proxy from when the trouble has lasted for kContactMs.
-Worst Measure(Trouble trouble, int zones, int proxies_per_zone, int changes, uint64_t seed) {
+Worst Measure(Fault fault, int zones, int proxies_per_zone, int changes, uint64_t seed) {
   World::Options options;
   options.zones = zones;
-  options.controllers = trouble == Trouble::kNoController ? zones - 1 : zones;
+  options.controllers = fault == Fault::kNoController ? zones - 1 : zones;
   int without_controller = zones - options.controllers;
   options.proxies = zones * proxies_per_zone + without_controller;
   options.routes = 20;
@@ -172,11 +172,11 @@
   staleness.Run(2000, false);
   size_t leader = static_cast<size_t>(std::max(0, world.leader()));
   size_t controllers = static_cast<size_t>(options.controllers);
-  size_t victim = trouble == Trouble::kLeaderCut ? leader : (leader + 1) % controllers;
-  Begin(&world, trouble, victim, controllers);
+  size_t victim = fault == Fault::kLeaderCut ? leader : (leader + 1) % controllers;
+  Begin(&world, fault, victim, controllers);
   staleness.Run(kContactMs, false);
   for (int change = 0; change < changes; ++change) {
-    if (trouble == Trouble::kWiped && change % 6 == 0) {
+    if (fault == Fault::kWiped && change % 6 == 0) {
       world.Wipe(victim);
       world.Start(victim);
     }
@@ -191,14 +191,14 @@
 }
 
 void ExpectBounded(int zones, int proxies_per_zone, uint64_t seeds, int changes = kChanges,
-                   std::set<Trouble> troubles = {}) {
+                   std::set<Fault> troubles = {}) {
   for (const Case& c : kCases) {
-    if (!troubles.empty() && troubles.count(c.trouble) == 0) continue;
+    if (!troubles.empty() && troubles.count(c.fault) == 0) continue;
     Worst worst;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       SCOPED_TRACE(std::string(c.name) + ", " + std::to_string(zones) + " zones of " +
                    std::to_string(proxies_per_zone) + " proxies, seed " + std::to_string(seed));
-      Worst found = Measure(c.trouble, zones, proxies_per_zone, changes, seed);
+      Worst found = Measure(c.fault, zones, proxies_per_zone, changes, seed);
       EXPECT_EQ(found.fault, "");
       EXPECT_LE(found.change, kBoundMs) << found.where;
       EXPECT_LE(found.drain, kBoundMs);
@@ -215,16 +215,16 @@
 }
 
 // What befalls one proxy of the zone whose controller is cut off from the core.
-enum class Fate { kThawed, kRejoined, kRestarted, kFullLink, kSilentConnections };
+enum class Outcome { kThawed, kRejoined, kRestarted, kFullLink, kSilentConnections };
 
-struct FateCase {
+struct OutcomeCase {
   const char* name;
-  Fate fate;
+  Outcome outcome;
   bool lasts;  // while it is measured; else it is over by then
 };
 
 // The worst staleness of that proxy, or since it is back for kContactMs.
-Millis MeasureReturn(const FateCase& c, int routes, uint64_t seed) {
+Millis MeasureReturn(const OutcomeCase& c, int routes, uint64_t seed) {
   World::Options options;
   options.zones = options.controllers = 4;
   options.proxies = 8;
@@ -237,18 +237,18 @@
   staleness.Run(2000, false);
   size_t victim = (static_cast<size_t>(std::max(0, world.leader())) + 1) % 4;
   size_t proxy = 4 + victim;  // one of the same zone
-  Begin(&world, Trouble::kCut, victim, 4);
+  Begin(&world, Fault::kCut, victim, 4);
   auto apply = [&](bool begin) {
-    switch (c.fate) {
-      case Fate::kThawed:
+    switch (c.outcome) {
+      case Outcome::kThawed:
         return world.Freeze(proxy, begin);
-      case Fate::kRejoined:
+      case Outcome::kRejoined:
         return world.Isolate(proxy, begin);
-      case Fate::kRestarted:
+      case Outcome::kRestarted:
         return begin ? world.Crash(proxy) : world.Start(proxy);
-      case Fate::kFullLink:
+      case Outcome::kFullLink:
         return world.LoseDatagrams(proxy, begin);
-      case Fate::kSilentConnections:
+      case Outcome::kSilentConnections:
         // Those of the controller that it asks first, and of one more.
         world.LoseConnection(victim, proxy, begin);
         return world.LoseConnection((victim + 1) % 4, proxy, begin);
@@ -269,12 +269,12 @@
 }
 
 TEST(Propagation, ReachesAProxyThatComesBackOrIsHardToReach) {
-  const FateCase cases[] = {{"thawed", Fate::kThawed, false},
-                            {"rejoined", Fate::kRejoined, false},
-                            {"restarted", Fate::kRestarted, false},
-                            {"full link", Fate::kFullLink, true},
-                            {"silent connections", Fate::kSilentConnections, true}};
-  for (const FateCase& c : cases) {
+  const OutcomeCase cases[] = {{"thawed", Outcome::kThawed, false},
+                               {"rejoined", Outcome::kRejoined, false},
+                               {"restarted", Outcome::kRestarted, false},
+                               {"full link", Outcome::kFullLink, true},
+                               {"silent connections", Outcome::kSilentConnections, true}};
+  for (const OutcomeCase& c : cases) {
     // A patch, and a document that is not sent unasked to one that missed some.
     for (int routes : {3, 120}) {
       Millis worst = 0;
@@ -294,7 +294,7 @@
 TEST(Propagation, ReachesZonesOfThreeProxies) { ExpectBounded(4, 3, 3); }
 TEST(Propagation, ReachesZonesOfEightProxies) { ExpectBounded(3, 8, 1); }
 TEST(Propagation, ReachesZonesOfSixtyProxies) {
-  ExpectBounded(3, 60, 1, kFewChanges, {Trouble::kCut, Trouble::kNear, Trouble::kLeaderCut});
+  ExpectBounded(3, 60, 1, kChangesOfManyProxies, {Fault::kCut, Fault::kNear, Fault::kLeaderCut});
 }
 
 }  // namespace
--- a/tests/dissemination/served_history_test.cc
+++ b/tests/dissemination/served_history_test.cc
@@ -79,7 +79,7 @@
     world_.Change();
     Run(1000, false);
     for (int round = 0; round < 4; ++round) {
-      for (int i = 0; i < 3; ++i) Trouble();
+      for (int i = 0; i < 3; ++i) Fault();
       Run(3000 + static_cast<Millis>(random_.Below(4000)), false);
       world_.HealAll();
       Run(kContactMs, false);
@@ -101,7 +101,7 @@
     return options;
   }
 
-  void Trouble() {
+  void Fault() {
     size_t core = random_.Below(4), proxy = 4 + random_.Below(8), any = random_.Below(12);
     switch (random_.Below(8)) {
       case 0:
@@ -193,7 +193,7 @@
   std::map<size_t, std::tuple<uint64_t, int64_t, uint64_t>> seen_;  // life, revision, digest
 };
 
-TEST(ServedHistory, HoldsOverDaysOfTrouble) {
+TEST(ServedHistory, HoldsOverDaysWithFaults) {
   struct Case {
     const char* name;
     int routes;
--- a/tests/dissemination/sync_test.cc
+++ b/tests/dissemination/sync_test.cc
@@ -16,7 +16,7 @@
 
 Address Peer(int i) { return {"10.0.0." + std::to_string(i), 7200}; }
 
-TEST(Freshness, CountsAClaimOnceItIsHeld) {
+TEST(Freshness, CountsAClaimOnceTheStateIsThere) {
   Freshness<Versions> freshness;
   Versions old{5, 1, 1}, newer{7, 1, 1}, drained{7, 2, 1};
   EXPECT_EQ(freshness.age(1000), -1);
--- a/tests/forwarding/at_most_once_test.cc
+++ b/tests/forwarding/at_most_once_test.cc
@@ -232,14 +232,15 @@
     {"cut in the body", Deed::kCutBody, Verdict::kMaybeRun, false},
     {"reset after it", Deed::kReset, Verdict::kMaybeRun, false, When::kRequest, false},
     {"half-closed after it", Deed::kHalfClose, Verdict::kMaybeRun, false, When::kRequest, false},
-    {"silent after it", Deed::kSilence, Verdict::kUnknown, false, When::kRequest, false},
+    {"silent after it", Deed::kNoAnswer, Verdict::kUnknown, false, When::kRequest, false},
     {"reset in the middle", Deed::kResetMiddle, Verdict::kMaybeRun, false, When::kPart, false},
     {"half-closed in the middle", Deed::kHalfCloseMiddle, Verdict::kMaybeRun, false, When::kPart,
      false},
-    {"silent in the middle", Deed::kSilenceMiddle, Verdict::kUnknown, false, When::kPart, false},
+    {"silent in the middle", Deed::kNoAnswerInTheMiddle, Verdict::kUnknown, false, When::kPart,
+     false},
     {"reset before it", Deed::kResetFirst, Verdict::kEither, false, When::kFresh, false},
     {"half-closed before it", Deed::kHalfCloseFirst, Verdict::kEither, false, When::kFresh, false},
-    {"silent before it", Deed::kSilenceFirst, Verdict::kUnknown, false, When::kFresh, false},
+    {"silent before it", Deed::kNoAnswerAtAll, Verdict::kUnknown, false, When::kFresh, false},
     {"another's answer before it", Deed::kOtherFirst, Verdict::kAnswered, false, When::kFresh,
      false},
     {"nobody's answer before it", Deed::kNoIdFirst, Verdict::kMaybeRun, false, When::kFresh, false},
@@ -263,7 +264,7 @@
 
 TEST_F(AtMostOnce, EachMisbehaviourForWhatMayRunOnce) { PlayAll(false); }
 
-TEST_F(AtMostOnce, AnAddressThatAnotherServiceHolds) {
+TEST_F(AtMostOnce, AnAddressThatAnotherServiceHas) {
   for (bool pooled : {true, false}) {
     for (bool idempotent : {true, false}) {
       SCOPED_TRACE(std::string(pooled ? "pooled" : "new") + (idempotent ? " repeatable" : " once"));
@@ -368,7 +369,7 @@
 }
 
 // What is refused for want of memory has not run: the client is told when to come again.
-TEST_F(AtMostOnce, ARequestThatIsGivenUpUnreadSaysWhenToComeAgain) {
+TEST_F(AtMostOnce, ARequestThatIsGivenUpUnreadSaysWhenToRetry) {
   settings_.memory_mb = 0;
   Open();
   Client client(&loop_, settings_.front);
--- a/tests/forwarding/at_most_once_world.h
+++ b/tests/forwarding/at_most_once_world.h
@@ -40,7 +40,7 @@
   int once = 0, repeatable = 0;  // requests sent by clients
   int runs = 0, answers = 0, promises = 0, without_answer = 0;
   int sent_again = 0;  // arrivals of what may run once past the first
-  int misdeeds = 0, resets = 0, other_lives = 0, left = 0, kills = 0, freezes = 0;
+  int misdeeds = 0, resets = 0, other_incarnations = 0, left = 0, kills = 0, freezes = 0;
   bool Holds() const { return doubled + foreign + broken_promises + reused == 0; }
   std::string Line() const {
     char line[400];
@@ -51,7 +51,8 @@
              "answers=%d promises=%d without_answer=%d sent_again=%d misdeeds=%d resets=%d "
              "other_lives=%d left=%d kills=%d freezes=%d",
              doubled, foreign, broken_promises, reused, once, repeatable, runs, answers, promises,
-             without_answer, sent_again, misdeeds, resets, other_lives, left, kills, freezes);
+             without_answer, sent_again, misdeeds, resets, other_incarnations, left, kills,
+             freezes);
     return line;
   }
 };
@@ -79,14 +80,14 @@
       callers_.push_back(std::make_unique<Caller>());
       Later(callers_.back().get(), 300 + Draw(50));
     }
-    base::Timer trouble;
+    base::Timer fault;
     std::function<void()> next = [&] {
-      Trouble();
-      trouble.Start(&loop_, 40 + Draw(100), next);
+      Fault();
+      fault.Start(&loop_, 40 + Draw(100), next);
     };
-    trouble.Start(&loop_, 600, next);
+    fault.Start(&loop_, 600, next);
     Turn(options_.run_ms);
-    trouble.Cancel();
+    fault.Cancel();
     stopping_ = true;
     for (Proxy& p : proxies_) {
       if (p.pid > 0) kill(p.pid, SIGCONT);
@@ -144,13 +145,13 @@
     Server* server = balancer_.back().get();
     server->choose = [this](const wire::Message&) { return Choose(); };
     server->on_connection = [this] {
-      static const Deed kDeeds[] = {Deed::kResetFirst, Deed::kHalfCloseFirst, Deed::kSilenceFirst,
+      static const Deed kDeeds[] = {Deed::kResetFirst, Deed::kHalfCloseFirst, Deed::kNoAnswerAtAll,
                                     Deed::kOtherFirst, Deed::kNoIdFirst};
       return Chance(6) ? kDeeds[Draw(5)] : Deed::kWell;
     };
     server->on_part = [this] {
       static const Deed kDeeds[] = {Deed::kResetMiddle, Deed::kHalfCloseMiddle,
-                                    Deed::kSilenceMiddle};
+                                    Deed::kNoAnswerInTheMiddle};
       return Chance(20) ? kDeeds[Draw(3)] : Deed::kWell;
     };
     server->on_arrival = [this](const Server::Arrival& arrival) {
@@ -179,7 +180,7 @@
         Deed::kNotExecuted,     Deed::kNotExecuted, Deed::kNotExecuted, Deed::kOtherNotExecuted,
         Deed::kNoIdNotExecuted, Deed::kGluedReason, Deed::kGluedValue,  Deed::kCutHead,
         Deed::kCutBody,         Deed::kExtra,       Deed::kReset,       Deed::kHalfClose,
-        Deed::kSilence,         Deed::kResetIdle,   Deed::kNoiseIdle};
+        Deed::kNoAnswer,        Deed::kResetIdle,   Deed::kNoiseIdle};
     static const int kStatuses[] = {200, 200, 200, 200, 200, 200, 200, 200,
                                     409, 404, 500, 503, 429, 408, 421};
     Server::Play play;
@@ -240,7 +241,7 @@
     p->pid = -1;
   }
 
-  void Trouble() {
+  void Fault() {
     Proxy* p = &proxies_[static_cast<size_t>(Draw(options_.proxies))];
     Server* server = balancer_[static_cast<size_t>(Draw(options_.servers))].get();
     // Each kind once, then as it is drawn.
@@ -264,10 +265,10 @@
         // The address is another's for a while.
         std::string id = server->id();
         if (id.find("else") != std::string::npos) return;
-        ++report_.other_lives;
+        ++report_.other_incarnations;
         server->SetId(id + "-else");
-        lives_.push_back(std::make_unique<base::Timer>());
-        lives_.back()->Start(&loop_, 20 + Draw(150), [server, id] { server->SetId(id); });
+        incarnations_.push_back(std::make_unique<base::Timer>());
+        incarnations_.back()->Start(&loop_, 20 + Draw(150), [server, id] { server->SetId(id); });
       }
     }
   }
@@ -282,7 +283,7 @@
       End(caller);
       const Proxy& proxy = proxies_[static_cast<size_t>(Draw(options_.proxies))];
       caller->client = std::make_unique<Client>(&loop_, proxy.front);
-      caller->client->on_change = [this, caller] { Heard(caller); };
+      caller->client->on_change = [this, caller] { Received(caller); };
     }
     int requests = Chance(25) ? 2 + Draw(3) : 1;
     int remaining = 100 + Draw(kLongestMs - 200);
@@ -314,7 +315,7 @@
     });
   }
 
-  void Heard(Caller* caller) {
+  void Received(Caller* caller) {
     Client& client = *caller->client;
     for (; caller->judged < client.answers.size(); ++caller->judged) {
       Judge(caller, client.answers[caller->judged]);
@@ -369,7 +370,7 @@
   std::vector<std::unique_ptr<Server>> balancer_;
   std::deque<Proxy> proxies_;
   std::vector<std::unique_ptr<Caller>> callers_;
-  std::vector<std::unique_ptr<base::Timer>> lives_;
+  std::vector<std::unique_ptr<base::Timer>> incarnations_;
   std::unordered_map<std::string, Seen> seen_;
   Report report_;
   uint64_t last_attempt_ = 0;
--- a/tests/forwarding/at_most_once_world_test.cc
+++ b/tests/forwarding/at_most_once_world_test.cc
@@ -25,7 +25,7 @@
   EXPECT_GT(report.kills, 0);
   EXPECT_GT(report.freezes, 0);
   EXPECT_GT(report.resets, 0);
-  EXPECT_GT(report.other_lives, 0);
+  EXPECT_GT(report.other_incarnations, 0);
 }
 
 }  // namespace
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -78,9 +78,9 @@
   return {id, "s", "10.0.0.1:80", zone, "v1", 2, draining, warm, warm};
 }
 
-class ServersTest : public ::testing::Test {
+class LoadBalancerTest : public ::testing::Test {
  protected:
-  ServersTest() : balancer_(Options(), &names_, &regions_, 1) {}
+  LoadBalancerTest() : balancer_(Options(), &names_, &regions_, 1) {}
   static LoadBalancer::Options Options() {
     LoadBalancer::Options options;
     options.zone = "here";
@@ -101,7 +101,7 @@
   LoadBalancer balancer_;
 };
 
-TEST_F(ServersTest, PrefersItsZoneAndSpillsWhenThatIsBusy) {
+TEST_F(LoadBalancerTest, PrefersItsZoneAndSpillsWhenThatIsBusy) {
   balancer_.Adopt(0, MakeCatalog({Entry("near", "here"), Entry("far", "there")}));
   EXPECT_EQ(Choices(0)["near"], 200);
   uint32_t near = 0;
@@ -110,7 +110,7 @@
   EXPECT_EQ(Choices(1)["far"], 200);
 }
 
-TEST_F(ServersTest, NeverChoosesWhatDrainsIsGoneOrWasTried) {
+TEST_F(LoadBalancerTest, NeverChoosesWhatDrainsIsGoneOrWasTried) {
   balancer_.Adopt(0,
                   MakeCatalog({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
   auto changes = balancer_.Adopt(
@@ -124,7 +124,7 @@
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
 }
 
-TEST_F(ServersTest, HoldsOutWhatFailsAndLetsItBackByATrial) {
+TEST_F(LoadBalancerTest, EjectsAFailingServerAndReadmitsItByATrialRequest) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
   balancer_.Begin(0, 0);
   balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
@@ -141,7 +141,7 @@
   EXPECT_EQ(Choices(10101, false)["a"], 200);
 }
 
-TEST_F(ServersTest, AnswersOutweighProbesThatLie) {
+TEST_F(LoadBalancerTest, AnswersOutweighProbesThatLie) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
   base::Millis now = 0;
   balancer_.Begin(now, 0);
@@ -160,14 +160,14 @@
   EXPECT_EQ(Choices(now + 6)["b"], 200);
 }
 
-TEST_F(ServersTest, UsesTheCondemnedWhenThereIsNothingElse) {
+TEST_F(LoadBalancerTest, UsesTheCondemnedWhenThereIsNothingElse) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here")}));
   balancer_.Begin(0, 0);
   balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["a"], 200);
 }
 
-TEST_F(ServersTest, AvoidsTheSlowTheColdAndTheSilent) {
+TEST_F(LoadBalancerTest, AvoidsSlowServersThoseInSlowStartAndUnresponsiveOnes) {
   balancer_.Adopt(
       0, MakeCatalog({Entry("a", "here"), Entry("b", "here"), Entry("cold", "here", false, 3000)}));
   EXPECT_EQ(Choices(1)["cold"], 0);
@@ -181,26 +181,26 @@
 }
 
 // A server that has gone dark on connections that are there says nothing; sends given up do.
-TEST_F(ServersTest, HoldsOutWhatStaysSilent) {
+TEST_F(LoadBalancerTest, EjectsAnUnresponsiveServer) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
-  auto silence = [&](base::Millis now, base::Millis age) {
+  auto unanswered_ms = [&](base::Millis now, base::Millis age) {
     balancer_.Begin(now - age, 0);
     balancer_.OnAttemptAbandoned(now, 0, now - age, 100);
   };
-  silence(1000, 150);  // the client left early: nothing is learnt
-  silence(1000, 150);
+  unanswered_ms(1000, 150);  // the client left early: nothing is learnt
+  unanswered_ms(1000, 150);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
-  silence(2000, 400);
+  unanswered_ms(2000, 400);
   balancer_.Begin(2000, 0);
   balancer_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // an answer speaks for it
-  silence(3000, 400);
+  unanswered_ms(3000, 400);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
-  silence(3500, 400);
+  unanswered_ms(3500, 400);
   EXPECT_EQ(Choices(3501)["b"], 200);
   EXPECT_EQ(balancer_.DueProbes(100000).size(), 1u);
 }
 
-TEST_F(ServersTest, GoesWhereItsZonesSharesSay) {
+TEST_F(LoadBalancerTest, GoesWhereItsZonesSharesSay) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
   auto zones = balancer_.SlotsByZone(names_.Find("s"));
   ASSERT_EQ(zones.size(), 3u);
@@ -291,7 +291,7 @@
   EXPECT_FALSE(b.TryWithdraw(1));  // each service has its own
 }
 
-TEST(Lifecycle, StepsOfALife) {
+TEST(Lifecycle, PhasesOfAShutdown) {
   lifecycle::Lifecycle r;
   using Phase = lifecycle::Lifecycle::Phase;
   EXPECT_FALSE(r.IsReady(0));
@@ -324,7 +324,7 @@
   for (const Case& k : cases) EXPECT_EQ(c.PhaseAt(k.at, k.busy), k.phase) << k.at;
 }
 
-TEST_F(ServersTest, KeepsToTheRegionsAllowedAndOutOfEvacuatedZones) {
+TEST_F(LoadBalancerTest, ChoosesOnlyAllowedRegionsAndNoDrainedZones) {
   balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
   EXPECT_EQ(Choices(0)["a"], 200);
   allowed_ = {regions_.Intern("there")};  // a zone without a named region is one by itself
@@ -345,7 +345,7 @@
   EXPECT_EQ(balancer_.at(0).slow_start_until, 3300);
 }
 
-TEST_F(ServersTest, SendsOnlyToVersionsThatAreAllowed) {
+TEST_F(LoadBalancerTest, SendsOnlyToVersionsThatAreAllowed) {
   auto list = [](std::vector<std::pair<std::string, std::string>> servers) {
     discovery::EndpointSnapshot endpoints = MakeCatalog({});
     for (const auto& [id, version] : servers) {
@@ -432,12 +432,12 @@
     std::vector<uint64_t> all;
     for (size_t i = 0; i < kProxies; ++i) all.push_back(random.Next());
     std::vector<std::unique_ptr<LoadBalancer>> proxies(kProxies);
-    discovery::Server cold{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
+    discovery::Server in_slow_start{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
     auto start = [&](size_t i, base::Millis now, base::Millis slow_start_until) {
       proxies[i] = std::make_unique<LoadBalancer>(options, &names, &regions, random.Next());
-      cold.warm_at = slow_start_until;
+      in_slow_start.warm_at = slow_start_until;
       proxies[i]->SetWarmup(names.Intern("s"), kPerS);
-      proxies[i]->Adopt(now, MakeCatalog({cold}));
+      proxies[i]->Adopt(now, MakeCatalog({in_slow_start}));
       proxies[i]->SetZoneProxies(all[i], all);
     };
     // Each knows of the cold a little earlier or later; the one that starts does not know the rest.
--- a/tests/forwarding/request_router_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -90,9 +90,9 @@
          "\r\n\r\n" + body;
 }
 
-class FrontTest : public ::testing::Test {
+class RequestRouterTest : public ::testing::Test {
  protected:
-  FrontTest()
+  RequestRouterTest()
       : recorder_(telemetry::Recorder::Options(),
                   telemetry::MakeCallSink([this](std::string lines) {
                     std::lock_guard<std::mutex> lock(mutex_);
@@ -157,7 +157,7 @@
       ssize_t n = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (n == 0) break;
       if (n > 0) answer.append(buffer, static_cast<size_t>(n));
-      if (n > 0 && Whole(answer) >= Requests(bytes)) break;
+      if (n > 0 && ReadAnswer(answer) >= Requests(bytes)) break;
     }
     close(fd);
     return answer;
@@ -167,7 +167,7 @@
     for (size_t at = 0; (at = bytes.find(" HTTP/1.1\r\n", at)) != std::string::npos; ++at) ++n;
     return std::max(1, n);
   }
-  static int Whole(const std::string& bytes) {
+  static int ReadAnswer(const std::string& bytes) {
     int n = 0;
     std::unique_ptr<evbuffer, decltype(&evbuffer_free)> buffer(evbuffer_new(), &evbuffer_free);
     evbuffer_add(buffer.get(), bytes.data(), bytes.size());
@@ -200,7 +200,7 @@
   std::unique_ptr<RequestRouter> router_;
 };
 
-TEST_F(FrontTest, ForwardsUnchangedWithDeadlineAndExpectedServer) {
+TEST_F(RequestRouterTest, ForwardsUnchangedWithDeadlineAndExpectedServer) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   std::string answer = PendingRequest(
@@ -226,7 +226,7 @@
 
 // What a server does, and what the client gets: for what may be repeated, a second server that is
 // well saves the day; for what may run once only, just when the first has certainly not run it.
-TEST_F(FrontTest, EachKindOfFailure) {
+TEST_F(RequestRouterTest, EachKindOfFailure) {
   struct Case {
     const char* name;
     StandIn::Script bad;
@@ -325,7 +325,7 @@
   }
 }
 
-TEST_F(FrontTest, ServesNothingUntilWhatItHoldsIsConfirmed) {
+TEST_F(RequestRouterTest, ServesNothingUntilItsStateIsConfirmed) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   router_->SetServing(false);
@@ -336,7 +336,7 @@
 }
 
 // That a route does not exist is said only by what is known to be recent.
-TEST_F(FrontTest, DeniesNothingByWhatMayBeOutOfDate) {
+TEST_F(RequestRouterTest, DeniesNothingByAStateThatMayBeOutOfDate) {
   Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   bool recent = false;
@@ -353,7 +353,7 @@
 // Clients come to a proxy that ends until it is gone, each on a connection of its own, and its
 // server never answers. Whatever was offered to the server gets an answer before the end, and what
 // comes late is rejected without being offered.
-TEST_F(FrontTest, WhatAnEndingProxyTakesItAnswers) {
+TEST_F(RequestRouterTest, AStoppingProxyAnswersEveryRequestThatItAccepts) {
   auto* server = Serve("i-1", [](const std::string&) { return std::string(); });
   endpoints_.servers.back().capacity = 100;
   Configure(5000, 5000);
@@ -411,7 +411,7 @@
     offered += ran;
     rejected += Status(client.answer) == 503;
     if (ran) {
-      EXPECT_EQ(Whole(client.answer), 1) << client.id << " at " << client.begun << " ms";
+      EXPECT_EQ(ReadAnswer(client.answer), 1) << client.id << " at " << client.begun << " ms";
       EXPECT_LT(client.begun, options.grace * 5 / 8 + 60) << client.id;
     }
     close(client.fd);
@@ -420,7 +420,7 @@
   EXPECT_GT(rejected, 5);
 }
 
-TEST_F(FrontTest, RefusesWhatItMustNotForward) {
+TEST_F(RequestRouterTest, RejectsWhatItMustNotForward) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   std::string big(700, 'x');
   EXPECT_EQ(Status(PendingRequest(Ask("get"))), 503);  // nothing known yet
@@ -460,7 +460,7 @@
   EXPECT_TRUE(server->requests.empty());
 }
 
-TEST_F(FrontTest, AnswersPipelinedRequestsInTheirOrder) {
+TEST_F(RequestRouterTest, AnswersPipelinedRequestsInTheirOrder) {
   Serve("i-1", [](const std::string& r) { return Good(r, HeaderOf(r, "Elderkeel-Attempt-Id")); });
   Configure();
   std::string answer =
@@ -472,7 +472,7 @@
   EXPECT_LT(second, third);
 }
 
-TEST_F(FrontTest, ASilentServerEndsNothingBeforeTheDeadline) {
+TEST_F(RequestRouterTest, ASilentServerEndsNothingBeforeTheDeadline) {
   settings_.second_sends = false;
   Serve("i-1", [](const std::string&) { return std::string(); });
   Configure();
@@ -483,7 +483,7 @@
   EXPECT_LT(took, 600);
 }
 
-TEST_F(FrontTest, ALateRepeatableRequestGetsASecondSend) {
+TEST_F(RequestRouterTest, ALateIdempotentRequestIsHedged) {
   auto* silent = Serve("i-1", [](const std::string&) { return std::string(); });
   auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure(1000, 200);
@@ -496,7 +496,7 @@
   EXPECT_FALSE(well->requests.empty());
 }
 
-TEST_F(FrontTest, StreamsWhatIsTooLargeToHold) {
+TEST_F(RequestRouterTest, StreamsAnswersTooLargeToBuffer) {
   settings_.held_body_bytes = 1000;
   std::string large(300000, 'x');
   bool cut = false, chunks = false;
@@ -516,17 +516,17 @@
     chunks = in_chunks;
     cut = false;
     std::string answer = PendingRequest(Ask("get", "whole"));
-    EXPECT_EQ(Whole(answer), 1) << answer.substr(0, 300);
+    EXPECT_EQ(ReadAnswer(answer), 1) << answer.substr(0, 300);
     EXPECT_GT(answer.size(), large.size());
     EXPECT_EQ(answer.find("chunked") != std::string::npos, in_chunks);
     cut = true;
     answer = PendingRequest(Ask("get", "cut"));
     EXPECT_GT(answer.size(), 1000u);
-    EXPECT_EQ(Whole(answer), 0);  // never looks complete
+    EXPECT_EQ(ReadAnswer(answer), 0);  // never looks complete
   }
 }
 
-TEST_F(FrontTest, AfterASleepSendsNothingForClientsThatLeft) {
+TEST_F(RequestRouterTest, AfterASuspensionSendsNothingForClientsThatLeft) {
   // Found in an incident: a node that was frozen woke and sent all that had piled up to the
   // servers.
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
@@ -553,7 +553,7 @@
   for (int fd : clients) close(fd);
 }
 
-TEST_F(FrontTest, AnUnreachableServerIsNoArrival) {
+TEST_F(RequestRouterTest, AnUnreachableServerCountsAsNoArrival) {
   Add("i-gone", "127.0.0.1:1");
   auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure();
@@ -561,7 +561,7 @@
   EXPECT_EQ(well->requests.size(), 1u);
 }
 
-TEST_F(FrontTest, ReusesConnectionsAndRecordsFailures) {
+TEST_F(RequestRouterTest, ReusesConnectionsAndRecordsFailures) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   for (int i = 0; i < 5; ++i)
--- a/tests/forwarding/stand_in.h
+++ b/tests/forwarding/stand_in.h
@@ -38,15 +38,15 @@
   kExtra,  // bytes that are no answer behind its own
   kReset,  // after the whole request
   kHalfClose,
-  kSilence,
+  kNoAnswer,
   kResetMiddle,  // with a part of the request read
   kHalfCloseMiddle,
-  kSilenceMiddle,
+  kNoAnswerInTheMiddle,
   kResetIdle,   // answers, then resets the connection while it is idle
   kNoiseIdle,   // answers, then sends another's answer while nothing is asked
   kResetFirst,  // on a new connection, before anything is read
   kHalfCloseFirst,
-  kSilenceFirst,
+  kNoAnswerAtAll,
   kOtherFirst,  // another's answer before anything is asked
   kNoIdFirst,
   kLate,  // well, but only after `late_ms`
@@ -124,7 +124,7 @@
   void Write(Connection* c, const std::string& bytes) {
     if (!c->dead) bufferevent_write(c->socket.get(), bytes.data(), bytes.size());
   }
-  void Silence(Connection* c) {
+  void StopAnswering(Connection* c) {
     c->dead = true;
     bufferevent_disable(c->socket.get(), EV_READ);
   }
@@ -170,8 +170,8 @@
     switch (on_connection()) {
       case Deed::kResetFirst:
         return Reset(c);
-      case Deed::kSilenceFirst:
-        return Silence(c);
+      case Deed::kNoAnswerAtAll:
+        return StopAnswering(c);
       case Deed::kHalfCloseFirst:
         bufferevent_enable(c->socket.get(), EV_READ | EV_WRITE);
         return EndSide(c);
@@ -208,8 +208,8 @@
           return c->self->Reset(c);
         case Deed::kHalfCloseMiddle:
           return c->self->EndSide(c);
-        case Deed::kSilenceMiddle:
-          return c->self->Silence(c);
+        case Deed::kNoAnswerInTheMiddle:
+          return c->self->StopAnswering(c);
         default:
           return;
       }
@@ -232,10 +232,10 @@
     Play play = choose(request);
     Deed deed = play.deed;
     bool misplaced = expected && *expected != id_;
-    bool turned_away = misplaced || play.status == 421 || deed == Deed::kNotExecuted;
+    bool rejected = misplaced || play.status == 421 || deed == Deed::kNotExecuted;
     int refusal = play.status / 100 == 2 ? 503 : play.status;
     int answered = misplaced ? 421 : deed == Deed::kNotExecuted ? refusal : play.status;
-    Arrival arrival{attempt, c->number, !turned_away, answered, c->spoilt};
+    Arrival arrival{attempt, c->number, !rejected, answered, c->spoilt};
     if (on_arrival) {
       on_arrival(arrival);
     } else {
@@ -295,8 +295,8 @@
         return Reset(c);
       case Deed::kHalfClose:
         return EndSide(c);
-      case Deed::kSilence:
-        return Silence(c);
+      case Deed::kNoAnswer:
+        return StopAnswering(c);
       case Deed::kResetIdle:
         Write(c, own);
         return c->timer.Start(loop_, 5, [this, c] { Reset(c); });
--- a/tests/load/load_tracker_test.cc
+++ b/tests/load/load_tracker_test.cc
@@ -36,7 +36,7 @@
 }
 
 // All that flows to a zone by everybody's shares stays at the common mark, wherever it comes from.
-TEST(SplitByCapacity, TheSumOverAllZonesStaysAtTheMark) {
+TEST(SplitByCapacity, TheSumOverAllZonesStaysAtTheThreshold) {
   base::Random random(3);
   for (int round = 0; round < 500; ++round) {
     std::vector<ZoneCapacity> zones(2 + random.Below(6));
@@ -127,7 +127,7 @@
 }
 
 // What a proxy that died had told stays in the means of its peers; it must wear off.
-TEST(LoadTracker, ForgetsWhatAProxyThatDiedHadTold) {
+TEST(LoadTracker, ForgetsTheReportsOfADeadProxy) {
   LoadTracker busy("here"), idle("here");
   uint32_t service = Key("orders");
   base::Millis now = 1000;
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -62,7 +62,7 @@
   return ids;
 }
 
-TEST(Ring, NamesTheWatchersThatAWalkOverTheRingNames) {
+TEST(MembershipTest, NamesTheMonitorsThatAWalkOverTheRingNames) {
   base::Random random(5);
   for (int round = 0; round < 40; ++round) {
     size_t zones = 1 + random.Below(7), count = 1 + random.Below(60);
@@ -79,21 +79,21 @@
         ASSERT_EQ(ids, ByWalking(m, id)) << count << " nodes in " << zones << " zones";
       }
       // Some die, some return.
-      MembershipUpdate news;
+      MembershipUpdate update;
       for (size_t i = 1; i < count; ++i) {
         if (random.Below(4) > 0) continue;
         Node node = Member(i, zones);
         node.incarnation = static_cast<uint32_t>(2 + change);
         node.state = random.Below(2) ? State::kDead : State::kAlive;
-        news.nodes.push_back(node);
+        update.nodes.push_back(node);
       }
-      m.OnMembershipUpdate(0, base::Address(), news);
+      m.OnMembershipUpdate(0, base::Address(), update);
     }
   }
 }
 
 // A cut does not tell from a death: what all share goes by those that may exist.
-TEST(Ring, CountsThoseThatMayExist) {
+TEST(MembershipTest, CountsThoseThatMayExist) {
   Membership m(OptionsOf(Member(0, 2), 1), {}, 0);
   MembershipUpdate update;
   State states[] = {State::kAlive, State::kSuspect, State::kDead, State::kDead, State::kLeft};
@@ -108,7 +108,7 @@
 
 // Two tables of three hundred nodes that differ in a few records become one for about those records
 // alone.
-TEST(Ring, TablesThatDifferLittleAreBroughtTogetherForLittle) {
+TEST(MembershipTest, TablesThatDifferLittleAreBroughtTogetherForLittle) {
   constexpr size_t kNodes = 300;
   for (size_t differ : {1u, 5u}) {
     Membership a(OptionsOf(Member(0, 5), 1), {}, 0), b(OptionsOf(Member(1, 5), 1), {}, 0);
@@ -116,13 +116,13 @@
     for (size_t i = 0; i < kNodes; ++i) update.nodes.push_back(Member(i, 5));
     a.OnMembershipUpdate(0, base::Address(), update);
     b.OnMembershipUpdate(0, base::Address(), update);
-    MembershipUpdate news;
+    MembershipUpdate changes;
     for (size_t i = 0; i < differ; ++i) {
       Node node = Member(100 + i * 31, 5);
       node.incarnation = 9;
-      news.nodes.push_back(node);
+      changes.nodes.push_back(node);
     }
-    a.OnMembershipUpdate(0, base::Address(), news);
+    a.OnMembershipUpdate(0, base::Address(), changes);
     a.TakeEffects();
     b.TakeEffects();
     ASSERT_NE(a.Digest(), b.Digest());
@@ -152,7 +152,7 @@
   }
 }
 
-TEST(Ring, NamesTheNearestThatHasADiskAndIsNotSuspected) {
+TEST(MembershipTest, NamesTheNearestThatHasADiskAndIsNotSuspected) {
   struct Case {
     const char* name;
     std::vector<std::pair<size_t, State>> durable;  // zones: 0 and 2 "a", 1 and 3 "b"
--- a/tests/programs/programs_test.cc
+++ b/tests/programs/programs_test.cc
@@ -187,7 +187,7 @@
   int verbs_ = 0;
 };
 
-TEST_F(Programs, TheWholePathThroughLossAndReturn) {
+TEST_F(Programs, TheFullPathThroughLossAndReturn) {
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, true);
   for (int i = 0; i < kProxies; ++i) Start("proxy", "p" + std::to_string(i), i, true);
   ASSERT_EQ(Operate("PUT", 0, Document(3, "/a/")).status, 200);
--- a/tests/rollout/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -90,7 +90,7 @@
   return asked ? std::strtoull(asked, nullptr, 10) : 6;
 }
 
-TEST(RolloutSimulation, EachKindOfVersionComesToItsEnd) {
+TEST(RolloutSimulation, EachKindOfVersionReachesItsFinalStage) {
   int wrong = 0, runs = 0;
   for (const Kind& kind : kKinds) {
     int wrong_before = wrong;
@@ -128,12 +128,12 @@
   }
 }
 
-TEST(RolloutSimulation, HoldsWhileOtherThingsFail) {
-  struct Trouble {
+TEST(RolloutSimulation, CompletesUnderOtherFaults) {
+  struct Fault {
     const char* name;
-    std::function<void(World*)> strike, mend;
+    std::function<void(World*)> strike, repair;
   };
-  const Trouble troubles[] = {
+  const Fault troubles[] = {
       {"the leader is killed",
        [](World* w) { w->Crash(static_cast<size_t>(std::max(0, w->leader()))); },
        [](World* w) { w->HealAll(); }},
@@ -160,7 +160,7 @@
       {"a proxy is cut off", [](World* w) { w->Isolate(8, true); }, [](World* w) { w->HealAll(); }},
       {"a proxy freezes", [](World* w) { w->Freeze(9, true); }, [](World* w) { w->HealAll(); }},
   };
-  for (const Trouble& trouble : troubles) {
+  for (const Fault& fault : troubles) {
     for (size_t k : {0, 1, 3}) {
       const Kind& kind = kKinds[k];
       for (Millis at : {1500, 10500}) {
@@ -168,12 +168,11 @@
         world.Run(4000);
         ASSERT_TRUE(Ordered(&world));
         world.Run(at);
-        trouble.strike(&world);
+        fault.strike(&world);
         world.Run(2500);
-        trouble.mend(&world);
+        fault.repair(&world);
         world.Run(24000 - at);
-        std::string what =
-            std::string(kind.name) + ", " + trouble.name + " at " + std::to_string(at);
+        std::string what = std::string(kind.name) + ", " + fault.name + " at " + std::to_string(at);
         CheckExposure(world, kind.bad, what);
         EXPECT_GE(world.traffic.ended_at, 0) << what;
         if (kind.bad) {
--- a/tests/rollout/rollout_test.cc
+++ b/tests/rollout/rollout_test.cc
@@ -116,98 +116,98 @@
 
 TEST(CanaryPolicy, SaysWhichVersionsMayBeSentTo) {
   Rollouts state;
-  CanaryPolicy gate({0.1, 2500, 1000});
-  EXPECT_FALSE(gate.RuleOf(0, "s").known);  // nothing is known of versions: any
+  CanaryPolicy policy({0.1, 2500, 1000});
+  EXPECT_FALSE(policy.RuleOf(0, "s").known);  // nothing is known of versions: any
   state.Apply(Found("s", "v1"));
-  gate.Adopt(0, state);
-  EXPECT_EQ(gate.RuleOf(0, "s").primary, "v1");
-  EXPECT_EQ(gate.RuleOf(0, "s").secondary, "");
+  policy.Adopt(0, state);
+  EXPECT_EQ(policy.RuleOf(0, "s").primary, "v1");
+  EXPECT_EQ(policy.RuleOf(0, "s").secondary, "");
   state.Apply(Ordered("v2", 14000));
-  gate.Adopt(1000, state);
-  Rule canary = gate.RuleOf(1100, "s");
+  policy.Adopt(1000, state);
+  Rule canary = policy.RuleOf(1100, "s");
   EXPECT_EQ(canary.primary + canary.secondary, "v1v2");
   EXPECT_TRUE(canary.limited);
   // Out of touch: nothing goes to what is not proven.
-  EXPECT_EQ(gate.RuleOf(3600, "s").secondary, "");
-  EXPECT_EQ(gate.RuleOf(3600, "s").excluded, "v2");
-  for (int i = 0; i < 100; ++i) gate.CountRequest("s");
-  for (uint64_t key = 0; key < 200; ++key) EXPECT_FALSE(gate.TakesSecondary(3600, "s", key));
-  gate.OnLeaseRenewal(3600, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(3700, "s").secondary, "v2");
+  EXPECT_EQ(policy.RuleOf(3600, "s").secondary, "");
+  EXPECT_EQ(policy.RuleOf(3600, "s").excluded, "v2");
+  for (int i = 0; i < 100; ++i) policy.CountRequest("s");
+  for (uint64_t key = 0; key < 200; ++key) EXPECT_FALSE(policy.TakesSecondary(3600, "s", key));
+  policy.OnLeaseRenewal(3600, {1, state.version()});
+  EXPECT_EQ(policy.RuleOf(3700, "s").secondary, "v2");
   int drawn = 0;
-  for (uint64_t key = 0; key < 2000; ++key) drawn += gate.TakesSecondary(3700, "s", key);
+  for (uint64_t key = 0; key < 2000; ++key) drawn += policy.TakesSecondary(3700, "s", key);
   EXPECT_NEAR(drawn, 120, 40);
   // While it is promoted the old version is the side one, and fades out.
   state.Apply(Entered(1, Stage::kPromoting));
-  gate.Adopt(4000, state);
-  gate.OnLeaseRenewal(4000, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(4100, "s").primary + gate.RuleOf(4100, "s").secondary, "v2v1");
-  EXPECT_TRUE(gate.RetriesToSecondary(4100, "s"));
-  EXPECT_FALSE(gate.MakeReport(4100, "s").confirmed);
+  policy.Adopt(4000, state);
+  policy.OnLeaseRenewal(4000, {1, state.version()});
+  EXPECT_EQ(policy.RuleOf(4100, "s").primary + policy.RuleOf(4100, "s").secondary, "v2v1");
+  EXPECT_TRUE(policy.RetriesToSecondary(4100, "s"));
+  EXPECT_FALSE(policy.MakeReport(4100, "s").confirmed);
   int early = 0, late = 0;
   for (uint64_t key = 0; key < 2000; ++key) {
-    early += gate.TakesSecondary(4010, "s", key);
-    late += gate.TakesSecondary(4970, "s", key);
+    early += policy.TakesSecondary(4010, "s", key);
+    late += policy.TakesSecondary(4970, "s", key);
   }
   EXPECT_GT(early, 1700);
   EXPECT_LT(late, 200);
-  EXPECT_EQ(gate.RuleOf(5050, "s").secondary, "");
-  EXPECT_TRUE(gate.MakeReport(5050, "s").confirmed);
+  EXPECT_EQ(policy.RuleOf(5050, "s").secondary, "");
+  EXPECT_TRUE(policy.MakeReport(5050, "s").confirmed);
   // What this proxy sees is plainly bad, on more than one server: back, until there is a verdict.
   auto fails = [&](Millis at, const char* server) {
-    gate.CountOutcome(at, {"s", "v2", server, "r", CanaryPolicy::Outcome::kFailed, true, false});
+    policy.CountOutcome(at, {"s", "v2", server, "r", CanaryPolicy::Outcome::kFailed, true, false});
   };
   for (int i = 0; i < 5; ++i) fails(5100, "a");
-  EXPECT_EQ(gate.RuleOf(5100, "s").primary, "v2");
+  EXPECT_EQ(policy.RuleOf(5100, "s").primary, "v2");
   fails(5110, "b");
-  EXPECT_EQ(gate.RuleOf(5120, "s").primary, "v1");
-  EXPECT_EQ(gate.RuleOf(5120, "s").secondary, "");
-  EXPECT_FALSE(gate.MakeReport(5120, "s").confirmed);
-  gate.OnLeaseRenewal(6000, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(6700, "s").primary + gate.RuleOf(6700, "s").secondary, "v2v1");  // anew
-  gate.OnLeaseRenewal(4100, {1, state.version()});
-  EXPECT_EQ(gate.RuleOf(7000, "s").primary, "v1");  // out of touch again
-  EXPECT_FALSE(gate.MakeReport(7000, "s").confirmed);
+  EXPECT_EQ(policy.RuleOf(5120, "s").primary, "v1");
+  EXPECT_EQ(policy.RuleOf(5120, "s").secondary, "");
+  EXPECT_FALSE(policy.MakeReport(5120, "s").confirmed);
+  policy.OnLeaseRenewal(6000, {1, state.version()});
+  EXPECT_EQ(policy.RuleOf(6700, "s").primary + policy.RuleOf(6700, "s").secondary, "v2v1");  // anew
+  policy.OnLeaseRenewal(4100, {1, state.version()});
+  EXPECT_EQ(policy.RuleOf(7000, "s").primary, "v1");  // out of touch again
+  EXPECT_FALSE(policy.MakeReport(7000, "s").confirmed);
   state.Apply(Entered(1, Stage::kReverting));
-  gate.Adopt(7100, state);
-  EXPECT_EQ(gate.RuleOf(7100, "s").primary, "v1");
-  EXPECT_EQ(gate.RuleOf(7100, "s").excluded, "v2");
+  policy.Adopt(7100, state);
+  EXPECT_EQ(policy.RuleOf(7100, "s").primary, "v1");
+  EXPECT_EQ(policy.RuleOf(7100, "s").excluded, "v2");
   state.Apply(Entered(1, Stage::kReverted));
-  gate.Adopt(7200, state);
-  EXPECT_EQ(gate.RuleOf(7200, "s").excluded, "v2");
-  EXPECT_FALSE(gate.active());
+  policy.Adopt(7200, state);
+  EXPECT_EQ(policy.RuleOf(7200, "s").excluded, "v2");
+  EXPECT_FALSE(policy.active());
 }
 
-TEST(CanaryPolicy, KeepsToItsShareAndBrakesAtPlainBadness) {
+TEST(CanaryPolicy, KeepsToItsShareAndSlowsDownAtPlainFailure) {
   Rollouts state;
   state.Apply(Found("s", "v1"));
   state.Apply(Ordered("v2", 14000));
-  CanaryPolicy gate({0.1, 1000000, 1000});
-  gate.Adopt(0, state);
-  EXPECT_FALSE(gate.TakesSecondary(0, "s", 1));  // a started proxy has nothing saved
+  CanaryPolicy policy({0.1, 1000000, 1000});
+  policy.Adopt(0, state);
+  EXPECT_FALSE(policy.TakesSecondary(0, "s", 1));  // a started proxy has nothing saved
   // Whatever is drawn, and were all requests drawn: the share holds.
   uint32_t sent = 0;
   for (int i = 0; i < 5000; ++i) {
-    gate.CountRequest("s");
+    policy.CountRequest("s");
     for (uint64_t key = 0; key < 40; ++key) {
-      if (!gate.TakesSecondary(1, "s", key)) continue;
-      gate.CountAttempt("s", "v2");
+      if (!policy.TakesSecondary(1, "s", key)) continue;
+      policy.CountAttempt("s", "v2");
       ++sent;
       break;
     }
     EXPECT_LE(sent, 0.1 * (i + 1));
   }
   EXPECT_GT(sent, 300u);
-  EXPECT_EQ(gate.MakeReport(2, "s").exposed, sent);
+  EXPECT_EQ(policy.MakeReport(2, "s").exposed, sent);
   auto drawn = [&] {
     int n = 0;
-    for (uint64_t key = 0; key < 4000; ++key) n += gate.TakesSecondary(3, "s", key);
+    for (uint64_t key = 0; key < 4000; ++key) n += policy.TakesSecondary(3, "s", key);
     return n;
   };
-  for (int i = 0; i < 20; ++i) gate.CountRequest("s");
+  for (int i = 0; i < 20; ++i) policy.CountRequest("s");
   int before = drawn();
   for (int i = 0; i < 3; ++i) {
-    gate.CountOutcome(3, {"s", "v2", "server", "r", CanaryPolicy::Outcome::kFailed, true, false});
+    policy.CountOutcome(3, {"s", "v2", "server", "r", CanaryPolicy::Outcome::kFailed, true, false});
   }
   EXPECT_LT(drawn() * 3, before);
 }
@@ -300,7 +300,7 @@
   row.new_version.answers = row.new_version.timed = 50;
   row.old_version.answers = row.old_version.timed = 900;
   report.rows = {row};
-  auto told = [&](Millis now, std::vector<Observer::KnownProxy> proxies) {
+  auto reported = [&](Millis now, std::vector<Observer::KnownProxy> proxies) {
     auto votes = observer.Tick(now, proxies);
     return votes.empty() ? Vote() : votes[0];
   };
@@ -314,7 +314,7 @@
   ProxyReport other = report;
   other.number = 9;
   EXPECT_FALSE(observer.OnProxyReport(5030, other));
-  Vote vote = told(5100, {{1, true}});
+  Vote vote = reported(5100, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kGood) << vote.why;
   EXPECT_EQ(vote.exposed, 50u);
   EXPECT_EQ(vote.rows[0].new_version.answers, 50u);
@@ -322,21 +322,21 @@
   report.boot_id = 6;
   report.age_ms = 10;
   EXPECT_TRUE(observer.OnProxyReport(5200, report));
-  vote = told(5600, {{1, true}});
+  vote = reported(5600, {{1, true}});
   EXPECT_EQ(vote.exposed, 100u);
   // Too few are heard: it abstains; a slept watcher does, whatever it has.
-  vote = told(5700, {{1, true}, {2, true}, {3, true}});
+  vote = reported(5700, {{1, true}, {2, true}, {3, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
   report.age_ms = 3000;
   report.rows[0].new_version.answers = 150;
   report.rows[0].new_version.failed = 100;
   EXPECT_TRUE(observer.OnProxyReport(8700, report));
-  vote = told(8800, {{1, true}});
+  vote = reported(8800, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
   EXPECT_EQ(vote.why, "has only just woken");
-  told(9300, {{1, true}});
+  reported(9300, {{1, true}});
   EXPECT_TRUE(observer.OnProxyReport(9700, report));
-  vote = told(9900, {{1, true}});
+  vote = reported(9900, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kBad);
   // Whoever has not confirmed the move is named, apart from those that can't be heard.
   state.Apply(Entered(1, Stage::kPromoting));
@@ -346,13 +346,13 @@
   report.confirmed = true;
   report.old_in_flight = 1;
   observer.OnProxyReport(10000, report);
-  vote = told(10000, {{1, true}, {2, false}});
+  vote = reported(10000, {{1, true}, {2, false}});
   EXPECT_EQ(vote.unconfirmed, 1u);
   EXPECT_EQ(vote.not_reporting, 1u);
   report.age_ms = 5100;
   report.old_in_flight = 0;
   observer.OnProxyReport(10100, report);
-  vote = told(10100, {{1, true}, {2, false}});
+  vote = reported(10100, {{1, true}, {2, false}});
   EXPECT_EQ(vote.unconfirmed, 0u);
   EXPECT_EQ(vote.missing, (std::vector<uint64_t>{2}));
 }
@@ -495,7 +495,7 @@
   }
 }
 
-TEST(RolloutCoordinator, NamesWatchersInDifferentZonesAndReplacesTheLost) {
+TEST(RolloutCoordinator, NamesObserversInDifferentZonesAndReplacesTheLost) {
   std::vector<Candidate> all = {{1, "a"}, {2, "a"}, {3, "b"}, {4, "b"}, {5, "c"}, {6, "c"}};
   auto named = ChooseObservers("s", all);
   ASSERT_EQ(named.size(), 3u);
@@ -533,12 +533,12 @@
   EXPECT_EQ(started.Age(9100, *state.Of("s")), 8800);
 }
 
-TEST(RolloutCoordinator, TheWordOfAWatchersFormerLifeCountsNoMore) {
+TEST(RolloutCoordinator, IgnoresVotesOfAnEarlierIncarnationOfAnObserver) {
   Rollouts state;
   state.Apply(Ordered("v2", 14000, {1, 2, 3}));
   RolloutCoordinator coordinator{RolloutCoordinator::Options()};
   coordinator.Adopt(0, state);
-  auto tell = [&](uint64_t boot_id, Opinion opinion) {
+  auto report = [&](uint64_t boot_id, Opinion opinion) {
     Vote vote;
     vote.number = 1;
     vote.observer = 1;
@@ -547,12 +547,12 @@
     coordinator.OnVote(100, vote);
     return coordinator.VotesOn(1).at(1).vote.opinion;
   };
-  EXPECT_EQ(tell(7, Opinion::kBad), Opinion::kBad);
-  EXPECT_EQ(tell(8, Opinion::kAbstains), Opinion::kAbstains);
-  EXPECT_EQ(tell(7, Opinion::kBad), Opinion::kAbstains);  // late
-  EXPECT_EQ(tell(9, Opinion::kGood), Opinion::kGood);
-  EXPECT_EQ(tell(8, Opinion::kBad), Opinion::kGood);
-  EXPECT_EQ(tell(9, Opinion::kAbstains), Opinion::kAbstains);
+  EXPECT_EQ(report(7, Opinion::kBad), Opinion::kBad);
+  EXPECT_EQ(report(8, Opinion::kAbstains), Opinion::kAbstains);
+  EXPECT_EQ(report(7, Opinion::kBad), Opinion::kAbstains);  // late
+  EXPECT_EQ(report(9, Opinion::kGood), Opinion::kGood);
+  EXPECT_EQ(report(8, Opinion::kBad), Opinion::kGood);
+  EXPECT_EQ(report(9, Opinion::kAbstains), Opinion::kAbstains);
 }
 
 }  // namespace
--- a/tests/simulation/linearizability_test.cc
+++ b/tests/simulation/linearizability_test.cc
@@ -29,7 +29,7 @@
   return Op(Kind::kGet, 0, begin, end, text.empty() ? 404 : 200, text);
 }
 
-TEST(Linearizability, TellsRightHistoriesOfAConfigurationFromWrongOnes) {
+TEST(Linearizability, DistinguishesHistoriesOfAConfiguration) {
   struct Case {
     const char* name;
     std::vector<Operation> history;
@@ -65,7 +65,7 @@
   }
 }
 
-TEST(Linearizability, TellsRightHistoriesOfOrdersFromWrongOnes) {
+TEST(Linearizability, DistinguishesHistoriesOfOrders) {
   auto post = [](int order, uint64_t begin, uint64_t end, int status) {
     return Op(Kind::kEvacuate, order, begin, end, status);
   };
@@ -96,29 +96,32 @@
   auto order = [](int order, uint64_t begin, uint64_t end, int status) {
     return Op(Kind::kOrder, order, begin, end, status, "v" + std::to_string(order));
   };
-  auto told = [](uint64_t begin, uint64_t end, const std::string& text) {
+  auto recorded = [](uint64_t begin, uint64_t end, const std::string& text) {
     return Op(Kind::kReadOrder, 0, begin, end, text.empty() ? 404 : 200, text);
   };
   Case rollouts[] = {
       {"in turn",
-       {order(1, 1, 2, 200), told(3, 4, "v1 in_progress"), told(5, 6, "v1 ended"),
-        order(2, 7, 8, 200), told(9, 10, "v2 in_progress")},
+       {order(1, 1, 2, 200), recorded(3, 4, "v1 in_progress"), recorded(5, 6, "v1 ended"),
+        order(2, 7, 8, 200), recorded(9, 10, "v2 in_progress")},
+       true},
+      {"one at a time",
+       {order(1, 1, 2, 200), order(2, 3, 4, 409), recorded(5, 6, "v1 ended")},
        true},
-      {"one at a time", {order(1, 1, 2, 200), order(2, 3, 4, 409), told(5, 6, "v1 ended")}, true},
       {"409 after its end",
-       {order(1, 1, 2, 200), told(3, 4, "v1 ended"), order(2, 5, 6, 409)},
+       {order(1, 1, 2, 200), recorded(3, 4, "v1 ended"), order(2, 5, 6, 409)},
        false},
       {"begun anew",
-       {order(1, 1, 2, 200), told(3, 4, "v1 ended"), told(5, 6, "v1 in_progress")},
+       {order(1, 1, 2, 200), recorded(3, 4, "v1 ended"), recorded(5, 6, "v1 in_progress")},
        false},
       {"sent again after its end",
-       {order(1, 1, 2, 200), told(3, 4, "v1 ended"), order(1, 5, 6, 200), told(7, 8, "v1 ended")},
+       {order(1, 1, 2, 200), recorded(3, 4, "v1 ended"), order(1, 5, 6, 200),
+        recorded(7, 8, "v1 ended")},
        true},
       {"a late copy after another",
        {order(1, 1, 2, 200), order(2, 3, 4, 200), order(1, 3, kNever, 0),
-        told(5, 6, "v1 in_progress")},
+        recorded(5, 6, "v1 in_progress")},
        false},
-      {"forgotten", {order(1, 1, 2, 200), told(3, 4, "")}, false},
+      {"forgotten", {order(1, 1, 2, 200), recorded(3, 4, "")}, false},
   };
   for (const Case& c : rollouts) {
     EXPECT_EQ(Search<RolloutModel>(c.history).Linearizable(), c.right) << c.name;
@@ -143,19 +146,19 @@
   bool right = search.Linearizable();
   played().states += search.states();
   if (right) return;
-  std::string told;
+  std::string recorded;
   for (const Operation& o : history) {
     if (search.Stuck() && o.begin > search.Stuck()->end) continue;
-    told += "\n  kind " + std::to_string(static_cast<int>(o.kind)) + " order " +
-            std::to_string(o.order) + " if-match " + std::to_string(o.if_match) + " revision " +
-            std::to_string(o.revision) + " status " + std::to_string(o.status) + " from " +
-            std::to_string(o.begin) + " to " + (o.clear() ? std::to_string(o.end) : "never") +
-            (search.Stuck() && o.begin == search.Stuck()->begin ? "  <- can't be placed" : "") +
-            "  " + o.text.substr(0, 120);
+    recorded += "\n  kind " + std::to_string(static_cast<int>(o.kind)) + " order " +
+                std::to_string(o.order) + " if-match " + std::to_string(o.if_match) + " revision " +
+                std::to_string(o.revision) + " status " + std::to_string(o.status) + " from " +
+                std::to_string(o.begin) + " to " + (o.clear() ? std::to_string(o.end) : "never") +
+                (search.Stuck() && o.begin == search.Stuck()->begin ? "  <- can't be placed" : "") +
+                "  " + o.text.substr(0, 120);
   }
-  size_t from = told.size() > 6000 ? told.size() - 6000 : 0;
+  size_t from = recorded.size() > 6000 ? recorded.size() - 6000 : 0;
   ADD_FAILURE() << "seed " << seed << ": " << (object.empty() ? "configuration" : object)
-                << " is not linearizable" << told.substr(from);
+                << " is not linearizable" << recorded.substr(from);
 }
 
 void Play(uint64_t seed, int controllers) {
--- a/tests/simulation/operators.h
+++ b/tests/simulation/operators.h
@@ -170,7 +170,7 @@
     bool closed = false;  // the end of the connection has come to the node
   };
   struct Event {
-    enum Kind { kArrives, kTold, kBroken, kSilent, kClosed, kTry, kAgain } kind;
+    enum Kind { kArrives, kNotified, kBroken, kSilent, kClosed, kTry, kAgain } kind;
     uint64_t id = 0;  // a ticket; a call; an index of `ended_`
     wire::Message answer;
   };
@@ -316,7 +316,7 @@
     At(call.pause, Event::kTry, id);
     call.pause = std::min<Millis>(call.pause * 2, 1000);
   }
-  void Told(uint64_t ticket, const wire::Message& answer) {
+  void Notified(uint64_t ticket, const wire::Message& answer) {
     auto at = attempts_.find(ticket);
     if (at == attempts_.end()) return;
     Attempt attempt = at->second;
@@ -384,8 +384,8 @@
     switch (event.kind) {
       case Event::kArrives:
         return Arrive(event.id);
-      case Event::kTold:
-        return Told(event.id, event.answer);
+      case Event::kNotified:
+        return Notified(event.id, event.answer);
       case Event::kBroken: {
         uint64_t call = attempt.call;
         attempts_.erase(at);
@@ -440,7 +440,7 @@
     if (!attempts_.count(ticket) || attempts_[ticket].node != i) return;
     acknowledged_ += answer.status == 200 && !Reads(attempts_[ticket].kind);
     if (random_.Below(100) < static_cast<uint64_t>(options_.lost_percent)) return;
-    At(Latency(), Event::kTold, ticket, answer);
+    At(Latency(), Event::kNotified, ticket, answer);
   }
   // Zones have no read on the wire: a confirmed one at the log stands for it.
   void ReadZone(size_t i, uint64_t ticket, const std::string& zone) {
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -206,7 +206,7 @@
 }
 
 // How long a follower, or a leader that nobody answers, names a leader.
-TEST(Consensus, NamesALeaderOnlyAsLongAsItIsInTouch) {
+TEST(Consensus, NamesALeaderOnlyWhileItIsInContact) {
   const consensus::Timing timing;
   Founders follower;
   follower.Follow(2);
@@ -248,7 +248,7 @@
 
 // A proxy's lease on the new version is renewed by a watcher that knows at least as much, of the
 // same roll-out, and by nobody else.
-TEST(CanaryPolicy, TakesNoWordOfAWatcherThatIsBehind) {
+TEST(CanaryPolicy, IgnoresRenewalsOfAnObserverThatIsBehind) {
   struct Case {
     const char* name;
     uint64_t number;  // beyond that of the roll-out
@@ -269,26 +269,26 @@
     order.order = {"s", "v2", 10000};
     order.observers = {1, 2, 3};
     ASSERT_TRUE(state.Apply(order));
-    rollout::CanaryPolicy gate{rollout::CanaryPolicy::Options{}};
-    gate.Adopt(0, state);
-    EXPECT_EQ(gate.RuleOf(0, "s").secondary, "v2");
+    rollout::CanaryPolicy policy{rollout::CanaryPolicy::Options{}};
+    policy.Adopt(0, state);
+    EXPECT_EQ(policy.RuleOf(0, "s").secondary, "v2");
     uint64_t version = static_cast<uint64_t>(static_cast<int64_t>(state.version()) + c.version);
     for (Millis now = 100; now <= 20000; now += 100) {
-      gate.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
+      policy.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
     }
-    EXPECT_EQ(gate.RuleOf(20000, "s").secondary == "v2", c.tries) << c.name;
+    EXPECT_EQ(policy.RuleOf(20000, "s").secondary == "v2", c.tries) << c.name;
   }
 }
 
 // What a former holder of the list says, also to a receiver that has just started, gives way to
 // its successor's word, and never comes back.
-TEST(Disseminator, TheWordOfAFormerHolderEndsWithTheFirstOfItsSuccessor) {
+TEST(Disseminator, AnUpdateOfTheNewReaderEndsThoseOfTheFormerOne) {
   membership::Membership members({}, {}, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
-    dissemination::EndpointUpdate news;
-    news.epoch = epoch;
-    news.sequence = sequence;
-    return news;
+    dissemination::EndpointUpdate update;
+    update.epoch = epoch;
+    update.sequence = sequence;
+    return update;
   };
   const base::Address from{"10.0.0.2", 1};
   for (bool restarted : {false, true}) {
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -90,7 +90,7 @@
     int64_t adopted_revision = 0;
     uint64_t adopted_epoch = 0, adopted_sequence = 0;
     size_t bytes = 0;  // sent, of all lives
-    std::unique_ptr<rollout::CanaryPolicy> gate;
+    std::unique_ptr<rollout::CanaryPolicy> policy;
     std::unique_ptr<rollout::RolloutCoordinator> coordinator;
     std::unique_ptr<rollout::Observer> observer;
     struct Flight {
@@ -192,7 +192,7 @@
     n.confirmed_at = -1;
     n.confirms.clear();
     n.vouchers.clear();
-    n.gate = std::make_unique<rollout::CanaryPolicy>(rollout::CanaryPolicy::Options{});
+    n.policy = std::make_unique<rollout::CanaryPolicy>(rollout::CanaryPolicy::Options{});
     n.coordinator =
         std::make_unique<rollout::RolloutCoordinator>(rollout::RolloutCoordinator::Options());
     rollout::Observer::Options watch;
@@ -634,7 +634,7 @@
       bool failed = flight.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
                                        : random_.Unit() < options_.old_fails;
       if (flight.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
-      n.gate->CountOutcome(
+      n.policy->CountOutcome(
           now, {"s", flight.new_version ? "v2" : "v1", std::to_string(flight.server), "r",
                 failed ? rollout::CanaryPolicy::Outcome::kFailed
                        : rollout::CanaryPolicy::Outcome::kComplete,
@@ -644,27 +644,27 @@
     bool in_term = ordered && now < traffic.ordered_at + traffic.over_ms;
     bool listed = ordered && now > traffic.ordered_at + 1200;  // the new servers
     for (double due = options_.requests; random_.Unit() < due; due -= 1) {
-      n.gate->CountRequest("s");
+      n.policy->CountRequest("s");
       traffic.requests += in_term;
-      rollout::Rule rule = n.gate->RuleOf(now, "s");
-      bool secondary = n.gate->TakesSecondary(now, "s", random_.Next());
+      rollout::Rule rule = n.policy->RuleOf(now, "s");
+      bool secondary = n.policy->TakesSecondary(now, "s", random_.Next());
       bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
       n.flights.push_back(
           {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
       if (!fresh) continue;
-      n.gate->CountAttempt("s", "v2");
+      n.policy->CountAttempt("s", "v2");
       traffic.exposed += in_term;
       traffic.last_sent_at = now;
     }
-    if (!n.gate->active() || now < n.report_at) return;
-    n.report_at = now + (n.gate->IsShifting() ? 100 : 250);
-    rollout::ProxyReport report = n.gate->MakeReport(now, "s");
+    if (!n.policy->active() || now < n.report_at) return;
+    n.report_at = now + (n.policy->IsShifting() ? 100 : 250);
+    rollout::ProxyReport report = n.policy->MakeReport(now, "s");
     report.node = n.members->self().id;
     report.boot_id = n.boot_id;
     report.wants_renewal = true;
     report.old_in_flight = static_cast<uint32_t>(n.in_flight_old());
     report.new_in_flight = static_cast<uint32_t>(n.flights.size()) - report.old_in_flight;
-    for (uint64_t observer : n.gate->RolloutOf("s")->observers) {
+    for (uint64_t observer : n.policy->RolloutOf("s")->observers) {
       auto node = n.members->nodes().find(observer);
       if (node != n.members->nodes().end()) Send(i, node->second.address(), report);
     }
@@ -687,9 +687,10 @@
     if (rollout->stage != rollout::Stage::kCompleted) return;
     for (auto& other : nodes_) {
       if (other->controller || !other->up || other->frozen || !cuts_.empty()) continue;
-      if (!other->gate->RolloutOf("s") && other->gate->RuleOf(now, "s").primary != "v2") continue;
+      if (!other->policy->RolloutOf("s") && other->policy->RuleOf(now, "s").primary != "v2")
+        continue;
       if (other->in_flight_old() > 0) Fail(other->address.ip + " has work at stopped servers");
-      if (other->gate->RuleOf(now, "s").primary != "v2") {
+      if (other->policy->RuleOf(now, "s").primary != "v2") {
         Fail(other->address.ip + " sends to stopped servers");
       }
     }
@@ -781,7 +782,7 @@
     if (auto* m = std::get_if<dissemination::RolloutUpdate>(&body))
       n.disseminator->OnRolloutUpdate(now, from, *m);
     if (auto* m = std::get_if<rollout::LeaseRenewal>(&body)) {
-      n.gate->OnLeaseRenewal(now, *m);
+      n.policy->OnLeaseRenewal(now, *m);
       n.disseminator->OnRolloutVersion(now, from, m->version);
     }
     if (auto* m = std::get_if<dissemination::ConfirmReply>(&body); m && !n.controller) {
@@ -914,7 +915,7 @@
     for (auto& [to, m] : effects.endpoint_updates) Send(i, to, m);
     for (auto& [to, m] : effects.zone_drains) Send(i, to, m);
     for (auto& [to, m] : effects.rollouts) Send(i, to, m);
-    if (effects.rollouts_adopted) n.gate->Adopt(now, n.disseminator->rollouts());
+    if (effects.rollouts_adopted) n.policy->Adopt(now, n.disseminator->rollouts());
     if (options_.trace && !effects.empty()) {
       Trace(i, 111,
             std::to_string(n.disseminator->revision()) + "," +
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -9,7 +9,7 @@
 namespace elderkeel::simulation {
 namespace {
 
-void Settle(World* world, Millis within, const std::string& why) {
+void Stabilize(World* world, Millis within, const std::string& why) {
   std::string state = "nothing ran";
   for (Millis waited = 0; waited < within && world->fault.empty(); waited += 250) {
     world->Run(250);
@@ -93,7 +93,7 @@
   world.HealAll();
   world.Run(3000);
   for (int k = 0; k < 20 && !world.Change(); ++k) world.Run(500);
-  Settle(&world, 30000, "seed " + std::to_string(seed));
+  Stabilize(&world, 30000, "seed " + std::to_string(seed));
   EXPECT_GT(world.acknowledged(), 3) << "seed " << seed;
 }
 
@@ -115,28 +115,28 @@
   World world({});
   world.Run(1500);
   ASSERT_TRUE(world.Change());
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
 }
 
 TEST(Simulation, AWipedMemberAtItsOldAddressGetsANewVote) {
   World world({});
   world.Run(2000);
   ASSERT_TRUE(world.Change());
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   consensus::MemberId old = world.node(2).raft->self().id;
   world.Wipe(2);
   world.Run(400);
   world.Start(2);
-  Settle(&world, 8000, "after the wipe");
+  Stabilize(&world, 8000, "after the wipe");
   EXPECT_NE(world.node(2).raft->self().id, old);
   EXPECT_EQ(world.node(0).raft->voters().size(), 3u);
 }
 
-TEST(Simulation, TheHolderLostWithTheLeaderIsReplaced) {
+TEST(Simulation, TheCatalogReaderLostWithTheLeaderIsReplaced) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   int leader = world.leader();
   world.Crash(static_cast<size_t>(leader));
   world.ChangeList();
@@ -148,10 +148,10 @@
     EXPECT_EQ(world.node(i).disseminator->endpoints().servers[0].id, "list-1") << i;
   }
   world.Start(static_cast<size_t>(leader));
-  Settle(&world, 8000, "after its return");
+  Stabilize(&world, 8000, "after its return");
 }
 
-TEST(Simulation, ARestartedHolderIsNotTakenForItsFormerLife) {
+TEST(Simulation, ARestartedCatalogReaderIsNotTakenForItsEarlierIncarnation) {
   // Found on the bench: its numbering began anew within the old epoch, and its list was ignored.
   World world({});
   world.Run(2000);
@@ -160,19 +160,19 @@
     world.ChangeList();
     world.Run(1500);
   }
-  Settle(&world, 4000, "start");
+  Stabilize(&world, 4000, "start");
   for (size_t i = 0; i < 3; ++i) world.Crash(i);
   world.Run(200);
   for (size_t i = 0; i < 3; ++i) world.Start(i);
   world.ChangeList();
-  Settle(&world, 6000, "after the restart of the core");
+  Stabilize(&world, 6000, "after the restart of the core");
 }
 
 TEST(Simulation, AMinorityLeaderAcknowledgesNothing) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   int leader = world.leader();
   int64_t before = world.acknowledged();
   for (size_t k = 0; k < 3; ++k) {
@@ -185,14 +185,14 @@
   EXPECT_FALSE(world.node(static_cast<size_t>(leader)).raft->is_leader());  // check-quorum
   for (size_t k = 0; k < 3; ++k) world.Cut(static_cast<size_t>(leader), k, false);
   world.Change();
-  Settle(&world, 6000, "after the cut");
+  Stabilize(&world, 6000, "after the cut");
 }
 
 TEST(Simulation, ALeaderWhoseDiskHangsGivesWay) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   int leader = world.leader();
   world.node(static_cast<size_t>(leader)).disk_hangs_until = world.now + 6000;
   int64_t before = world.acknowledged();
@@ -202,16 +202,16 @@
   world.Run(3500);
   EXPECT_NE(world.leader(), leader);
   EXPECT_GE(world.leader(), 0);
-  Settle(&world, 12000, "after the hang");
+  Stabilize(&world, 12000, "after the hang");
 }
 
-TEST(Simulation, AControllerThatStaysAwayIsNotCountedForEver) {
+TEST(Simulation, AControllerThatStaysUnreachableIsNotCountedForEver) {
   World::Options options;
   options.controllers = 4;
   World world(options);
   world.Run(4000);
   world.Change();
-  Settle(&world, 5000, "start");
+  Stabilize(&world, 5000, "start");
   EXPECT_EQ(world.node(0).raft->voters().size(), 4u);
   size_t gone = static_cast<size_t>((world.leader() + 1) % 4);
   world.Crash(gone);
@@ -222,7 +222,7 @@
   world.Run(35000);
   EXPECT_EQ(world.node(static_cast<size_t>(world.leader())).raft->voters().size(), 3u);
   world.Start(gone);
-  Settle(&world, 8000, "after its return");
+  Stabilize(&world, 8000, "after its return");
   EXPECT_EQ(world.node(gone).raft->voters().size(), 4u);
 }
 
@@ -230,7 +230,7 @@
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   size_t leader = static_cast<size_t>(world.leader());
   size_t other = (leader + 1) % 3;
   int64_t before = world.acknowledged();
@@ -241,14 +241,14 @@
   // One disk has it, of three: no majority, whatever the leader holds in memory.
   EXPECT_EQ(world.acknowledged(), before);
   world.Cut(leader, other, false);
-  Settle(&world, 10000, "after the hang");
+  Stabilize(&world, 10000, "after the hang");
 }
 
 TEST(Simulation, ARefusedWriteEndsAMembersPartUntilItsStoreIsReadAnew) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   size_t leader = static_cast<size_t>(world.leader());
   consensus::RaftNode& raft = *world.node(leader).raft;
   raft.OnWriteFinished(world.now, 1u << 30, false);
@@ -272,23 +272,23 @@
   ASSERT_TRUE(world.Change());
   world.Crash(leader);
   world.Start(leader);
-  Settle(&world, 8000, "after its store was read anew");
+  Stabilize(&world, 8000, "after its store was read anew");
 }
 
-TEST(Simulation, OneWatchersWordIsNotADeath) {
+TEST(Simulation, OneMonitorsSuspicionIsNotADeath) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
-  const size_t accused = 4;
-  uint64_t id = base::Hash(world.node(accused).address.ToString());
+  Stabilize(&world, 3000, "start");
+  const size_t isolated = 4;
+  uint64_t id = base::Hash(world.node(isolated).address.ToString());
   size_t observer = 0;
   for (size_t i = 0; i < world.size(); ++i) {
-    if (world.node(i).members->self().id == world.node(accused).members->MonitorsOf(id)[0]->id) {
+    if (world.node(i).members->self().id == world.node(isolated).members->MonitorsOf(id)[0]->id) {
       observer = i;
     }
   }
-  world.Cut(accused, observer, true);
+  world.Cut(isolated, observer, true);
   bool suspected = false;
   for (int k = 0; k < 60; ++k) {
     world.Run(50);
@@ -299,20 +299,20 @@
     }
   }
   EXPECT_TRUE(suspected);  // the watcher did accuse
-  world.Cut(accused, observer, false);
-  Settle(&world, 4000, "after the cut");
+  world.Cut(isolated, observer, false);
+  Stabilize(&world, 4000, "after the cut");
 }
 
 TEST(Disseminator, TakesOnlyWhatIsNewer) {
   membership::Membership members({}, {}, 0);
   dissemination::Disseminator exchange({}, &members, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
-    dissemination::EndpointUpdate news;
-    news.epoch = epoch;
-    news.sequence = sequence;
-    news.servers.resize(1);
-    news.servers[0].id = std::to_string(epoch) + "." + std::to_string(sequence);
-    return news;
+    dissemination::EndpointUpdate update;
+    update.epoch = epoch;
+    update.sequence = sequence;
+    update.servers.resize(1);
+    update.servers[0].id = std::to_string(epoch) + "." + std::to_string(sequence);
+    return update;
   };
   struct Step {
     uint64_t epoch, sequence;
@@ -440,11 +440,11 @@
       World world(options);
       world.Run(4000);
       world.Change();
-      Settle(&world, 8000, c.name);
+      Stabilize(&world, 8000, c.name);
       // A voter may be away just then: its absence is part of what is tolerated.
-      bool away = c.wiped > 1 && seed % 3 == 0;
+      bool one_absent = c.wiped > 1 && seed % 3 == 0;
       size_t absent = world.random().Below(static_cast<uint64_t>(c.controllers));
-      if (away) {
+      if (one_absent) {
         world.LosePower(absent);
         for (int k = 0; k < 20 && world.leader() < 0; ++k) world.Run(200);
       }
@@ -454,7 +454,7 @@
       for (int k = 0; k < 400 && world.acknowledged() == before; ++k) world.Run(10);
       ASSERT_GT(world.acknowledged(), before) << c.name << " seed " << seed;
       size_t first = world.random().Below(static_cast<uint64_t>(c.controllers));
-      if (away) first = absent;
+      if (one_absent) first = absent;
       for (size_t i = 0; i < static_cast<size_t>(c.controllers); ++i) {
         size_t distance =
             (i + static_cast<size_t>(c.controllers) - first) % static_cast<size_t>(c.controllers);
@@ -466,7 +466,7 @@
       }
       world.Run(500);
       world.HealAll();
-      Settle(&world, 30000, std::string(c.name) + " seed " + std::to_string(seed));
+      Stabilize(&world, 30000, std::string(c.name) + " seed " + std::to_string(seed));
     }
   }
 }
@@ -483,7 +483,7 @@
     World world(options);
     world.Run(4000);
     world.Change();
-    Settle(&world, 8000, "start");
+    Stabilize(&world, 8000, "start");
     for (int round = 0; round < 6 && world.fault.empty(); ++round) {
       uint64_t secondary = world.random().Below(64);
       for (size_t a = 0; a < 6; ++a) {
@@ -499,7 +499,7 @@
       world.Run(6000);
     }
     ASSERT_EQ(world.fault, "") << "seed " << seed;
-    Settle(&world, 30000, "seed " + std::to_string(seed));
+    Stabilize(&world, 30000, "seed " + std::to_string(seed));
   }
 }
 
@@ -512,11 +512,11 @@
     World world(options);
     world.Run(3000);
     world.Change();
-    Settle(&world, 4000, "start");
-    uint64_t holder_id = world.node(0).state.catalog_reader.owner;
+    Stabilize(&world, 4000, "start");
+    uint64_t owner_id = world.node(0).state.catalog_reader.owner;
     std::vector<size_t> killed;
     for (size_t i = 0; i < 4; ++i) {
-      bool owner = world.node(i).raft->self().id == holder_id;
+      bool owner = world.node(i).raft->self().id == owner_id;
       bool leader = static_cast<int>(i) == world.leader();
       if ((seed % 4 == 0 && i == 0) || (seed % 4 == 1 && owner) || (seed % 4 == 2 && leader) ||
           (seed % 4 == 3 && (leader || owner))) {
@@ -546,7 +546,7 @@
     World world(options);
     world.Run(2000);
     world.Change();
-    Settle(&world, 3000, "start");
+    Stabilize(&world, 3000, "start");
     size_t proxy = 3 + seed % 4;
     for (int boot_id = 0; boot_id < 3; ++boot_id) {
       world.Leave(proxy);
@@ -555,16 +555,16 @@
       world.Run(1500);
       ASSERT_TRUE(world.Change());
       world.ChangeList();
-      Settle(&world, 3000, "life " + std::to_string(boot_id) + " seed " + std::to_string(seed));
+      Stabilize(&world, 3000, "life " + std::to_string(boot_id) + " seed " + std::to_string(seed));
     }
   }
 }
 
-TEST(Simulation, ANodeThatMissedNewsGetsItHandedOver) {
+TEST(Simulation, ANodeThatMissedAnUpdateGetsIt) {
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   size_t proxy = 5;
   world.Isolate(proxy, true);
   world.Run(3000);
@@ -575,18 +575,18 @@
   world.Isolate(proxy, false);
   world.Run(1500);
   EXPECT_EQ(world.node(proxy).disseminator->revision(), world.acknowledged());
-  Settle(&world, 6000, "after its return");
+  Stabilize(&world, 6000, "after its return");
 }
 
 // After hundreds of changes, and during more of them, a member that was away has the newest state
 // and its vote again within seconds, and never leads with less than was acknowledged.
 // ELDERKEEL_CATCH_UP_SEEDS=1000 prints how long it took over so many seeds.
-TEST(Simulation, AMemberThatWasAwayCatchesUpDuringChanges) {
+TEST(Simulation, AnAbsentMemberCatchesUpDuringChanges) {
   enum class Kind { kRestarted, kWiped, kFrozen, kNew };
   struct Case {
     const char* name;
     Kind kind;
-    Millis away;
+    Millis absent;
   } cases[] = {{"restarted", Kind::kRestarted, 1500},
                {"wiped", Kind::kWiped, 1500},
                {"frozen for a minute", Kind::kFrozen, 60000},
@@ -621,7 +621,7 @@
       if (c.kind == Kind::kRestarted) world.LosePower(victim);
       if (c.kind == Kind::kWiped) world.Wipe(victim);
       if (c.kind == Kind::kFrozen) world.Freeze(victim, true);
-      run(c.away, c.away / 50);
+      run(c.absent, c.absent / 50);
       world.Freeze(victim, false);
       world.Start(victim);
       int64_t wanted = world.acknowledged();
@@ -653,23 +653,23 @@
   World world({});
   world.Run(2000);
   world.Change();
-  Settle(&world, 3000, "start");
+  Stabilize(&world, 3000, "start");
   uint64_t gone = base::Hash(world.node(4).address.ToString());
   world.Freeze(4, true);
   world.Run(2500);
-  int held_dead = 0;
+  int considered_dead = 0;
   for (size_t i = 0; i < world.size(); ++i) {
     if (i != 4)
-      held_dead += world.node(i).members->nodes().at(gone).state == membership::State::kDead;
+      considered_dead += world.node(i).members->nodes().at(gone).state == membership::State::kDead;
   }
-  EXPECT_EQ(held_dead, 6);
+  EXPECT_EQ(considered_dead, 6);
   world.Freeze(4, false);
   world.Run(100);
   // It slept: that it heard nobody makes nobody suspect.
   for (const auto& [id, node] : world.node(4).members->nodes()) {
     EXPECT_EQ(node.state, membership::State::kAlive);
   }
-  Settle(&world, 4000, "after the thaw");
+  Stabilize(&world, 4000, "after the thaw");
 }
 
 }  // namespace
--- a/tests/singleton/assigner_test.cc
+++ b/tests/singleton/assigner_test.cc
@@ -34,8 +34,9 @@
   }
 }
 
-TEST(Assignment, TakesAResignationOnlyFromTheHolderOfNow) {
-  std::vector<Candidate> heard = {{1, 0, true}, {2, 10, false}, {3, 10, false}, {4, 9000, false}};
+TEST(Assignment, TakesAResignationOnlyFromTheCurrentOwner) {
+  std::vector<Candidate> received = {
+      {1, 0, true}, {2, 10, false}, {3, 10, false}, {4, 9000, false}};
   struct Case {
     const char* name;
     Resignation resignation;
@@ -49,7 +50,7 @@
   };
   for (const Case& c : cases) {
     Assigner assignment(kPatience);
-    auto named = assignment.OnResignation(0, Assignment{2, 44, 7}, heard, c.resignation);
+    auto named = assignment.OnResignation(0, Assignment{2, 44, 7}, received, c.resignation);
     EXPECT_EQ(named ? named->owner : 0, c.named) << c.name;
     EXPECT_EQ(named ? named->boot_id : 0, c.boot_id) << c.name;
   }
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -36,7 +36,7 @@
   return f.str();
 }
 
-std::string Whole(int64_t revision, int routes) {
+std::string FullDocument(int64_t revision, int routes) {
   std::ostringstream f;
   f << R"({"revision":)" << revision << R"(,"route-list":[)";
   for (int r = 0; r < routes; ++r) f << (r ? "," : "") << Route(r, 1000);
@@ -53,7 +53,7 @@
          Route(route, 1000 + static_cast<int>(revision % 1000)) + "]}}";
 }
 
-size_t HeldBytes() { return mallinfo2().uordblks; }
+size_t HeapBytes() { return mallinfo2().uordblks; }
 
 // Times of steps, in microseconds, by name; printed in the order of their first use.
 class Times {
@@ -103,10 +103,10 @@
   membership::Membership controllers(Self(membership::Program::kController), {}, 0);
   membership::Membership proxies(Self(membership::Program::kProxy), {}, 0);
   const base::Address from{"127.0.0.2", 1};
-  size_t before = HeldBytes();
+  size_t before = HeapBytes();
   auto leader = std::make_unique<configuration::ConfigurationState>();
-  auto told = std::make_unique<dissemination::Disseminator>(dissemination::Disseminator::Options(),
-                                                            &controllers, 0);
+  auto reported = std::make_unique<dissemination::Disseminator>(
+      dissemination::Disseminator::Options(), &controllers, 0);
   auto adopts = std::make_unique<dissemination::Disseminator>(
       dissemination::Disseminator::Options(), &proxies, 0);
   base::Names names, regions;
@@ -117,7 +117,7 @@
     int64_t base = revision++;
     configuration::Change c{patch, base,
                             patch ? Patch(revision, static_cast<int>(revision * 7919 % routes))
-                                  : Whole(revision, routes)};
+                                  : FullDocument(revision, routes)};
     base::Verdict verdict;
     times.Add(kind + ", leader: Evaluate", [&] { verdict = leader->Evaluate(c); });
     Expect(verdict.status == 0, verdict.reason.c_str());
@@ -127,8 +127,8 @@
     times.Add(kind + ", leader: Evaluate after it", [&] { verdict = leader->Evaluate(c); });
     Expect(verdict.status == 200, "a change is not known again");
     times.Add(kind + ", leader: Disseminator::Commit", [&] {
-      told->Commit(0, *leader);
-      told->TakeEffects();
+      reported->Commit(0, *leader);
+      reported->TakeEffects();
     });
     times.Add(kind + ", proxy: Disseminator::OnConfigurationUpdate", [&] {
       adopts->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
@@ -143,7 +143,7 @@
     Expect(table && table->revision() == revision, "a table is not of the change");
   };
   for (int i = 0; i < std::max(3, repeats / 4); ++i) change("whole", false);
-  size_t after_whole = HeldBytes();
+  size_t after_full = HeapBytes();
   change("first patch", true);
   for (int i = 0; i < repeats; ++i) change("patch", true);
   Expect(leader->text() == adopts->configuration_text(),
@@ -163,20 +163,20 @@
   times.Print(routes);
   std::printf("%6d routes  document %zu bytes\n", routes, leader->text().size());
   change("patch", true);
-  size_t all = HeldBytes();
+  size_t all = HeapBytes();
   auto print = [&](const char* what, size_t bytes) {
     std::printf("%6d routes  held: %-38s %10zu bytes\n", routes, what, bytes);
   };
-  print("everything after a whole change", after_whole - before);
+  print("everything after a whole change", after_full - before);
   print("everything after patches", all - before);
   auto drop = [&](const char* what, auto* of) {
-    size_t full = HeldBytes();
+    size_t full = HeapBytes();
     of->reset();
-    print(what, full - HeldBytes());
+    print(what, full - HeapBytes());
   };
   drop("table of a proxy", &table);
   drop("news of a proxy", &adopts);
-  drop("news of a controller", &told);
+  drop("news of a controller", &reported);
   drop("register", &leader);
 }
 
