--- a/tests/consensus/model_checker.h
+++ b/tests/consensus/model_checker.h
@@ -202,7 +202,7 @@
   int nth = 0;    // of the messages between the two, in the order they were sent; of a crash: kept
 };
 
-using RetryBudget =
+using StepBudget =
     std::array<int, kStepKinds>;  // steps of each kind that are left; below 0: no bound
 
 struct Options {
@@ -272,7 +272,7 @@
   std::vector<Sent> network;
   std::set<std::pair<int, int>> cuts;
   std::shared_ptr<const History> history = std::make_shared<History>();
-  RetryBudget budget{};
+  StepBudget budget{};
   int proposals = 0;
 
   uint64_t DigestValue() const {
@@ -967,7 +967,7 @@
 }
 
 // Breadth first from where the script ended: the first violation has a shortest trace.
-inline Result Search(const Script& script, const RetryBudget& budget, int depth,
+inline Result Search(const Script& script, const StepBudget& budget, int depth,
                      size_t most_states = SIZE_MAX, double most_seconds = 1e9) {
   struct Link {
     size_t parent;
@@ -1055,7 +1055,7 @@
 }
 
 // Random walks from where the script ended, one after the other until the time is up.
-inline Result Walk(const Script& script, const RetryBudget& budget, int depth, uint64_t seed,
+inline Result Walk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
                    double most_seconds, size_t most_walks = SIZE_MAX) {
   Result result;
   Stopwatch watch;
--- a/tests/consensus/model_scenarios.h
+++ b/tests/consensus/model_scenarios.h
@@ -16,12 +16,12 @@
   std::string name;
   Options options;
   std::function<void(Script*)> begin;
-  RetryBudget budget;
+  StepBudget budget;
   int depth;  // that CI walks
 };
 
-inline RetryBudget Allow(std::initializer_list<std::pair<StepKind, int>> some) {
-  RetryBudget budget{};
+inline StepBudget Allow(std::initializer_list<std::pair<StepKind, int>> some) {
+  StepBudget budget{};
   budget[static_cast<size_t>(StepKind::kDeliver)] = -1;
   budget[static_cast<size_t>(StepKind::kPersist)] = -1;
   for (const auto& [kind, times] : some) budget[static_cast<size_t>(kind)] = times;
--- /dev/null
+++ b/tests/simulation/simulation_faults.cc
@@ -0,0 +1,161 @@
+// World: what can happen to a node or a link.
+#include <algorithm>
+#include <utility>
+
+#include "simulation/simulation.h"
+
+namespace elderkeel::simulation {
+
+void World::Start(size_t i, bool first) {
+  Node& n = *nodes_[i];
+  if (n.up) return;
+  n.up = true;
+  n.frozen = false;
+  n.leave_by = 0;
+  n.boot_id = random_.Next() | 1;
+  n.adopted_revision = 0;
+  n.adopted_epoch = n.adopted_sequence = 0;
+  membership::Membership::Options member;
+  member.self.ip = n.address.ip;
+  member.self.port = n.address.port;
+  member.self.id = base::Hash(n.address.ToString());
+  member.self.zone = n.zone;
+  member.self.boot_id = n.boot_id;
+  member.self.durable = n.controller;
+  member.self.program =
+      n.controller ? membership::Program::kController : membership::Program::kProxy;
+  member.seed = random_.Next();
+  member.regions = options_.regions;
+  std::vector<Address> seeds;
+  for (int k = 0; k < std::min(3, options_.controllers); ++k) {
+    if (nodes_[k].get() != &n) seeds.push_back(nodes_[k]->address);
+  }
+  n.members = std::make_unique<membership::Membership>(member, seeds, now);
+  dissemination::Disseminator::Options gossip;
+  gossip.seed = random_.Next();
+  gossip.max_age = n.controller ? 500 : 900;
+  gossip.seeds = seeds;
+  n.disseminator = std::make_unique<dissemination::Disseminator>(gossip, n.members.get(), now);
+  n.flights.clear();
+  n.confirmation = std::make_unique<dissemination::Confirmation>(n.boot_id);
+  n.confirmed_at = -1;
+  n.confirms.clear();
+  n.vouchers.clear();
+  n.policy = std::make_unique<rollout::CanaryPolicy>(rollout::CanaryPolicy::Options{});
+  n.coordinator =
+      std::make_unique<rollout::RolloutCoordinator>(rollout::RolloutCoordinator::Options());
+  rollout::Observer::Options watch;
+  watch.self = member.self.id;
+  watch.boot_id = n.boot_id;
+  n.observer = std::make_unique<rollout::Observer>(watch);
+  if (!n.controller) return;
+  n.state = controller::ControlState();
+  n.assignment = std::make_unique<singleton::Assigner>(1000);
+  n.watched_epoch = n.sequence = 0;
+  n.poll_at = n.claim_at = n.join_at = 0;
+  consensus::RaftNode::Options raft;
+  raft.self.ip = n.address.ip;
+  raft.self.port = n.address.port;
+  raft.self.zone = n.zone;
+  raft.seed = random_.Next();
+  raft.tolerance = options_.tolerance;
+  raft.regions = options_.regions;
+  if (first && i < founders_.size()) {
+    raft.self.id = founders_[i].id;
+    raft.founders = founders_;
+    raft.cluster = 77;
+  } else {
+    raft.self.id = random_.Next() | 1;
+  }
+  n.raft = std::make_unique<consensus::RaftNode>(raft, n.disk, now);
+  for (auto& other : nodes_) n.raft->SetZone(other->address.ip, other->zone);
+  if (follower_) follower_->Started(i);
+}
+
+void World::Crash(size_t i) {
+  Node& n = *nodes_[i];
+  if (n.up && follower_) follower_->Crashed(i);
+  n.up = false;
+  n.writing.clear();  // what was not synced is gone
+  n.raft.reset();
+  n.disseminator.reset();
+  n.members.reset();
+}
+
+void World::Leave(size_t i) {
+  Node& n = *nodes_[i];
+  if (!n.up || n.frozen || n.leave_by) return;
+  n.members->Leave(now);
+  if (n.raft) {
+    n.raft->Leave();
+    n.raft->TransferLeadership(now);
+    n.leave_by = now + 5000;
+  }
+  Pump(i);
+  if (!n.raft) Crash(i);
+}
+
+void World::LosePower(size_t i) {
+  Node& n = *nodes_[i];
+  size_t kept = random_.Below(3) == 0 ? 0 : random_.Below(n.writing.size() + 1);
+  for (size_t k = 0; k < kept; ++k) Store(&n, n.writing[k].second);
+  Crash(i);
+}
+
+void World::Wipe(size_t i) {
+  Crash(i);
+  nodes_[i]->disk = consensus::RestoredState();
+}
+
+void World::Cut(size_t a, size_t b, bool cut) {
+  if (cut) {
+    cuts_.insert({std::min(a, b), std::max(a, b)});
+  } else {
+    cuts_.erase({std::min(a, b), std::max(a, b)});
+  }
+}
+
+void World::CutOneWay(size_t from, size_t to, bool cut) {
+  if (cut) {
+    one_way_cuts_.insert({from, to});
+  } else {
+    one_way_cuts_.erase({from, to});
+  }
+}
+
+void World::Isolate(size_t i, bool cut) {
+  for (size_t k = 0; k < nodes_.size(); ++k) {
+    if (k != i) Cut(i, k, cut);
+  }
+}
+
+void World::LoseDatagrams(size_t i, bool lose) {
+  if (lose) {
+    datagrams_lost_.insert(i);
+  } else {
+    datagrams_lost_.erase(i);
+  }
+}
+
+void World::LoseConnection(size_t from, size_t to, bool lose) {
+  if (lose) {
+    connections_lost_.insert({from, to});
+  } else {
+    connections_lost_.erase({from, to});
+  }
+}
+
+void World::HealAll() {
+  cuts_.clear();
+  one_way_cuts_.clear();
+  datagrams_lost_.clear();
+  connections_lost_.clear();
+  for (size_t i = 0; i < nodes_.size(); ++i) {
+    Freeze(i, false);
+    nodes_[i]->disk_hangs_until = 0;
+    if (nodes_[i]->leave_by) Crash(i);  // starts again at once instead of later
+    Start(i);
+  }
+}
+
+}  // namespace elderkeel::simulation
