--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -216,9 +216,12 @@
     follower.Turn(false);
     bool named = follower.raft().LeaderInContact(follower.now).has_value();
     // It may ask for votes before, and then names nobody; it never names the silent one later.
-    if (follower.now - reporting > timing.election_timeout) EXPECT_FALSE(named) << follower.now;
-    if (follower.now - reporting < timing.heartbeat_interval * 3)
+    if (follower.now - reporting > timing.election_timeout) {
+      EXPECT_FALSE(named) << follower.now;
+    }
+    if (follower.now - reporting < timing.heartbeat_interval * 3) {
       EXPECT_TRUE(named) << follower.now;
+    }
   }
   Founders leader;
   leader.Lead();
@@ -230,8 +233,12 @@
       EXPECT_FALSE(leader.raft().LeaderInContact(leader.now)) << silent;
     }
     // The last answer came within a heartbeat before the silence.
-    if (silent > timing.election_timeout * 2) EXPECT_FALSE(leader.raft().is_leader()) << silent;
-    if (silent < timing.election_timeout) EXPECT_TRUE(leader.raft().is_leader()) << silent;
+    if (silent > timing.election_timeout * 2) {
+      EXPECT_FALSE(leader.raft().is_leader()) << silent;
+    }
+    if (silent < timing.election_timeout) {
+      EXPECT_TRUE(leader.raft().is_leader()) << silent;
+    }
   }
   // One that was told to take over names nobody, least of all the one that handed over.
   Founders successor;
