--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -156,7 +156,14 @@
   std::string fault;
 };
 
-// The worst staleness of any proxy from when the trouble has lasted for kContactMs.
+// Until every node has a first configuration; not measured.
+void AdoptFirstChange(World* world, Staleness* staleness) {
+  staleness->Run(3000, false);
+  EXPECT_TRUE(world->Change());
+  staleness->Run(2000, false);
+}
+
+// The worst staleness of any proxy from when the fault has lasted for kContactMs.
 Worst Measure(Fault fault, int zones, int proxies_per_zone, int changes, uint64_t seed) {
   World::Options options;
   options.zones = zones;
@@ -167,9 +174,7 @@
   options.seed = seed;
   World world(options);
   Staleness staleness(&world);
-  staleness.Run(3000, false);
-  EXPECT_TRUE(world.Change());
-  staleness.Run(2000, false);
+  AdoptFirstChange(&world, &staleness);
   size_t leader = static_cast<size_t>(std::max(0, world.leader()));
   size_t controllers = static_cast<size_t>(options.controllers);
   size_t victim = fault == Fault::kLeaderCut ? leader : (leader + 1) % controllers;
@@ -191,9 +196,9 @@
 }
 
 void ExpectBounded(int zones, int proxies_per_zone, uint64_t seeds, int changes = kChanges,
-                   std::set<Fault> troubles = {}) {
+                   std::set<Fault> faults = {}) {
   for (const Case& c : kCases) {
-    if (!troubles.empty() && troubles.count(c.fault) == 0) continue;
+    if (!faults.empty() && faults.count(c.fault) == 0) continue;
     Worst worst;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       SCOPED_TRACE(std::string(c.name) + ", " + std::to_string(zones) + " zones of " +
@@ -214,7 +219,7 @@
   }
 }
 
-// What befalls one proxy of the zone whose controller is cut off from the core.
+// What happens to one proxy of the zone whose controller is cut off from the core.
 enum class Outcome { kThawed, kRejoined, kRestarted, kFullLink, kSilentConnections };
 
 struct OutcomeCase {
@@ -232,9 +237,7 @@
   options.seed = seed;
   World world(options);
   Staleness staleness(&world);
-  staleness.Run(3000, false);
-  EXPECT_TRUE(world.Change());
-  staleness.Run(2000, false);
+  AdoptFirstChange(&world, &staleness);
   size_t victim = (static_cast<size_t>(std::max(0, world.leader())) + 1) % 4;
   size_t proxy = 4 + victim;  // one of the same zone
   Begin(&world, Fault::kCut, victim, 4);
