--- a/src/forwarding/attempts.cc
+++ b/src/forwarding/attempts.cc
@@ -192,10 +192,9 @@
   return {};
 }
 
-void RequestRouter::SettleAttempt(PendingRequest* pending, Attempt* attempt, const Verdict& verdict,
-                                  int status) {
+void RequestRouter::SettleAttempt(base::Millis now, PendingRequest* pending, Attempt* attempt,
+                                  const Verdict& verdict, int status) {
   using VersionOutcome = rollout::CanaryPolicy::Outcome;
-  base::Millis now = base::SteadyMillis();
   base::Millis took = now - attempt->sent_at;
   bool maybe_run = verdict.outcome == AttemptOutcome::kMaybeRun;
   bool run = verdict.outcome == AttemptOutcome::kRun;
@@ -238,7 +237,8 @@
   const ServerState& state = balancer_.at(attempt.server);
   // The mean is of the version that most requests go to.
   bool counts = state.version_role == ServerState::VersionRole::kPrimary;
-  SettleAttempt(pending, &attempt, verdict, status);
+  base::Millis now = base::SteadyMillis();
+  SettleAttempt(now, pending, &attempt, verdict, status);
   uint32_t service = state.service;
   bool run = verdict.outcome == AttemptOutcome::kRun;
   if (pending->streaming == attempt.id) {
@@ -246,7 +246,7 @@
   } else if (run && IsFinal(status)) {
     if (IsSuccess(status) && counts) {
       double& mean_ms = MeanOf(pending->route_index);
-      auto latency_ms = static_cast<double>(base::SteadyMillis() - attempt.sent_at);
+      auto latency_ms = static_cast<double>(now - attempt.sent_at);
       mean_ms += kMeanWeight * (latency_ms - mean_ms);
     }
     bool success = IsSuccess(status);
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -114,6 +114,7 @@
  private:
   void RemoveInFlight(uint32_t server, base::Millis sent_at);
   static void UpdateLatencyRatio(ServerState* state, double latency_ratio);
+  void RecordFailure(base::Millis now, ServerState* state);
   void Eject(base::Millis now, ServerState* state);
   uint32_t AddServer(const discovery::Server& entry, const base::Address& address);
   void IndexByService();
--- a/src/forwarding/outlier_detection.cc
+++ b/src/forwarding/outlier_detection.cc
@@ -7,6 +7,7 @@
 namespace {
 constexpr double kLatencyWeight = 0.15;  // of the newest attempt in a latency ratio
 constexpr double kLimitGrowth = 0.25;    // of the limit, for each good answer
+constexpr int kFailuresToEject = 2;      // in a row
 constexpr double kSilentAge = 2.5;  // in mean latencies: an attempt given up after so long was late
 }  // namespace
 
@@ -38,7 +39,11 @@
   double age = static_cast<double>(now - sent_at) / std::max(1.0, mean_ms);
   if (age < kSilentAge || now < state.slow_start_until) return;
   if (age > state.latency_ratio) UpdateLatencyRatio(&state, age);
-  if (++state.failures >= 2 || state.probation) Eject(now, &state);
+  RecordFailure(now, &state);
+}
+
+void LoadBalancer::RecordFailure(base::Millis now, ServerState* state) {
+  if (++state->failures >= kFailuresToEject || state->probation) Eject(now, state);
 }
 
 void LoadBalancer::Eject(base::Millis now, ServerState* state) {
@@ -66,14 +71,14 @@
       break;
     case Signal::kBroken:
       state.limit = std::max(1.0, state.limit / 2);
-      if (++state.failures >= 2 || state.probation) Eject(now, &state);
+      RecordFailure(now, &state);
       break;
     case Signal::kUnreachable:
       ++state.failures;
       Eject(now, &state);
       break;
     case Signal::kMisplaced:
-      // Its address is another'state: gone, whatever an older list may say.
+      // Its address is another's: gone, whatever an older list may say.
       state.failures += 4;
       state.ejected_until = now + options_.longest_ejection;
       break;
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -60,10 +60,10 @@
   return !target.empty() && target[0] == '/' && target.find('#') == std::string::npos;
 }
 
-// The milliseconds that the client states; -1 if malformed.
-int64_t StatedRemaining(const Message& request, int64_t otherwise) {
+// The milliseconds that the client gives; -1 if malformed, no bound if it states none.
+int64_t StatedRemaining(const Message& request) {
   const std::string* text = request.Find(kRemainingHeader);
-  return text ? wire::ParseDecimal(*text) : otherwise;
+  return text ? wire::ParseDecimal(*text) : INT64_MAX;
 }
 
 }  // namespace
@@ -202,7 +202,9 @@
 }
 
 RequestRouter::Rejection RequestRouter::RejectionOf(const Message& request,
-                                                    const configuration::Route* route) const {
+                                                    const std::string& attempt_id,
+                                                    const configuration::Route* route,
+                                                    int64_t remaining_ms) const {
   if (request.method == "CONNECT" || request.method == "TRACE") {
     return {405, "method not forwarded"};
   }
@@ -211,12 +213,11 @@
     return {503, "the configuration may be out of date"};
   }
   if (!route) return {404, "no route"};
-  const std::string* attempt_id = request.Find(kAttemptIdHeader);
-  if (!attempt_id || attempt_id->empty() || request.Count(kAttemptIdHeader) != 1) {
+  if (attempt_id.empty() || request.Count(kAttemptIdHeader) != 1) {
     return {400, "needs one attempt id"};
   }
   if (request.Count(kRemainingHeader) > 1) return {400, "two deadlines"};
-  if (StatedRemaining(request, 0) < 0) return {400, "malformed deadline"};
+  if (remaining_ms < 0) return {400, "malformed deadline"};
   return {};
 }
 
@@ -244,12 +245,13 @@
     return;
   }
   const configuration::Route* route = MatchRoute(request);
-  if (Rejection rejection = RejectionOf(request, route); rejection.status != 0) {
+  int64_t remaining_ms = StatedRemaining(request);
+  Rejection rejection = RejectionOf(request, attempt_id, route, remaining_ms);
+  if (rejection.status != 0) {
     Reject(ticket, rejection, attempt_id);
     return;
   }
-  base::Millis remaining_ms =
-      std::min<int64_t>(route->timeout_ms, StatedRemaining(request, route->timeout_ms));
+  remaining_ms = std::min<int64_t>(route->timeout_ms, remaining_ms);
   PendingRequest* pending = Admit(ticket, std::move(request), *route, remaining_ms);
   pending->attempt_id = std::move(attempt_id);
   pending->service = table_->Pick(*route, base::Hash(pending->attempt_id));
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -128,7 +128,8 @@
     bool close = false;
   };
   Rejection RejectionOfState() const;
-  Rejection RejectionOf(const wire::Message& request, const configuration::Route* route) const;
+  Rejection RejectionOf(const wire::Message& request, const std::string& attempt_id,
+                        const configuration::Route* route, int64_t remaining_ms) const;
   void Reject(Ticket ticket, const Rejection& rejection, const std::string& attempt_id);
   PendingRequest* Admit(Ticket ticket, wire::Message&& request, const configuration::Route& route,
                         base::Millis remaining_ms);
@@ -153,7 +154,8 @@
   void OnOutcome(Ticket ticket, uint64_t attempt, Outcome&& outcome);
   static Verdict Judge(const PendingRequest& pending, const Outcome& outcome);
   // Tells all that learn from it how the attempt ended. Takes its connection.
-  void SettleAttempt(PendingRequest* pending, Attempt* attempt, const Verdict& verdict, int status);
+  void SettleAttempt(base::Millis now, PendingRequest* pending, Attempt* attempt,
+                     const Verdict& verdict, int status);
   void NoteAttemptEnded(base::Millis now, uint32_t server);
   void OnServerAnswer(PendingRequest* pending, const wire::Message& answer, Verdict* verdict);
   void FinishStream(PendingRequest* pending, int status, const Verdict& verdict);
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -58,15 +58,15 @@
                                       const Choose& choose) const {
   if (!policy_.active()) return choose(false);
   const std::string& service = services_->Name(pending.service);
-  bool retries_to_secondary = policy_.RetriesToSecondary(now, service);
-  bool secondary = retries_to_secondary;
-  if (pending.tried.empty()) {
-    secondary = policy_.TakesSecondary(now, service, base::Hash(pending.attempt_id));
-  }
+  bool secondary = pending.tried.empty()
+                       ? policy_.TakesSecondary(now, service, base::Hash(pending.attempt_id))
+                       : policy_.RetriesToSecondary(now, service);
   uint32_t server = secondary ? choose(true) : LoadBalancer::kNone;
   if (server == LoadBalancer::kNone) server = choose(false);
   // While traffic shifts, what one version has no room for goes to the other.
-  if (server == LoadBalancer::kNone && retries_to_secondary) server = choose(true);
+  if (server == LoadBalancer::kNone && policy_.RetriesToSecondary(now, service)) {
+    server = choose(true);
+  }
   return server;
 }
 
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -208,12 +208,13 @@
   }
   bool changed =
       record->state != node.state || record->boot_id != node.boot_id || record->ready != node.ready;
-  table_.Store(node);
   auto last = last_heartbeat_at_.find(node.id);
   if (last != last_heartbeat_at_.end()) last->second = now;
-  if (!changed) return;
-  effects_.changed.push_back(node);
-  QueueGossip(node);
+  if (changed) {
+    Change(node);
+  } else {
+    table_.Store(node);
+  }
 }
 
 // What others say of this process: refuted if it is wrong.
--- a/src/proxy/fallback_reader.cc
+++ b/src/proxy/fallback_reader.cc
@@ -29,7 +29,6 @@
   base::Millis age = node_->disseminator().endpoints_read_age(now);
   base::Millis patience = age < 0 ? kFirstEndpointsMs : settings_->stale_catalog_ms;
   if (platform_.busy() || now < next_read_at_) return;
-  base::Millis every = ReadEvery();
   if (next_read_at_ == 0) {
     // Staggered by id, so that nodes that start together do not ask together.
     auto stagger = static_cast<base::Millis>(node_->membership().self().id % kStaggerMs);
@@ -37,7 +36,7 @@
     return;
   }
   if (age >= 0 && age < patience) return;
-  next_read_at_ = now + every;
+  next_read_at_ = now + ReadEvery();
   platform_.Read([this](base::Result<std::vector<discovery::Server>> servers) {
     if (!servers) {
       base::Warn("catalog.read_failed", servers.error());
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -244,8 +244,9 @@
     OnNodesChanged();
   }
   rollout_reporter_->Tick(now);
-  confirmation_->Review(now);
-  if (!lifecycle_.leaving()) {
+  if (lifecycle_.leaving()) {
+    confirmation_->Review(now);
+  } else {
     confirmation_->Tick(now);
     fallback_reader_->Tick(now);
   }
