--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -49,7 +49,7 @@
 // are caught up before they get a vote. docs/consensus.md says where it departs from the paper and
 // why.
 //
-// Invariants, beyond those of the paper (figure 3), each checked by tests/model_checker.h:
+// Invariants, beyond those of the paper (figure 3), each checked by tests/consensus/model.h:
 // - Nothing that rests on a write leaves before the write is finished: a vote, an acknowledgement,
 //   a term. An entry counts for a member, the leader included, once that member has synced it.
 // - An entry is committed once it is on a majority, and on as many voters, zones and regions as it
@@ -247,7 +247,7 @@
   void SendSnapshot(base::Millis now, PeerProgress* peer, bool heartbeat);
   void ChooseSnapshot(base::Millis now, PeerProgress* peer);
   void OnInstallSnapshot(base::Millis now, const Message& message, const base::Address& from);
-  enum class Part : uint8_t { kIgnored, kMaxApplied, kMisplaced, kLast };
+  enum class Part : uint8_t { kIgnored, kTaken, kMisplaced, kLast };
   Part TakePart(const Message& message);
   void OnInstallSnapshotReply(base::Millis now, const Message& message);
   void InstallSnapshot(Snapshot snapshot);
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -83,7 +83,7 @@
     if (taken == Part::kIgnored) return;
     if (taken != Part::kLast) {
       Message reply = MakeMessage(MessageType::kInstallSnapshotReply, message.from);
-      reply.granted = taken == Part::kMaxApplied;
+      reply.granted = taken == Part::kTaken;
       reply.index = part.index;
       reply.offset = incoming_->snapshot.state.size();
       reply.round = message.round;
@@ -117,7 +117,7 @@
   if (message.offset + part.state.size() > state.size()) {
     state.append(part.state, state.size() - message.offset);
   }
-  return state.size() < message.total ? Part::kMaxApplied : Part::kLast;
+  return state.size() < message.total ? Part::kTaken : Part::kLast;
 }
 
 void RaftNode::InstallSnapshot(Snapshot snapshot) {
