--- a/src/consensus/compaction.cc
+++ b/src/consensus/compaction.cc
@@ -1,4 +1,5 @@
-// Replacing the beginning of the log by a snapshot of the state it leads to (Raft, section 7).
+// Log compaction of a RaftNode: replaces the beginning of the log by a snapshot of the resulting
+// state (Raft, section 7).
 #include <algorithm>
 #include <utility>
 
@@ -6,15 +7,16 @@
 
 namespace elderkeel::consensus {
 namespace {
-// Entries in memory before the log is compacted, and bytes after the snapshot: so many, or twice
-// the snapshot's own if that is more.
+// The log is compacted when it holds more entries than this, or when the data of the entries after
+// the snapshot exceeds both this number of bytes and twice the size of the snapshot's state.
 constexpr size_t kCompactAfterEntries = 96;
 constexpr size_t kCompactAfterBytes = 1 << 20;
-// Entries kept behind a snapshot for members that are a little behind, and their bytes: so many, or
-// as many as the snapshot has if that is more.
+// Entries before the end of a snapshot that are kept for members that lag a little, at most so many
+// entries, and at most so many bytes or the size of the snapshot's state, whichever is more.
 constexpr Index kTailEntries = 32;
 constexpr size_t kTailBytes = 1 << 20;
-// What is kept at the most for members that are being caught up.
+// Limits for the entries that are kept for members that are being caught up. Beyond either of them
+// nothing is kept for these members.
 constexpr size_t kMaxKeptEntries = 512;
 constexpr size_t kMaxKeptBytes = 4u << 20;
 }  // namespace
@@ -45,27 +47,28 @@
   write.drop_to = *drop_to;
 }
 
-// The entry up to which nobody who is being caught up needs the log. A member that got a snapshot
-// goes on with the entries after it; if they were gone it would need the next one, and never end.
-Index RaftNode::LastIndexNotNeeded(base::Millis now) const {
+// The last entry that no member that is being caught up needs any more. A member that has received
+// a snapshot continues with the entries after it; if they had been compacted away it would need the
+// next snapshot, and might never catch up.
+Index RaftNode::LastUnneededIndex(base::Millis now) const {
   Index unneeded = log_.last_index();
   for (const auto& [id, peer] : progress_) {
     if (!ContactedWithin(now, id, timing_.election_timeout * 2)) continue;
     Index from = peer.snapshot ? peer.snapshot->index : peer.match_index;
-    // That entry itself is needed too: what follows is matched by its term.
+    // This entry itself is needed too: AppendEntries carries its term to match the log.
     if (log_.Find(from)) unneeded = std::min(unneeded, from - 1);
   }
   size_t bytes = 0;
   for (const Entry& entry : log_.entries()) bytes += entry.index > unneeded ? entry.data.size() : 0;
-  bool too_much = bytes > kMaxKeptBytes || log_.last_index() - unneeded > kMaxKeptEntries;
-  return too_much ? log_.last_index() : unneeded;
+  bool over_limit = bytes > kMaxKeptBytes || log_.last_index() - unneeded > kMaxKeptEntries;
+  return over_limit ? log_.last_index() : unneeded;
 }
 
-// Up to which entry the log is truncated by a snapshot up to `index` with so many bytes; none if
-// all of it is still needed.
+// The last entry that is dropped from the log when a snapshot up to `index` with `state_bytes` is
+// taken; nullopt if members that are being caught up need all entries.
 std::optional<Index> RaftNode::TruncationPoint(Index index, size_t state_bytes) const {
   const std::vector<Entry>& entries = log_.entries();
-  // Whoever is behind the tail gets the snapshot, so a tail that is larger saves nothing.
+  // A member that lags behind the tail gets the snapshot, so a tail larger than it saves nothing.
   size_t tail_bytes = std::max(kTailBytes, state_bytes);
   Index tail = index;
   for (auto entry = entries.rbegin(); entry != entries.rend() && tail + kTailEntries > index;
@@ -75,7 +78,7 @@
     tail_bytes -= entry->data.size();
     tail = entry->index - 1;
   }
-  Index drop_to = std::min(tail, LastIndexNotNeeded(now_));
+  Index drop_to = std::min(tail, LastUnneededIndex(now_));
   if (drop_to < tail && (entries.empty() || drop_to < entries.front().index)) return std::nullopt;
   return drop_to;
 }
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -1,4 +1,4 @@
-// Terms and votes: pre-vote, elections, stepping down, handing leadership over.
+// Terms and votes of a RaftNode: pre-vote, elections, stepping down, leadership transfer.
 #include <utility>
 
 #include "consensus/raft_node.h"
@@ -6,15 +6,15 @@
 namespace elderkeel::consensus {
 
 void RaftNode::ResetElectionTimer(base::Millis now) {
-  base::Millis shortest = timing_.election_timeout;
+  base::Millis minimum = timing_.election_timeout;
   base::Millis spread = timing_.election_timeout;
   if (no_leader_seen_) {
-    // There may be no leader to wait for, and a pre-vote disturbs none.
-    shortest = timing_.startup_election_timeout;
+    // After a start there may be no leader to wait for, and a pre-vote doesn't disturb one.
+    minimum = timing_.startup_election_timeout;
     spread = timing_.startup_election_timeout * 4;
   }
-  base::Millis drawn = static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(spread)));
-  election_at_ = now + shortest + drawn;
+  base::Millis jitter = static_cast<base::Millis>(random_.Below(static_cast<uint64_t>(spread)));
+  election_at_ = now + minimum + jitter;
 }
 
 void RaftNode::BecomeFollower(base::Millis now, Term term, MemberId leader) {
@@ -45,13 +45,13 @@
     StartElection(now);
     return;
   }
-  AskForVotes(MessageType::kPreVote, term() + 1, pre_vote_round_, SendWhen::kNow);
+  RequestVotes(MessageType::kPreVote, term() + 1, pre_vote_round_, SendWhen::kNow);
 }
 
 void RaftNode::StartElection(base::Millis now) {
   role_ = Role::kCandidate;
   effects_.role_changed = true;
-  leader_id_ = 0;  // one that handed over leads no more
+  leader_id_ = 0;  // still set after a kTimeoutNow: the leader that transferred its leadership
   last_leader_round_ = 0;
   SetHardState(term() + 1, self_.id);
   votes_ = {self_.id};
@@ -60,10 +60,10 @@
     BecomeLeader(now);
     return;
   }
-  AskForVotes(MessageType::kRequestVote, term(), 0, SendWhen::kWritesFinished);
+  RequestVotes(MessageType::kRequestVote, term(), 0, SendWhen::kWritesFinished);
 }
 
-void RaftNode::AskForVotes(MessageType type, Term term, uint64_t round, SendWhen when) {
+void RaftNode::RequestVotes(MessageType type, Term term, uint64_t round, SendWhen when) {
   for (const Member& voter : voters_) {
     if (voter.id == self_.id) continue;
     Message message = MakeMessage(type, voter.id);
@@ -86,29 +86,29 @@
   Broadcast(now);
 }
 
-// A pre-vote is refused while a leader is alive: a member that comes back from a partition must not
-// depose a leader that serves the others well.
+// A pre-vote is refused while another leader is in contact: otherwise a member that returns from a
+// partition would depose a working leader.
 void RaftNode::OnPreVote(base::Millis now, const Message& message, const base::Address& from) {
-  bool hears_leader = leader_id_ && leader_id_ != message.from &&
-                      now - last_leader_contact_ < timing_.election_timeout;
+  bool has_live_leader = leader_id_ && leader_id_ != message.from &&
+                         now - last_leader_contact_ < timing_.election_timeout;
   Message reply = MakeMessage(MessageType::kPreVoteReply, message.from);
   reply.granted = log_.IsCoveredBy(message.index, message.log_term) && !is_leader() &&
-                  !hears_leader && message.term > term();
+                  !has_live_leader && message.term > term();
   if (reply.granted) reply.term = message.term;
   reply.round = message.round;
   Send(from, std::move(reply), SendWhen::kNow);
 }
 
-// A grant is no promise, and a leader may have been elected since: only grants to the pre-vote that
-// is under way count.
+// A granted pre-vote doesn't bind the voter, and a leader may have been elected since: only replies
+// to the current pre-vote count.
 void RaftNode::OnPreVoteReply(base::Millis now, const Message& message) {
   if (!message.granted) {
     if (message.term > term()) BecomeFollower(now, message.term, 0);
     return;
   }
-  bool under_way = role_ == Role::kPreCandidate && message.term == term() + 1 &&
-                   message.round == pre_vote_round_;
-  if (!under_way || !IsVoter(message.from)) return;
+  bool is_current = role_ == Role::kPreCandidate && message.term == term() + 1 &&
+                    message.round == pre_vote_round_;
+  if (!is_current || !IsVoter(message.from)) return;
   votes_.insert(message.from);
   if (votes_.size() >= Majority()) StartElection(now);
 }
@@ -116,10 +116,10 @@
 // A follower refuses its vote to a candidate whose log is behind its own, and to a second candidate
 // of the same term (Raft, sections 5.2 and 5.4.1).
 void RaftNode::OnRequestVote(base::Millis now, const Message& message, const base::Address& from) {
-  bool free = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
+  bool can_vote = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
   Message reply = MakeMessage(MessageType::kRequestVoteReply, message.from);
   reply.granted =
-      log_.IsCoveredBy(message.index, message.log_term) && free && role_ == Role::kFollower;
+      log_.IsCoveredBy(message.index, message.log_term) && can_vote && role_ == Role::kFollower;
   if (reply.granted) {
     SetHardState(term(), message.from);
     ResetElectionTimer(now);
@@ -148,7 +148,8 @@
   Send(best->member.address(), std::move(message), SendWhen::kNow);
 }
 
-// A leader that was heard after it handed over has not stepped down.
+// A kTimeoutNow older than the leader's newest message is ignored: the leader has continued to lead
+// after it.
 void RaftNode::OnTimeoutNow(base::Millis now, const Message& message) {
   if (role_ != Role::kFollower || leaving_ || !IsVoter(self_.id)) return;
   if (message.round < last_leader_round_) return;
@@ -159,8 +160,8 @@
   std::vector<base::Millis> contacts;
   for (const Member& voter : voters_) {
     auto peer = progress_.find(voter.id);
-    base::Millis known = peer == progress_.end() ? 0 : peer->second.last_contact;
-    contacts.push_back(voter.id == self_.id ? now_ : known);
+    base::Millis contact = peer == progress_.end() ? 0 : peer->second.last_contact;
+    contacts.push_back(voter.id == self_.id ? now_ : contact);
   }
   return contacts.empty() ? 0 : ReachedByMajority(std::move(contacts));
 }
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -9,42 +9,44 @@
 
 namespace elderkeel::consensus {
 
-// What members of the log send each other. The names are those of the Raft paper, where it has one.
-// The numbers are on the wire.
+// Types of the messages between members. The names are those of the Raft paper where it has one.
+// The numeric values are part of the wire format.
 enum class MessageType : uint8_t {
-  kPreVote,       // would you vote for me in the next term?
+  kPreVote,       // asks whether a vote would be granted in the next term
   kPreVoteReply,  // `granted`
   kRequestVote,
   kRequestVoteReply,
   kAppendEntries,
   kAppendEntriesReply,
-  kInstallSnapshot,       // a part of a snapshot's state
-  kTimeoutNow,            // leadership is handed over: start an election at once
-  kLeave,                 // a voter that is about to stop asks to give up its vote
-  kLeaveReply,            // `granted`: what it holds is replicated elsewhere, it may stop
-  kInstallSnapshotReply,  // how much has arrived; the last part is answered by kAppendEntriesReply
-  kStateLost,             // to a member that no longer holds what it had acknowledged
+  kInstallSnapshot,       // one chunk of a snapshot's state
+  kTimeoutNow,            // leadership transfer: the receiver starts an election at once
+  kLeave,                 // a member that shuts down asks the leader to release it
+  kLeaveReply,            // `granted`: committed entries have enough other replicas, it may stop
+  kInstallSnapshotReply,  // bytes received so far; kAppendEntriesReply answers the last chunk
+  kStateLost,             // to a member that lacks entries which it had acknowledged
 };
 
+// A message of any type. Fields that a type doesn't use keep their defaults.
 struct Message {
   MessageType type = MessageType::kAppendEntries;
   uint64_t cluster = 0;
   MemberId from = 0;
   MemberId to = 0;
   Term term = 0;
-  // Of a candidate: its last index. Of a leader: the index before `entries`. Of a reply: the last
-  // index that matches, or, in a rejection, that may match.
+  // From a candidate: its last index. From a leader: the index before `entries`. In a reply to
+  // AppendEntries: the last index that matches, or, in a rejection, the last that may match. In a
+  // reply to a chunk: the index of its snapshot.
   Index index = 0;
   Term log_term = 0;  // of the entry at `index`
   Index commit = 0;
-  // Numbers what one member sends; replies echo it. It tells late replies and late messages apart
-  // from the newest, and confirms reads.
+  // Increases with each numbered message of a member; replies echo it. It identifies late messages
+  // and late replies, and confirms reads.
   uint64_t round = 0;
-  bool granted = false;  // a vote was given, entries or a part of a snapshot were taken
+  bool granted = false;  // in a reply: the vote, entries, chunk or request was accepted
   std::vector<Entry> entries;
-  std::vector<Snapshot> snapshot;  // none or one, with a part of its state
-  uint64_t offset = 0;             // where that part begins; in a reply, how much has arrived
-  uint64_t total = 0;              // bytes of the whole state
+  std::vector<Snapshot> snapshot;  // none or one, with one chunk of its state
+  uint64_t offset = 0;             // of the chunk, in bytes; in a reply, the bytes received so far
+  uint64_t total = 0;              // bytes of the complete state
   template <class Archive>
   void serialize(Archive& archive) {
     archive(type, cluster, from, to, term, index, log_term, commit, round, granted, entries,
@@ -52,6 +54,7 @@
   }
 };
 
+// A message and the address that the caller sends it to.
 struct OutgoingMessage {
   base::Address to;
   Message message;
--- a/src/consensus/peer_progress.cc
+++ b/src/consensus/peer_progress.cc
@@ -22,12 +22,12 @@
 void SendWindow::OnReply(base::Millis now, uint64_t round, base::Millis heartbeat_interval) {
   while (!in_flight_.empty() && in_flight_.front().round <= round) {
     const InFlight& message = in_flight_.front();
-    base::Millis took = now - message.sent_at;
+    base::Millis reply_time = now - message.sent_at;
     bool filled = message.bytes * 2 >= size_bytes_;
     bool answered = message.round == round;
-    if (answered && filled && took <= heartbeat_interval) {
+    if (answered && filled && reply_time <= heartbeat_interval) {
       size_bytes_ = std::min(size_bytes_ * 2, kMaxBytes);
-    } else if (answered && took > heartbeat_interval * 2) {
+    } else if (answered && reply_time > heartbeat_interval * 2) {
       size_bytes_ = std::max(size_bytes_ / 2, kMinBytes);
     }
     in_flight_bytes_ -= message.bytes;
--- a/src/consensus/peer_progress.h
+++ b/src/consensus/peer_progress.h
@@ -9,23 +9,28 @@
 
 namespace elderkeel::consensus {
 
-// Flow control of what a leader sends to one member: the bytes that are sent and not answered yet
-// stay within a window, which grows while answers come quickly and shrinks while they are slow. On
-// a slow link these bytes are what a heartbeat waits behind.
+// Flow control for what a leader sends to one member. It limits the bytes in flight (sent and not
+// yet answered) to a window that doubles when replies are fast and halves when they are slow.
+// Without the limit, heartbeats would queue behind these bytes on a slow link.
 class SendWindow {
  public:
+  // A message that was sent and not yet answered.
   struct InFlight {
     uint64_t round;
     size_t bytes;
     base::Millis sent_at;
   };
 
-  // Whether `bytes` more may be sent, on top of `queued` that are to go out with them. A message
-  // that is larger than the window goes alone.
+  // Whether `bytes` more may be sent, in addition to `queued` bytes that are about to be sent. If
+  // nothing is in flight or queued, any size is allowed: a message may exceed the window.
   bool HasRoom(size_t queued, size_t bytes) const;
+  // Records a sent message. REQUIRES: `round` is higher than that of any message in flight.
   void OnSent(base::Millis now, uint64_t round, size_t bytes);
-  // A message was answered: what was sent up to it is no longer in flight.
+  // A reply to message `round` has arrived: this message and all before it are no longer in flight.
+  // Doubles the window if the message filled at least half of it and the reply took at most one
+  // heartbeat interval; halves it if the reply took more than two.
   void OnReply(base::Millis now, uint64_t round, base::Millis heartbeat_interval);
+  // Forgets all messages in flight; the window keeps its size.
   void Clear();
 
   size_t size_bytes() const { return size_bytes_; }
@@ -40,29 +45,30 @@
   std::deque<InFlight> in_flight_;  // by round
 };
 
-// What a leader knows of one other member.
+// A leader's replication state for one other member, a voter or a learner.
 struct PeerProgress {
   Member member;
   bool is_voter = false;
-  // The last entry that the member is known to have synced, and the next to be sent to it.
+  // The last entry that the member acknowledged as synced, and the next to be sent to it.
   Index match_index = 0;
   Index next_index = 1;
   base::Millis last_contact = 0;
   SendWindow window;
 
-  // Rounds of messages, by which a late reply is told from the newest.
-  uint64_t last_reply_round = 0;    // of its newest reply
-  uint64_t acknowledged_round = 0;  // the newest sent when match_index last grew
-  uint64_t rewound_round = 0;       // the newest sent when next_index or the offset went back
+  // Rounds of messages, to detect late replies.
+  uint64_t last_reply_round = 0;    // the highest round that the member answered
+  uint64_t acknowledged_round = 0;  // the highest sent when match_index last increased
+  uint64_t rewound_round = 0;       // the highest sent when next_index or the offset was decreased
 
-  // The snapshot that is being sent, and how much of its state was. It stays the same to its end,
-  // whatever was compacted since.
+  // The snapshot that is being sent, null if none, and the bytes of its state that were sent. A
+  // transfer continues with this snapshot even if the log was compacted again since.
   std::shared_ptr<const Snapshot> snapshot;
   size_t snapshot_offset = 0;
 
-  // It lacks what it had acknowledged: it counts for nothing.
+  // The member lacks entries that it had acknowledged. It counts neither for commits nor for the
+  // leader's quorum.
   bool state_lost = false;
-  // When it last asked to be let go; -1 for never.
+  // When the member last sent a kLeave; -1 for never.
   base::Millis leave_requested_at = -1;
 };
 
--- a/src/consensus/pending_reads.h
+++ b/src/consensus/pending_reads.h
@@ -5,14 +5,16 @@
 
 namespace elderkeel::consensus {
 
-// Reads that wait until a majority has answered a message that was sent after they were asked for
-// (Raft, section 8: a leader confirms that it has not been deposed before it answers).
+// A leader's reads that wait for confirmation: a majority must answer a message that was sent after
+// the read was requested. Otherwise a leader that was deposed meanwhile could return stale data
+// (Raft, section 8).
 class PendingReads {
  public:
-  // The read is confirmed by answers to `round` or to a later message.
+  // Adds a read that is confirmed by replies to message `round` or to a later one.
   void Add(uint64_t token, uint64_t round) { reads_.push_back({token, round}); }
-  // The tokens of those that answers up to `round` confirm; they are pending no more.
+  // Removes the reads that a majority's replies up to `round` confirm; returns their tokens.
   std::vector<uint64_t> TakeConfirmed(uint64_t round);
+  // Removes all reads and returns their tokens.
   std::vector<uint64_t> TakeAll() { return TakeConfirmed(UINT64_MAX); }
 
  private:
@@ -20,7 +22,7 @@
     uint64_t token;
     uint64_t round;
   };
-  std::vector<Read> reads_;  // as they came
+  std::vector<Read> reads_;  // in the order of Add()
 };
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/pending_writes.h
+++ b/src/consensus/pending_writes.h
@@ -10,39 +10,45 @@
 
 namespace elderkeel::consensus {
 
-// The writes that were handed to the store and are not finished, what of the log is durable by
-// those that are, and the messages that rest on a write and must not leave before it is finished.
+// Tracks the writes that were passed to the store: which are unfinished, up to which entry the
+// finished ones make the log durable, and which messages must not be sent before a write is
+// finished because they depend on it.
 class PendingWrites {
  public:
+  // A message that must not be sent before a write is finished.
   struct DeferredMessage {
-    uint64_t after = 0;  // the write that it waits for
+    uint64_t after = 0;  // sequence number of the write that it waits for
     OutgoingMessage message;
   };
 
-  // Begins a write; its sequence number.
+  // Begins a write and returns its sequence number.
   uint64_t Start(base::Millis now);
-  // The write covers the log up to `last`.
+  // The write, once finished, makes the log durable up to `last`.
   void Cover(uint64_t sequence, Index last) { covers_[sequence] = last; }
-  // The log ends with `last` now: what came after it counts for nothing, written or not.
+  // The log was truncated after `last`: later entries no longer count as durable, even if their
+  // write was finished.
   void OnTruncated(Index last);
-  // The log up to `last` is on disk, or goes there as a whole with one write.
+  // The log was loaded from disk or replaced by a snapshot, up to `last`. It counts as durable at
+  // once; replies that depend on the write of the snapshot are deferred.
   void OnReplaced(Index last);
-  // The store has finished a write, and so all before it; the log ends with `last_index` now.
+  // The store has finished this write and all before it; the log now ends with `last_index`.
   void OnFinished(uint64_t sequence, Index last_index);
 
   bool AllFinished() const { return finished_ == started_; }
-  // Whether the oldest unfinished write is older than `timeout`.
+  // Whether the oldest unfinished write was started more than `timeout` ago.
   bool IsStalled(base::Millis now, base::Millis timeout) const;
-  // The last entry that is synced, of the log as it is now.
+  // The last entry of the current log that is durable.
   Index durable_index() const { return durable_index_; }
 
-  // Keeps a message back until all writes started so far are finished. Of many the oldest go.
+  // Defers a message until all writes started so far are finished. If more than kMaxDeferred are
+  // waiting already, the oldest is dropped.
   void Defer(OutgoingMessage message);
-  // Those that need wait no more, in order.
+  // Removes and returns the messages whose writes are finished, in the order of Defer().
   std::vector<OutgoingMessage> TakeReady();
+  // Drops all deferred messages: after a failed write none of them may be sent.
   void DropDeferred() { deferred_.clear(); }
 
-  // For tests.
+  // For the digest of the model checker.
   uint64_t unfinished() const { return started_ - finished_; }
   uint64_t finished() const { return finished_; }
   const std::map<uint64_t, Index>& covers() const { return covers_; }
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -26,10 +26,10 @@
       regions_(options.regions),
       random_(options.seed),
       now_(now),
-      // No reply to an earlier incarnation of this process fits.
+      // Starts at random, so that replies to an earlier incarnation of this process match no round.
       round_(base::Random(~options.seed).Next() >> 16) {
   if (restored.empty) {
-    BeginEmpty(std::move(options));
+    InitializeEmpty(std::move(options));
   } else {
     hard_state_ = restored.hard_state;
     self_.id = hard_state_.self;
@@ -39,19 +39,20 @@
   pending_writes_.OnReplaced(log_.last_index());
   ReloadVoters();
   if (log_.snapshot().index > 0) effects_.installed.push_back(log_.snapshot());
-  // What was known to be committed is so still, and can be used before there is a leader.
+  // Entries that were committed before the restart stay committed and are applied before a leader
+  // is elected.
   commit_index_ = std::max(commit_index_, std::min(restored.commit, log_.last_index()));
   recorded_commit_ = commit_index_;
   ApplyCommitted();
   ResetElectionTimer(now);
 }
 
-void RaftNode::BeginEmpty(Options options) {
+void RaftNode::InitializeEmpty(Options options) {
   hard_state_.cluster = options.cluster;
   hard_state_.self = self_.id;
   if (!options.founders.empty()) {
-    // The initial voters begin from the same snapshot, so that they are part of the log's history
-    // on every one of them.
+    // All initial voters start from the same snapshot, so that the log of each of them contains the
+    // same set of voters.
     Snapshot first;
     first.index = 1;
     first.term = 1;
@@ -67,8 +68,9 @@
   base::Millis gap = now - now_;
   now_ = std::max(now_, now);
   if (gap <= (is_leader() ? timing_.election_timeout * 2 : timing_.election_timeout)) return;
-  // What was received before says nothing about now, and neither does what waited meanwhile. Give a
-  // leader time to be heard.
+  // The process was suspended. Earlier contact times are outdated, messages that queued up
+  // meanwhile may be as well, and another leader may have been elected. The restarted election
+  // timer gives that leader time to make contact.
   BecomeFollower(now, term(), 0);
 }
 
@@ -89,7 +91,8 @@
 }
 
 void RaftNode::TickLeader(base::Millis now) {
-  // Check-quorum: by the longest election timeout, others lead where it hears no majority.
+  // Check-quorum: without contact to a majority for the longest election timeout, another member
+  // may have been elected.
   if (now - LastMajorityContact() > timing_.election_timeout * 2) {
     BecomeFollower(now, term(), 0);
     return;
@@ -97,23 +100,27 @@
   if (IsDiskStalled(now)) {
     TransferLeadership(now);
     BecomeFollower(now, term(), 0);
-    // It may vote again when its disk answers; until then others are better placed.
+    // Delays its own candidacy, so that a member whose disk works is elected first. The votes that
+    // it grants are sent once its disk has finished the writes.
     election_at_ = now + timing_.election_timeout * 4;
     return;
   }
-  // The message that hands over may be lost, or arrive after a heartbeat that revokes it.
+  // Retries, since a kTimeoutNow may be lost, and a follower ignores one that arrives after a newer
+  // heartbeat.
   if (leaving_ && now >= leave_retry_at_) {
     leave_retry_at_ = now + timing_.election_timeout / 2;
     TransferLeadership(now);
   }
-  ReviewVoters(now);  // not only with heartbeats: while changes go out none is due
+  // Not only with heartbeats: every Broadcast() postpones the next one, so that frequent proposals
+  // would delay changes of the voters without limit.
+  ReviewVoters(now);
   if (now < heartbeat_at_) return;
   Broadcast(now);
   auto in_contact = [&](const auto& peer) {
     return now - peer.second.last_contact < timing_.election_timeout;
   };
-  bool alone = std::none_of(progress_.begin(), progress_.end(), in_contact);
-  if (leaving_ && alone) may_stop_ = true;  // nobody is left to hand over to
+  bool isolated = std::none_of(progress_.begin(), progress_.end(), in_contact);
+  if (leaving_ && isolated) may_stop_ = true;  // no member is left to transfer leadership to
 }
 
 void RaftNode::TickFollower(base::Millis now) {
@@ -137,16 +144,17 @@
   if (message.type == MessageType::kPreVoteReply) return OnPreVoteReply(now, message);
   bool from_leader =
       message.type == MessageType::kAppendEntries || message.type == MessageType::kInstallSnapshot;
-  // A vote asked for while a leader is heard is a disturbance, unless that leader handed over.
+  // A higher term always applies, even in a kRequestVote while a leader is in contact: a candidate
+  // has won a pre-vote before, or received kTimeoutNow from the leader.
   if (message.term > term()) BecomeFollower(now, message.term, from_leader ? message.from : 0);
   if (message.term < term()) {
-    if (from_leader) AnswerStaleLeader(message, from);
+    if (from_leader) ReplyToStaleLeader(message, from);
     return;
   }
   Dispatch(now, message, from);
 }
 
-// A joiner learns which cluster it joined from the leader that took it.
+// A new member takes the cluster id from the first message of a leader.
 void RaftNode::AdoptCluster(const Message& message) {
   bool from_leader =
       message.type == MessageType::kAppendEntries || message.type == MessageType::kInstallSnapshot;
@@ -155,8 +163,8 @@
   WriteHardState();
 }
 
-// By the term of the reply the leader learns that it is one no more.
-void RaftNode::AnswerStaleLeader(const Message& message, const base::Address& from) {
+// The higher term of the reply makes the stale leader step down.
+void RaftNode::ReplyToStaleLeader(const Message& message, const base::Address& from) {
   Send(from, MakeMessage(MessageType::kAppendEntriesReply, message.from),
        SendWhen::kWritesFinished);
 }
@@ -186,14 +194,15 @@
       return OnStateLost();
     case MessageType::kPreVote:
     case MessageType::kPreVoteReply:
-      return;  // handled whatever their term
+      return;  // handled by Receive(), before it compares the terms
   }
 }
 
 void RaftNode::OnWriteFinished(base::Millis now, uint64_t sequence, bool ok) {
   AdvanceClock(now);
   if (!ok) {
-    // A refused write ends this member's part: what it acknowledged before stands, nothing new is.
+    // This member stops taking part: earlier acknowledgements stay valid, new ones must not be
+    // sent.
     storage_failed_ = true;
     pending_writes_.DropDeferred();
     if (role_ != Role::kFollower) BecomeFollower(now, term(), 0);
@@ -214,7 +223,7 @@
   for (const Member& voter : voters_) {
     if (voter.id == leader_id_) return voter;
   }
-  // A member that is being caught up may not know the voters yet.
+  // A learner that is being caught up may not have the entry with the current voters yet.
   Member leader;
   leader.id = leader_id_;
   leader.ip = leader_address_.ip;
@@ -284,7 +293,7 @@
   return zone == zones_.end() ? member.zone : zone->second;
 }
 
-// A zone that the settings don't name is a region of its own.
+// A zone without a region in the settings counts as a region of its own.
 const std::string& RaftNode::RegionOf(const std::string& zone) const {
   auto region = regions_.find(zone);
   return region == regions_.end() ? zone : region->second;
--- a/src/consensus/reads.cc
+++ b/src/consensus/reads.cc
@@ -1,4 +1,5 @@
-// Reads: confirmed by a round of heartbeats that a majority answered after they were asked for.
+// Reads of a RaftNode: a read is confirmed once a majority has answered a message that the leader
+// sent after the read was requested.
 #include <utility>
 
 #include "consensus/raft_node.h"
@@ -20,14 +21,14 @@
 bool RaftNode::ConfirmReadByHeartbeat(base::Millis now, uint64_t token) {
   AdvanceClock(now);
   if (!HasCommittedInTerm()) return false;
-  // Any message that is numbered from here on was sent after the question.
+  // Every message that is numbered from here on is sent after the request.
   reads_.Add(token, round_ + 1);
   if (Majority() == 1) AdvanceReads();
   return true;
 }
 
 void RaftNode::AdvanceReads() {
-  std::vector<uint64_t> answered;  // the newest round that each voter answered
+  std::vector<uint64_t> answered;  // the highest round that each voter answered
   for (const Member& voter : voters_) {
     auto peer = progress_.find(voter.id);
     uint64_t round = peer == progress_.end() ? 0 : peer->second.last_reply_round;
--- a/src/consensus/replication.cc
+++ b/src/consensus/replication.cc
@@ -1,5 +1,5 @@
-// The log: appended by the leader, replicated by AppendEntries, committed once enough replicas are
-// synced.
+// Log replication of a RaftNode: the leader appends entries, replicates them by AppendEntries and
+// commits them once enough replicas are synced.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace elderkeel::consensus {
 namespace {
 constexpr size_t kMaxEntriesPerMessage = 64;
-constexpr size_t kEntryOverheadBytes = 64;  // that an entry takes beside its data, about
+constexpr size_t kEntryOverheadBytes = 64;  // approximate encoded size of an entry without its data
 }  // namespace
 
 Index RaftNode::Append(EntryKind kind, std::string data) {
@@ -27,7 +27,8 @@
   log_.Append(std::move(entry));
 }
 
-// Another leader's entries, never committed, give way.
+// Removes entries of an earlier leader that conflict with the current leader's; they were never
+// committed.
 void RaftNode::TruncateLog(Index from) {
   WriteRequest& write = CurrentWrite();
   if (write.truncate_from == 0 || from < write.truncate_from) write.truncate_from = from;
@@ -90,7 +91,8 @@
   Send(peer->member.address(), std::move(message), SendWhen::kNow);
 }
 
-// What a leader sent before the newest that was received of it, or twice, says nothing about now.
+// A late or duplicate message doesn't show that the leader is in contact now: only a message that
+// is newer than all received from this leader counts.
 void RaftNode::RecordLeaderContact(base::Millis now, const Message& message,
                                    const base::Address& from) {
   if (message.round <= last_leader_round_ && last_leader_round_ > 0) return;
@@ -186,15 +188,15 @@
   AdvanceReads();
 }
 
-// `message.index` is the last entry that the member may share with this leader. What it
-// acknowledged is synced, so a rejection below that is either older than the acknowledgement, or
-// the member has lost it.
+// `message.index` is the last entry that the member may share with this leader. Acknowledged
+// entries are synced, so a rejection below them is either older than the acknowledgement, or the
+// member has lost them.
 void RaftNode::OnRejected(base::Millis now, const Message& message, bool newest,
                           PeerProgress* peer) {
   if (message.index < peer->match_index) {
     if (message.round <= peer->acknowledged_round) return;
     peer->state_lost = true;
-    peer->last_reply_round = 0;  // nor does it confirm reads
+    peer->last_reply_round = 0;  // so that it doesn't confirm reads either
     effects_.state_lost.push_back(peer->member);
     SendAppendEntries(now, peer, true);
     return;
@@ -202,18 +204,20 @@
   bool current = newest && message.round > peer->rewound_round;
   if (peer->snapshot || !current || message.index + 1 >= peer->next_index) return;
   peer->next_index = message.index + 1;
-  Rewind(peer);
+  RecordRewind(peer);
   SendAppendEntries(now, peer, true);
 }
 
-// Rejections of what was sent before are answered by what is sent from here on.
-void RaftNode::Rewind(PeerProgress* peer) {
+// Messages sent from here on start at the decreased position, so that rejections of earlier
+// messages can be ignored.
+void RaftNode::RecordRewind(PeerProgress* peer) {
   peer->rewound_round = round_;
   peer->window.Clear();
 }
 
-// The leader has proof that this member acknowledged what it no longer holds. Its votes may be gone
-// as well, so this identity ends here; what is left of it is of no use.
+// The leader has detected that this member lacks entries that it had acknowledged. Its recorded
+// votes may be lost as well, so it must not take part under this id again, and its store is
+// discarded.
 void RaftNode::OnStateLost() {
   storage_failed_ = true;
   pending_writes_.DropDeferred();
@@ -240,7 +244,7 @@
   for (const Member& voter : voters_) durable.push_back(DurableIndexOf(voter));
   if (durable.empty()) return;
   std::sort(durable.begin(), durable.end(), std::greater<>());
-  // The highest index that a majority has, or the next lower one that has enough replicas.
+  // Finds the highest index that a majority holds and that has enough replicas.
   size_t rank = Majority() - 1;
   while (rank < durable.size() && !HasEnoughReplicas(durable[rank])) ++rank;
   if (rank == durable.size()) return;
@@ -251,12 +255,12 @@
   ApplyCommitted();
   if (first_in_term) effects_.role_changed = true;
   if (!IsVoter(self_.id) && log_.LastVotersIndex() <= commit_index_) {
-    // The entry that removed this member is committed: its leadership ends with it.
+    // The entry that removes this member from the voters is committed, so it must step down.
     TransferLeadership(now);
     BecomeFollower(now, term(), 0);
     return;
   }
-  Broadcast(now);  // followers learn the commit index at once
+  Broadcast(now);  // sends the commit index to the followers at once
 }
 
 void RaftNode::CommitTo(Index index) {
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -1,5 +1,5 @@
-// Sending a snapshot in parts to a member that needs entries which are compacted away, and taking a
-// leader's snapshot (Raft, section 7).
+// Snapshot transfer of a RaftNode: the leader sends a snapshot in chunks to a member that needs
+// entries which are compacted away; the member assembles and installs it (Raft, section 7).
 #include <algorithm>
 #include <utility>
 
@@ -7,17 +7,17 @@
 
 namespace elderkeel::consensus {
 namespace {
-constexpr size_t kPartBytes = 64u << 10;
-constexpr uint64_t kMaxStateBytes = 32u << 20;  // of a snapshot that is taken
+constexpr size_t kChunkBytes = 64u << 10;
+constexpr uint64_t kMaxStateBytes = 32u << 20;  // chunks of a larger snapshot are ignored
 }  // namespace
 
-// Parts of the snapshot as far as the window reaches. A heartbeat is a part without bytes, placed
-// after what was sent: the member says if anything before it is missing.
+// Sends chunks of the snapshot as far as the window allows. If it allows none, a heartbeat is an
+// empty chunk at the current offset; the member rejects it if bytes before that offset are missing.
 void RaftNode::SendSnapshot(base::Millis now, PeerProgress* peer, bool heartbeat) {
-  ChooseSnapshot(now, peer);
+  SelectSnapshot(now, peer);
   const Snapshot& snapshot = *peer->snapshot;
   for (;;) {
-    size_t size = std::min(kPartBytes, snapshot.state.size() - peer->snapshot_offset);
+    size_t size = std::min(kChunkBytes, snapshot.state.size() - peer->snapshot_offset);
     if (!peer->window.HasRoom(0, size)) size = 0;
     if (size == 0 && !heartbeat) return;
     Message message = MakeMessage(MessageType::kInstallSnapshot, peer->member.id);
@@ -34,9 +34,10 @@
   }
 }
 
-// The snapshot that is under way goes on, unless the member is silent: then nothing is kept for it,
-// and the newest serves it best. Members that need the same one share it.
-void RaftNode::ChooseSnapshot(base::Millis now, PeerProgress* peer) {
+// Selects the snapshot to send to a peer. A transfer in progress continues with its snapshot,
+// unless the peer is out of contact: then the entries after that snapshot are not kept for it, and
+// it gets the newest one. Peers that need the same snapshot share one copy.
+void RaftNode::SelectSnapshot(base::Millis now, PeerProgress* peer) {
   Index newest = log_.snapshot().index;
   if (peer->snapshot && peer->snapshot->index != newest &&
       !ContactedWithin(now, peer->member.id, timing_.election_timeout * 2)) {
@@ -55,14 +56,14 @@
   bool newest = false;
   PeerProgress* peer = RecordPeerContact(now, message, &newest);
   if (!peer) return;
-  bool under_way = peer->snapshot && message.index == peer->snapshot->index &&
-                   message.offset <= peer->snapshot->state.size();
-  if (under_way) {
+  bool in_progress = peer->snapshot && message.index == peer->snapshot->index &&
+                     message.offset <= peer->snapshot->state.size();
+  if (in_progress) {
     if (message.granted) {
       peer->snapshot_offset = std::max<size_t>(peer->snapshot_offset, message.offset);
     } else if (newest && message.round > peer->rewound_round) {
       peer->snapshot_offset = message.offset;
-      Rewind(peer);
+      RecordRewind(peer);
     }
     SendAppendEntries(now, peer, false);
   }
@@ -73,18 +74,20 @@
                                  const base::Address& from) {
   if (message.snapshot.empty()) return;
   RecordLeaderContact(now, message, from);
-  const Snapshot& part = message.snapshot[0];
-  if (part.index > commit_index_ && log_.Find(part.index) && log_.TermAt(part.index) == part.term) {
-    // The log leads to the same state, and what it holds after that may have been acknowledged.
-    CommitTo(part.index);
+  const Snapshot& chunk = message.snapshot[0];
+  if (chunk.index > commit_index_ && log_.Find(chunk.index) &&
+      log_.TermAt(chunk.index) == chunk.term) {
+    // The log leads to the same state. It is kept, since this member may have acknowledged entries
+    // after the snapshot.
+    CommitTo(chunk.index);
   }
-  if (part.index > commit_index_) {
-    Part taken = TakePart(message);
-    if (taken == Part::kIgnored) return;
-    if (taken != Part::kLast) {
+  if (chunk.index > commit_index_) {
+    ChunkResult result = AddChunk(message);
+    if (result == ChunkResult::kIgnored) return;
+    if (result != ChunkResult::kComplete) {
       Message reply = MakeMessage(MessageType::kInstallSnapshotReply, message.from);
-      reply.granted = taken == Part::kTaken;
-      reply.index = part.index;
+      reply.granted = result == ChunkResult::kAccepted;
+      reply.index = chunk.index;
       reply.offset = incoming_->snapshot.state.size();
       reply.round = message.round;
       Send(from, std::move(reply), SendWhen::kWritesFinished);
@@ -101,23 +104,26 @@
   Send(from, std::move(reply), SendWhen::kWritesFinished);
 }
 
-// Adds a part to the snapshot that is being received, if it continues it.
-RaftNode::Part RaftNode::TakePart(const Message& message) {
-  const Snapshot& part = message.snapshot[0];
-  bool under_way = incoming_ && incoming_->leader_term == message.term;
-  if (under_way && incoming_->snapshot.index > part.index) return Part::kIgnored;  // an older one
-  if (message.total > kMaxStateBytes || message.offset + part.state.size() > message.total) {
-    return Part::kIgnored;
+// Adds a chunk to the snapshot that is being received. A chunk of a newer snapshot, or of a leader
+// of another term, begins a new one. A chunk beyond the total size is ignored, as is a snapshot
+// that is too large.
+RaftNode::ChunkResult RaftNode::AddChunk(const Message& message) {
+  const Snapshot& chunk = message.snapshot[0];
+  bool in_progress = incoming_ && incoming_->leader_term == message.term;
+  // A late chunk of an older snapshot.
+  if (in_progress && incoming_->snapshot.index > chunk.index) return ChunkResult::kIgnored;
+  if (message.total > kMaxStateBytes || message.offset + chunk.state.size() > message.total) {
+    return ChunkResult::kIgnored;
   }
-  if (!under_way || incoming_->snapshot.index < part.index) {
-    incoming_ = PartialSnapshot{message.term, {part.index, part.term, part.voters, ""}};
+  if (!in_progress || incoming_->snapshot.index < chunk.index) {
+    incoming_ = PartialSnapshot{message.term, {chunk.index, chunk.term, chunk.voters, ""}};
   }
   std::string& state = incoming_->snapshot.state;
-  if (message.offset > state.size()) return Part::kMisplaced;
-  if (message.offset + part.state.size() > state.size()) {
-    state.append(part.state, state.size() - message.offset);
+  if (message.offset > state.size()) return ChunkResult::kGap;
+  if (message.offset + chunk.state.size() > state.size()) {
+    state.append(chunk.state, state.size() - message.offset);
   }
-  return state.size() < message.total ? Part::kTaken : Part::kLast;
+  return state.size() < message.total ? ChunkResult::kAccepted : ChunkResult::kComplete;
 }
 
 void RaftNode::InstallSnapshot(Snapshot snapshot) {
@@ -129,7 +135,7 @@
   write.snapshot = {log_.snapshot()};
   pending_writes_.OnReplaced(log_.snapshot().index);
   ReloadVoters();
-  effects_.committed.clear();
+  effects_.committed.clear();  // the snapshot includes these entries
   effects_.installed.push_back(log_.snapshot());
 }
 
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -8,22 +8,23 @@
 
 #include "base/settings.h"
 
-// What the replicated log consists of. These types are sent to other members and stored on disk as
-// cereal writes their fields, in the order of `serialize`: neither the order nor a field's type may
-// change. tests/golden_test.cc pins the bytes.
+// Types of the replicated log. They are sent to other members and stored on disk in cereal's
+// encoding, which writes the fields in the order of `serialize`: neither this order nor the type of
+// a field may change. tests/compatibility/golden_test.cc pins the bytes.
 namespace elderkeel::consensus {
 
 using MemberId = uint64_t;
 using Term = uint64_t;
 using Index = uint64_t;
 
-// A controller that takes part in the log. The id is not the address: a controller that starts with
-// an empty store at an old address is another member, so its forgotten votes can't be given twice.
+// A controller that takes part in the log, as a voter or as a learner. Its identity is the id, not
+// the address: a controller that starts with an empty store at a known address is a new member, so
+// it can't vote again in a term in which its lost store had recorded a vote.
 struct Member {
   MemberId id = 0;
   std::string ip;
-  uint16_t port = 0;    // where it listens for this project's own processes
-  std::string control;  // address and port where the operator reaches it
+  uint16_t port = 0;    // listens for the other elderkeel processes
+  std::string control;  // address and port of the operator API
   std::string zone;
 
   base::Address address() const { return {ip, port}; }
@@ -35,11 +36,12 @@
 };
 
 enum class EntryKind : uint8_t {
-  kNoop,     // with it a new leader commits what its predecessors left (Raft, section 8)
-  kVoters,   // the voters from here on: a std::vector<Member>
-  kCommand,  // for the state machine above the log
+  kNoop,     // appended by a new leader to commit the entries of earlier terms (Raft, section 8)
+  kVoters,   // the voters from this entry on: an encoded std::vector<Member>
+  kCommand,  // a command for the replicated state machine
 };
 
+// One entry of the replicated log.
 struct Entry {
   Term term = 0;
   Index index = 0;
@@ -51,7 +53,7 @@
   }
 };
 
-// The state that all entries up to `index` lead to, in place of these entries.
+// The state after all entries up to and including `index`. It replaces these entries.
 struct Snapshot {
   Index index = 0;
   Term term = 0;  // of the entry at `index`
@@ -63,13 +65,13 @@
   }
 };
 
-// What a member must have on disk before any message that rests on it leaves (Raft, figure 2:
-// persistent state).
+// The part of a member's state that must be on disk before any message that depends on it is sent
+// (Raft, figure 2: persistent state). The log is stored beside it.
 struct HardState {
   uint64_t cluster = 0;
   MemberId self = 0;
   Term term = 0;
-  MemberId voted_for = 0;  // in `term`; 0 for nobody
+  MemberId voted_for = 0;  // in `term`; 0: no vote given
   template <class Archive>
   void serialize(Archive& archive) {
     archive(cluster, self, term, voted_for);
--- a/src/consensus/voter_changes.cc
+++ b/src/consensus/voter_changes.cc
@@ -1,9 +1,11 @@
-// Who votes: learners caught up, voters added and removed one at a time by entries of the log.
+// Membership changes of a RaftNode: learners are caught up and become voters, and voters are added
+// and removed by entries of the log.
 //
-// Voters change one at a time, and only when the last change and an entry of this term are
-// committed. A dead voter is removed before its successor is added: neither step then needs more
-// live members than the other order, and the dead one never counts towards a majority. One that is
-// alive and leaves is removed after: there is then no moment with one voter less.
+// Voters change one at a time, and only when the previous change and an entry of this term are
+// committed. A failed voter is removed before its replacement is added: neither step then needs
+// more live members than in the opposite order, and the failed voter doesn't enlarge the majority
+// that the second step needs. A voter that leaves while it is alive is removed after its
+// replacement is added, so that the group never has one voter less.
 #include <algorithm>
 #include <utility>
 
@@ -25,7 +27,8 @@
   return learners;
 }
 
-// The leader replicates to all voters, and to learners that asked.
+// Keeps a PeerProgress for every voter besides this leader. Learners have theirs from AddLearner();
+// removed voters remain as learners.
 void RaftNode::TrackVoters() {
   for (auto& [id, peer] : progress_) peer.is_voter = false;
   for (const Member& voter : voters_) {
@@ -48,7 +51,8 @@
   PeerProgress& peer = found->second;
   peer.member = member;
   if (!added) return;
-  // From here on only its own replies show that it is there: a request may be forwarded late.
+  // Later requests don't count as contact, only the learner's own replies: a request may be
+  // forwarded late, when the learner is gone already.
   peer.last_contact = now;
   peer.next_index = log_.last_index() + 1;
   SendAppendEntries(now, &peer, true);
@@ -64,16 +68,16 @@
   return others > 0 && live >= MajorityOf(others);
 }
 
-// It asked to be let go, and nothing was received since it stopped: a member that came back is
-// heard again.
+// Whether the member has sent kLeave and nothing was received from it an election timeout or more
+// after that. A member that restarts replies again, so that it no longer counts as leaving.
 bool RaftNode::IsLeaving(const PeerProgress& peer) const {
   return peer.leave_requested_at >= 0 &&
          peer.last_contact - peer.leave_requested_at < timing_.election_timeout;
 }
 
-// What is committed must be on as many other disks as a commit asks for, or on all those that are
-// live and stay; and a learner that is being caught up is waited for, since it may replace this
-// member.
+// Whether the leader releases a member that leaves. Committed entries must be on as many other
+// disks as a commit requires, or on all voters that are in contact and not leaving. It waits for a
+// learner that is being caught up, since the learner may replace this member.
 bool RaftNode::MayStop(base::Millis now, MemberId id) const {
   if (!HasCommittedInTerm() || log_.LastVotersIndex() > commit_index_) return false;
   size_t replicas = 0, live = 0, others = 0;
@@ -91,8 +95,9 @@
                        now - peer.last_contact < timing_.election_timeout;
     if (catching_up) return false;
   }
-  bool spare = voters_.size() > MinVoters(tolerance_);
-  if (IsVoter(id) && spare && HasLiveMajorityWithout(now, id)) return false;  // removed instead
+  bool surplus = voters_.size() > MinVoters(tolerance_);
+  // A voter that can be removed is removed first and released after that.
+  if (IsVoter(id) && surplus && HasLiveMajorityWithout(now, id)) return false;
   size_t needed = std::max(MajorityOf(others), std::min(tolerance_.machines + 1, others));
   return replicas >= std::min(needed, live);
 }
@@ -110,20 +115,20 @@
 
 void RaftNode::ReviewVoters(base::Millis now) {
   if (!HasCommittedInTerm() || log_.LastVotersIndex() > commit_index_) return;
-  ForgetSilentLearners(now);
+  DropUnreachableLearners(now);
   if (!PromoteLearner(now)) RemoveVoter(now);
 }
 
-void RaftNode::ForgetSilentLearners(base::Millis now) {
+void RaftNode::DropUnreachableLearners(base::Millis now) {
   for (auto peer = progress_.begin(); peer != progress_.end();) {
-    base::Millis silence = now - peer->second.last_contact;
-    bool forgotten = !peer->second.is_voter && silence > timing_.replace_silent_after * 2;
-    peer = forgotten ? progress_.erase(peer) : std::next(peer);
+    base::Millis contact_gap = now - peer->second.last_contact;
+    bool dropped = !peer->second.is_voter && contact_gap > timing_.replace_silent_after * 2;
+    peer = dropped ? progress_.erase(peer) : std::next(peer);
   }
 }
 
-// Makes a learner that is caught up a voter, or first removes the voter that it replaces: one at
-// its address, or one of its zone that is silent. True if something was proposed.
+// Makes a caught-up learner a voter, or first removes the voter that it replaces: one with the same
+// IP address, or an unreachable one of the same zone. Returns whether it proposed a change.
 bool RaftNode::PromoteLearner(base::Millis now) {
   for (const auto& [id, peer] : progress_) {
     bool ready = !peer.is_voter && !peer.state_lost && peer.match_index >= commit_index_ &&
@@ -133,7 +138,7 @@
     for (const Member& voter : voters_) {
       if (voter.id == self_.id) continue;
       bool same_address = voter.ip == learner.ip;
-      bool replaced = ZoneOf(voter) == ZoneOf(learner) && IsSilent(now, voter);
+      bool replaced = ZoneOf(voter) == ZoneOf(learner) && IsUnreachable(now, voter);
       if ((same_address || replaced) && HasLiveMajorityWithout(now, voter.id)) {
         ProposeVoters(now, VotersWithout(voter.id));
         return true;
@@ -147,20 +152,22 @@
   return false;
 }
 
-// One that stays away is not waited for: it would count towards every majority, and it may be what
-// an exchanged machine leaves behind. If it comes back it asks to be taken in again. But a
-// partition is no loss: where every voter is needed for what is tolerated it stays, and while more
-// are silent than may be lost at once it is waited for longer.
+// Removes a voter that leaves or has been unreachable for too long. An unreachable voter still
+// counts in the size of every majority, and it may stand for a machine that was replaced. If it
+// returns, it asks to join again. But a partition is not a loss: no voter is removed while all of
+// them are needed for the tolerated loss, and while more are unreachable than may be lost at once,
+// the longer timeout applies.
 void RaftNode::RemoveVoter(base::Millis now) {
   if (voters_.size() <= MinVoters(tolerance_)) return;
-  auto silent = std::count_if(voters_.begin(), voters_.end(),
-                              [&](const Member& voter) { return IsSilent(now, voter); });
+  auto unreachable = std::count_if(voters_.begin(), voters_.end(),
+                                   [&](const Member& voter) { return IsUnreachable(now, voter); });
   size_t tolerated = std::max<size_t>(1, tolerance_.machines);
-  base::Millis patience = static_cast<size_t>(silent) <= tolerated ? timing_.replace_silent_after
-                                                                   : timing_.remove_silent_after;
+  base::Millis timeout = static_cast<size_t>(unreachable) <= tolerated
+                             ? timing_.replace_silent_after
+                             : timing_.remove_silent_after;
   for (const Member& voter : voters_) {
     if (voter.id == self_.id || !HasLiveMajorityWithout(now, voter.id)) continue;
-    if (SilenceOf(now, voter) > patience || IsLeaving(progress_[voter.id])) {
+    if (TimeSinceContact(now, voter) > timeout || IsLeaving(progress_[voter.id])) {
       ProposeVoters(now, VotersWithout(voter.id));
       return;
     }
@@ -180,15 +187,15 @@
   return rest;
 }
 
-base::Millis RaftNode::SilenceOf(base::Millis now, const Member& voter) const {
+base::Millis RaftNode::TimeSinceContact(base::Millis now, const Member& voter) const {
   return now - progress_.at(voter.id).last_contact;
 }
 
-// One that asked to be let go needs no patience.
-bool RaftNode::IsSilent(base::Millis now, const Member& voter) const {
+// A voter that has asked to leave counts as unreachable after the shorter election timeout.
+bool RaftNode::IsUnreachable(base::Millis now, const Member& voter) const {
   if (voter.id == self_.id) return false;
   bool leaving = IsLeaving(progress_.at(voter.id));
-  return SilenceOf(now, voter) >
+  return TimeSinceContact(now, voter) >
          (leaving ? timing_.election_timeout : timing_.replace_silent_after);
 }
 
