--- a/tests/consensus/voter_changes_test.cc
+++ b/tests/consensus/voter_changes_test.cc
@@ -1,5 +1,6 @@
-// Losses right before, during and after a repair, a replacement and an orderly end: what may be
-// lost at once may be lost again as soon as the last loss has stopped counting.
+// Simulations of losses shortly before, during and after the repair, replacement or orderly
+// shutdown of a controller: the tolerated loss may occur again as soon as the previous loss no
+// longer counts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,9 +10,10 @@
 namespace elderkeel::simulation {
 namespace {
 
-constexpr Millis kSync = 4000;  // how long a raft that is back or new counts as lost
+constexpr Millis kCatchUpMs = 4000;  // how long a restarted or new member still counts as lost
 
-// Some voters besides `without`, the leader among them if it may be.
+// Up to `count` running controllers besides `without`; the leader is the first, unless it is
+// `without`.
 std::vector<size_t> Victims(World* world, size_t controllers, size_t without, size_t count) {
   std::vector<size_t> victims;
   int leader = world->leader();
@@ -19,13 +21,14 @@
     victims.push_back(static_cast<size_t>(leader));
   }
   for (size_t i = 0; i < controllers && victims.size() < count; ++i) {
-    bool taken = std::find(victims.begin(), victims.end(), i) != victims.end();
-    if (i != without && !taken && world->node(i).up) victims.push_back(i);
+    bool selected = std::find(victims.begin(), victims.end(), i) != victims.end();
+    if (i != without && !selected && world->node(i).up) victims.push_back(i);
   }
   return victims;
 }
 
-// A change that is taken and acknowledged within `span`; what was acknowledged before is kept.
+// Whether a change is acknowledged within `span`. Fails also once the simulation reports a fault,
+// such as members that committed different entries at one index.
 ::testing::AssertionResult Commits(World* world, Millis span) {
   int64_t before = world->acknowledged();
   for (Millis waited = 0; waited < span && world->fault.empty(); waited += 100) {
@@ -33,29 +36,38 @@
     world->Run(100);
     if (world->acknowledged() > before) return ::testing::AssertionSuccess();
   }
-  return ::testing::AssertionFailure()
-         << "no change is acknowledged, " << (world->fault.empty() ? "no fault" : world->fault);
+  return ::testing::AssertionFailure() << "no change was acknowledged; simulation fault: "
+                                       << (world->fault.empty() ? "none" : world->fault);
 }
 
-enum class Loss { kPlanned, kGone, kGoneTwice, kAllGone, kWiped, kRestarted };
+// The first loss of a test: how controllers fail or stop, and whether others replace them.
+enum class Loss {
+  kPlannedReplacement,      // shut down in order after the replacement has caught up
+  kReplacedAfterCrash,      // crashed and replaced
+  kTwoReplacedAfterCrash,   // two controllers, one after the other
+  kAllReplacedAfterCrash,   // as many controllers at once as may be lost
+  kRestartedWithEmptyDisk,  // returns at the same address
+  kRestartedInOrder,        // shut down in order and started again
+};
 
 struct Case {
   Loss loss;
   const char* name;
-  std::vector<Millis> offsets;  // of the next loss, from when it may come
+  std::vector<Millis> offsets;  // of the second loss, from the first time at which it may occur
 };
 
-// The first loss strikes `of`; the next one takes as many as may be lost at once, with their disks.
+// Runs two losses. The first is of the leader or of a follower, as described by `c`; the second
+// takes as many controllers as may be lost at once, with their disks.
 void TwoLosses(const Case& c, size_t voters, size_t tolerated, bool of_leader, Millis offset) {
   SCOPED_TRACE(std::string(c.name) + ", " + std::to_string(voters) + " voters, " +
                std::to_string(tolerated) + " may be lost, " +
-               (of_leader ? "leader first" : "follower first") + ", next loss at " +
+               (of_leader ? "leader first" : "follower first") + ", second loss at " +
                std::to_string(offset));
   World::Options options;
   options.controllers = static_cast<int>(voters);
-  options.spare = c.loss == Loss::kAllGone     ? static_cast<int>(tolerated)
-                  : c.loss == Loss::kGoneTwice ? 2
-                                               : 1;
+  options.spare = c.loss == Loss::kAllReplacedAfterCrash   ? static_cast<int>(tolerated)
+                  : c.loss == Loss::kTwoReplacedAfterCrash ? 2
+                                                           : 1;
   options.proxies = 1;
   options.tolerance.machines = tolerated;
   options.seed = voters * 1000 + tolerated * 100 + static_cast<uint64_t>(offset + 1000);
@@ -69,63 +81,64 @@
       of_leader ? static_cast<size_t>(leader) : (static_cast<size_t>(leader) + 1) % voters;
   size_t spare = voters;
   switch (c.loss) {
-    case Loss::kPlanned:  // its successor has had its time when it is told to end
+    case Loss::kPlannedReplacement:  // the replacement has caught up before the shutdown
       world.Start(spare);
-      world.Run(kSync + std::min<Millis>(offset, 0));
+      world.Run(kCatchUpMs + std::min<Millis>(offset, 0));
       if (offset >= 0) {
         world.Leave(first);
         world.Run(offset);
       }
       break;
-    case Loss::kGone:
+    case Loss::kReplacedAfterCrash:
       world.Crash(first);
       world.Run(1000);
       world.Start(spare);
-      world.Run(kSync + offset);
+      world.Run(kCatchUpMs + offset);
       break;
-    case Loss::kGoneTwice:  // each replaced before its silence is noticed, the second much later
+    case Loss::kTwoReplacedAfterCrash:
+      // Each is replaced before it counts as unreachable, the second much later than the first.
       for (size_t k = 0; k < 2; ++k) {
         world.Crash(k == 0 ? first : Victims(&world, voters, first, 1)[0]);
         world.Run(500);
         world.Start(spare + k);
-        world.Run(k == 0 ? 15000 : kSync + offset);
+        world.Run(k == 0 ? 15000 : kCatchUpMs + offset);
       }
       break;
-    case Loss::kAllGone:  // as many as may be, and their successors stand in other zones
+    case Loss::kAllReplacedAfterCrash:  // the replacements are in other zones
       for (size_t i : Victims(&world, voters, 999, tolerated)) world.Crash(i);
       world.Run(1000);
       for (size_t i = 0; i < tolerated; ++i) world.Start(spare + i);
-      world.Run(kSync + offset);
+      world.Run(kCatchUpMs + offset);
       break;
-    case Loss::kWiped:
+    case Loss::kRestartedWithEmptyDisk:
       world.Wipe(first);
       world.Run(500);
       world.Start(first);
-      world.Run(kSync + offset);
+      world.Run(kCatchUpMs + offset);
       break;
-    case Loss::kRestarted:
+    case Loss::kRestartedInOrder:
       world.Leave(first);
       world.Run(1500);
       world.Start(first);
-      world.Run(kSync + offset);
+      world.Run(kCatchUpMs + offset);
       break;
   }
   int64_t before = world.acknowledged();
   world.Change();
-  world.Run(offset % 70 + 10);  // acknowledged or not
+  world.Run(offset % 70 + 10);  // the change may be acknowledged or not
   before = std::max(before, world.acknowledged());
-  bool back = c.loss == Loss::kWiped || c.loss == Loss::kRestarted;
-  std::vector<size_t> lost =
-      Victims(&world, voters + static_cast<size_t>(options.spare), back ? 999 : first, tolerated);
-  ASSERT_EQ(lost.size(), tolerated);
-  for (size_t i : lost) world.Wipe(i);
-  if (c.loss == Loss::kPlanned && offset < 0) {
+  bool returns = c.loss == Loss::kRestartedWithEmptyDisk || c.loss == Loss::kRestartedInOrder;
+  std::vector<size_t> second_loss = Victims(&world, voters + static_cast<size_t>(options.spare),
+                                            returns ? 999 : first, tolerated);
+  ASSERT_EQ(second_loss.size(), tolerated);
+  for (size_t i : second_loss) world.Wipe(i);
+  if (c.loss == Loss::kPlannedReplacement && offset < 0) {
     world.Run(-offset);
     world.Leave(first);
   }
   ASSERT_TRUE(Commits(&world, 9000));
-  for (size_t i : lost) world.Start(i);
-  world.Run(kSync);
+  for (size_t i : second_loss) world.Start(i);
+  world.Run(kCatchUpMs);
   ASSERT_TRUE(Commits(&world, 3000));
   for (size_t i = 0; i < voters + static_cast<size_t>(options.spare); ++i) {
     auto& node = world.node(i);
@@ -135,9 +148,9 @@
   EXPECT_EQ(world.fault, "");
 }
 
-// One message asks a follower to lead in place of a leader that ends. Whatever becomes of it,
-// another one leads long before the bound of the orderly end.
-TEST(Leaving, ALeaderHandsOverThoughMessagesAreLost) {
+// A leader that shuts down transfers its leadership by a message that may be lost. It must retry,
+// so that it is no longer the leader long before its shutdown times out.
+TEST(Leaving, LeaderTransfersLeadershipDespiteMessageLoss) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
     World::Options options;
@@ -149,7 +162,7 @@
     World world(options);
     world.Run(8000);
     int leader = world.leader();
-    if (leader < 0) continue;  // an election is under way
+    if (leader < 0) continue;  // an election is in progress
     world.Leave(static_cast<size_t>(leader));
     world.Run(2500);
     EXPECT_FALSE(world.node(static_cast<size_t>(leader)).up &&
@@ -158,15 +171,17 @@
   }
 }
 
-class Losses : public ::testing::TestWithParam<size_t> {};
-TEST_P(Losses, AreBorneAgainAndAgain) {
+// After a repair the group must survive the tolerated loss again: acknowledged changes are kept and
+// new ones commit. A repair that is treated as finished too early would lose either.
+class RepeatedLosses : public ::testing::TestWithParam<size_t> {};
+TEST_P(RepeatedLosses, KeepAcknowledgedChangesAndAMajority) {
   const std::vector<Case> cases = {
-      {Loss::kPlanned, "replaced by plan", {-100, 0, 50, 200, 900}},
-      {Loss::kGone, "gone for good", {0, 500}},
-      {Loss::kGoneTwice, "gone for good, twice", {0, 400}},
-      {Loss::kAllGone, "all gone that may be", {0, 500}},
-      {Loss::kWiped, "back without its disk", {0, 300}},
-      {Loss::kRestarted, "restarted in order", {0}},
+      {Loss::kPlannedReplacement, "planned replacement", {-100, 0, 50, 200, 900}},
+      {Loss::kReplacedAfterCrash, "replaced after a crash", {0, 500}},
+      {Loss::kTwoReplacedAfterCrash, "two replaced after a crash", {0, 400}},
+      {Loss::kAllReplacedAfterCrash, "all tolerated replaced after a crash", {0, 500}},
+      {Loss::kRestartedWithEmptyDisk, "restarted with an empty disk", {0, 300}},
+      {Loss::kRestartedInOrder, "restarted in order", {0}},
   };
   size_t voters = GetParam();
   for (size_t tolerated = 1; tolerated <= std::min<size_t>(3, (voters - 1) / 2); ++tolerated) {
@@ -178,7 +193,7 @@
     }
   }
 }
-INSTANTIATE_TEST_SUITE_P(Voters, Losses, ::testing::Values(3, 4, 5, 6, 7, 8, 9));
+INSTANTIATE_TEST_SUITE_P(Voters, RepeatedLosses, ::testing::Values(3, 4, 5, 6, 7, 8, 9));
 
 }  // namespace
 }  // namespace elderkeel::simulation
