--- a/src/consensus/disk_store.cc
+++ b/src/consensus/disk_store.cc
@@ -15,25 +15,24 @@
 namespace elderkeel::consensus {
 namespace {
 
-// The format: these keys, with values as cereal encodes them. An entry's key is `kEntryPrefix`
-// followed by its index in eight bytes, the high ones first, so that the keys sort as the entries
-// do.
+// The stored format: these keys, with values encoded by cereal. An entry's key is `kEntryPrefix`
+// followed by its index as eight bytes in big-endian order, so that the keys sort by index.
 constexpr char kHardStateKey[] = "hard";
 constexpr char kSnapshotKey[] = "snapshot";
 constexpr char kCommitKey[] = "commit";
 constexpr char kEntryPrefix[] = "e";
 
-// Sizes that suit a machine with a disk of 64 MB and little memory.
+// Sizes for a machine with a 64 MB disk and little memory.
 constexpr size_t kWriteBufferBytes = 512 << 10;
 constexpr size_t kTableFileBytes = 1 << 20;
 constexpr size_t kBlockCacheBytes = 64 << 10;
 constexpr int kMaxOpenFiles = 32;
 
-// Room is given back after so many bytes, or after as many as are kept if that is more: what is
-// kept is copied then.
+// The database is compacted after this many bytes of writes, or after as many as the last
+// compaction left if that is more, since a compaction copies all remaining data.
 constexpr uint64_t kReclaimBytes = 4 << 20;
 
-// LevelDB's own notes would grow for as long as the process runs.
+// Discards LevelDB's own log messages; its LOG file would grow as long as the process runs.
 class NoLogger : public leveldb::Logger {
   void Logv(const char*, std::va_list) override {}
 };
@@ -50,14 +49,15 @@
   return {code, step, "", status.ToString()};
 }
 
-tl::unexpected<base::Error> Corruption(std::string reason) {
+tl::unexpected<base::Error> CorruptionError(std::string reason) {
   return base::Failure(base::ErrorCode::kCorruption, "store.load", "", std::move(reason));
 }
 
+// A Store on a LevelDB database.
 class DiskStore : public Store {
  public:
-  DiskStore(std::string directory, const FileSystem& files)
-      : directory_(std::move(directory)), files_(files), env_(files) {}
+  DiskStore(std::string directory, const FileSystem& file_system)
+      : directory_(std::move(directory)), file_system_(file_system), env_(file_system) {}
   ~DiskStore() override;
 
   base::Status Open();
@@ -68,28 +68,30 @@
  private:
   base::Status LoadSnapshot(const leveldb::ReadOptions& options, RestoredState* restored) const;
   base::Status LoadEntries(const leveldb::ReadOptions& options, RestoredState* restored) const;
+  // The approximate size of LevelDB's table files, in bytes.
   uint64_t TableBytes() const;
+  // Adds to `batch` the deletion of the entries from `from` to `to`, both included.
   void DeleteEntries(leveldb::WriteBatch* batch, Index from, Index to) const;
 
   std::string directory_;
-  FileSystem files_;
+  FileSystem file_system_;
   SyncedEnv env_;
   NoLogger logger_;
-  std::optional<base::Error> refused_;   // of the first write that failed
-  uint64_t written_bytes_ = 0;           // since room was given back
-  std::atomic<uint64_t> kept_bytes_{0};  // that were left then; set by reclaimer_
+  std::optional<base::Error> write_error_;  // of the first write that failed
+  uint64_t written_bytes_ = 0;              // since the last compaction began
+  std::atomic<uint64_t> live_bytes_{0};     // after the last compaction; set by compaction_thread_
   std::unique_ptr<leveldb::Cache> cache_;
   std::unique_ptr<leveldb::DB> db_;
-  std::thread reclaimer_;
+  std::thread compaction_thread_;
 };
 
 DiskStore::~DiskStore() {
-  if (reclaimer_.joinable()) reclaimer_.join();
+  if (compaction_thread_.joinable()) compaction_thread_.join();
 }
 
 base::Status DiskStore::Open() {
-  leveldb::Status status = MakeDurableDirectory(files_, ParentDirectory(directory_));
-  if (status.ok()) status = MakeDurableDirectory(files_, directory_);
+  leveldb::Status status = MakeDurableDirectory(file_system_, ParentDirectory(directory_));
+  if (status.ok()) status = MakeDurableDirectory(file_system_, directory_);
   if (!status.ok()) {
     return base::Failure(base::ErrorCode::kIoError, "store.open", "", status.ToString());
   }
@@ -107,7 +109,7 @@
   status = leveldb::DB::Open(options, directory_, &opened);
   if (!status.ok()) return base::Failure(MakeError("store.open", status));
   db_.reset(opened);
-  written_bytes_ = TableBytes();  // some of it may have been dropped before the process started
+  written_bytes_ = TableBytes();  // may include data removed before the process started
   return {};
 }
 
@@ -120,7 +122,7 @@
   if (status.IsNotFound()) return restored;
   if (!status.ok()) return base::Failure(MakeError("store.open", status));
   auto hard_state = transport::Decode<HardState>(value);
-  if (!hard_state) return Corruption("the vote can't be read");
+  if (!hard_state) return CorruptionError("the hard state (term and vote) can't be decoded");
   restored.empty = false;
   restored.hard_state = *hard_state;
   base::Status loaded = LoadSnapshot(options, &restored);
@@ -140,7 +142,7 @@
   if (status.IsNotFound()) return {};
   if (!status.ok()) return base::Failure(MakeError("store.open", status));
   auto snapshot = transport::Decode<Snapshot>(value);
-  if (!snapshot) return Corruption("the snapshot can't be read");
+  if (!snapshot) return CorruptionError("the snapshot can't be decoded");
   restored->snapshot = std::move(*snapshot);
   return {};
 }
@@ -153,22 +155,23 @@
        record->Next()) {
     auto entry =
         transport::Decode<Entry>(std::string_view(record->value().data(), record->value().size()));
-    if (!entry) return Corruption("an entry can't be read");
+    if (!entry) return CorruptionError("a log entry can't be decoded");
     if (!entries.empty() && entry->index != entries.back().index + 1) {
-      return Corruption("the log has a gap");
+      return CorruptionError("the log has a gap: entry indexes aren't consecutive");
     }
     entries.push_back(std::move(*entry));
   }
   if (!record->status().ok()) return base::Failure(MakeError("store.open", record->status()));
   if (!entries.empty() && entries.front().index > restored->snapshot.index + 1) {
-    return Corruption("the log begins after its snapshot");
+    return CorruptionError("entries between the snapshot and the first log entry are missing");
   }
   return {};
 }
 
 base::Status DiskStore::Write(const WriteRequest& write) {
-  // LevelDB may go on behind a record that is only partly there, and would not find what follows.
-  if (refused_) return base::Failure(*refused_);
+  // After a failed write LevelDB's log may end with a partial record. LevelDB would append later
+  // writes behind it, and recovery would not find them.
+  if (write_error_) return base::Failure(*write_error_);
   leveldb::WriteBatch batch;
   if (write.hard_state_changed) batch.Put(kHardStateKey, transport::Encode(write.hard_state));
   if (!write.snapshot.empty()) batch.Put(kSnapshotKey, transport::Encode(write.snapshot[0]));
@@ -182,27 +185,27 @@
                  write.truncate_from > 0;
   leveldb::Status status = db_->Write(options, &batch);
   if (!status.ok()) {
-    refused_ = MakeError("store.write", status);
-    return base::Failure(*refused_);
+    write_error_ = MakeError("store.write", status);
+    return base::Failure(*write_error_);
   }
   written_bytes_ += batch.ApproximateSize();
   return {};
 }
 
-// On a thread of its own, so that writes go on; they wait for it only if as much was written since
-// it began.
+// Compacts on a separate thread, so that writes continue meanwhile. They wait for a compaction only
+// if the next one is due before it has finished.
 void DiskStore::Reclaim() {
-  if (written_bytes_ < std::max(kReclaimBytes, kept_bytes_.load())) return;
-  if (reclaimer_.joinable()) reclaimer_.join();
+  if (written_bytes_ < std::max(kReclaimBytes, live_bytes_.load())) return;
+  if (compaction_thread_.joinable()) compaction_thread_.join();
   written_bytes_ = 0;
-  reclaimer_ = std::thread([this] {
+  compaction_thread_ = std::thread([this] {
     db_->CompactRange(nullptr, nullptr);
-    kept_bytes_ = TableBytes();
+    live_bytes_ = TableBytes();
   });
 }
 
 uint64_t DiskStore::TableBytes() const {
-  leveldb::Range all("", "z");
+  leveldb::Range all("", "z");  // all keys sort before "z"
   uint64_t bytes = 0;
   db_->GetApproximateSizes(&all, 1, &bytes);
   return bytes;
@@ -217,6 +220,7 @@
   }
 }
 
+// Accepts every write and keeps nothing.
 class MemoryStore : public Store {
  public:
   base::Result<RestoredState> Load() override { return RestoredState(); }
@@ -226,8 +230,8 @@
 }  // namespace
 
 base::Result<std::unique_ptr<Store>> OpenDiskStore(const std::string& directory,
-                                                   const FileSystem& files) {
-  auto store = std::make_unique<DiskStore>(directory, files);
+                                                   const FileSystem& file_system) {
+  auto store = std::make_unique<DiskStore>(directory, file_system);
   base::Status opened = store->Open();
   if (!opened) return base::Failure(opened.error());
   return std::unique_ptr<Store>(std::move(store));
@@ -240,7 +244,7 @@
 
 bool IsCorruption(const base::Error& error) { return error.code == base::ErrorCode::kCorruption; }
 
-base::Status Quarantine(const std::string& directory, const FileSystem& files) {
+base::Status Quarantine(const std::string& directory, const FileSystem& file_system) {
   std::string quarantine = directory + ".unreadable";
   std::error_code error;
   std::filesystem::remove_all(quarantine, error);
@@ -248,7 +252,7 @@
   if (error) {
     return base::Failure(base::ErrorCode::kIoError, "store.quarantine", "", error.message());
   }
-  leveldb::Status status = files.sync_directory(ParentDirectory(directory));
+  leveldb::Status status = file_system.sync_directory(ParentDirectory(directory));
   if (!status.ok()) {
     return base::Failure(base::ErrorCode::kIoError, "store.quarantine", "", status.ToString());
   }
--- a/src/consensus/disk_store.h
+++ b/src/consensus/disk_store.h
@@ -9,20 +9,22 @@
 
 namespace elderkeel::consensus {
 
-// Opens the LevelDB store in `directory`. The directory is made if need be, and so is the one that
-// holds it. Errors: kCorruption, kIoError.
-base::Result<std::unique_ptr<Store>> OpenDiskStore(const std::string& directory,
-                                                   const FileSystem& files = RealFileSystem());
+// Opens the LevelDB store in `directory`. Creates the directory and its parent if they don't exist.
+// Errors: kCorruption, kIoError.
+base::Result<std::unique_ptr<Store>> OpenDiskStore(
+    const std::string& directory, const FileSystem& file_system = RealFileSystem());
 
-// Whether a store was ever begun in `directory`.
+// Whether a LevelDB database was ever created in `directory`.
 bool HasDiskStore(const std::string& directory);
 
-// Whether a store, or what Load found in it, is damaged for good. Such a store is no store: the
-// caller quarantines it and begins anew with another identity, which is safe since the old one then
-// never votes again.
+// Whether `error`, of OpenDiskStore() or Store::Load(), means that the store is damaged for good.
+// The caller then quarantines it and starts with an empty store under a new member id. That is safe
+// because the old id never votes again.
 bool IsCorruption(const base::Error& error);
 
-// Renames the directory of a store to `directory`.unreadable; one that is there gives way.
-base::Status Quarantine(const std::string& directory, const FileSystem& files = RealFileSystem());
+// Renames the directory of a store to `directory`.unreadable, replacing an earlier one of that
+// name, and syncs the parent directory. Errors: kIoError.
+base::Status Quarantine(const std::string& directory,
+                        const FileSystem& file_system = RealFileSystem());
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/file_system.cc
+++ b/src/consensus/file_system.cc
@@ -12,19 +12,21 @@
 
 leveldb::Status SyncDirectory(const std::string& directory) {
   int fd = open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (fd < 0 && errno == EACCES) return leveldb::Status::NotSupported(directory, "can't be read");
+  if (fd < 0 && errno == EACCES)
+    return leveldb::Status::NotSupported(directory,
+                                         "no permission to open the directory for syncing");
   if (fd < 0) return leveldb::Status::IOError(directory, std::strerror(errno));
-  int failed = fsync(fd) == 0 ? 0 : errno;
+  int sync_errno = fsync(fd) == 0 ? 0 : errno;
   close(fd);
-  if (failed != 0) return leveldb::Status::IOError(directory, std::strerror(failed));
+  if (sync_errno != 0) return leveldb::Status::IOError(directory, std::strerror(sync_errno));
   return leveldb::Status::OK();
 }
 
 }  // namespace
 
 const FileSystem& RealFileSystem() {
-  static const FileSystem kFiles{leveldb::Env::Default(), SyncDirectory};
-  return kFiles;
+  static const FileSystem kRealFileSystem{leveldb::Env::Default(), SyncDirectory};
+  return kRealFileSystem;
 }
 
 std::string ParentDirectory(const std::string& path) {
@@ -33,13 +35,14 @@
   return parent.empty() ? "." : parent;
 }
 
-// Whoever made the directory may have lost power before its name was synced, so it is synced in any
-// case. One that its owner made, in a directory that this process may not read, is taken as it is.
-leveldb::Status MakeDurableDirectory(const FileSystem& files, const std::string& directory) {
-  bool made = files.env->CreateDir(directory).ok();
-  leveldb::Status status = files.sync_directory(ParentDirectory(directory));
-  if (status.ok() || (!made && status.IsNotSupportedError())) return leveldb::Status::OK();
-  if (made) files.env->RemoveDir(directory);
+// Syncs the parent even if the directory exists: the process that created it may have lost power
+// before its name was synced. If this process may not read the parent, it can't sync it; a
+// directory that the parent's owner created there is accepted as it is.
+leveldb::Status MakeDurableDirectory(const FileSystem& file_system, const std::string& directory) {
+  bool created = file_system.env->CreateDir(directory).ok();
+  leveldb::Status status = file_system.sync_directory(ParentDirectory(directory));
+  if (status.ok() || (!created && status.IsNotSupportedError())) return leveldb::Status::OK();
+  if (created) file_system.env->RemoveDir(directory);
   return status;
 }
 
@@ -54,13 +57,13 @@
 
 leveldb::Status SyncedEnv::RenameFile(const std::string& from, const std::string& to) {
   leveldb::Status status = target()->RenameFile(from, to);
-  return status.ok() ? files_.sync_directory(ParentDirectory(to)) : status;
+  return status.ok() ? file_system_.sync_directory(ParentDirectory(to)) : status;
 }
 
 leveldb::Status SyncedEnv::SyncDirectoryOf(const std::string& name, leveldb::WritableFile** file,
                                            leveldb::Status status) {
   if (!status.ok()) return status;
-  status = files_.sync_directory(ParentDirectory(name));
+  status = file_system_.sync_directory(ParentDirectory(name));
   if (status.ok()) return status;
   delete *file;
   *file = nullptr;
--- a/src/consensus/raft_log.cc
+++ b/src/consensus/raft_log.cc
@@ -25,7 +25,7 @@
 }
 
 bool RaftLog::Matches(Index index, Term term) const {
-  // What the snapshot covers is committed, and so the same in every leader's log.
+  // Entries that the snapshot covers are committed, so every leader's log has the same ones.
   if (index < snapshot_.index) return true;
   return index <= last_index() && TermAt(index) == term;
 }
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -6,9 +6,12 @@
 
 namespace elderkeel::consensus {
 
-// A member's log as it is in memory: the newest snapshot, and the entries after it. Some entries
-// before the snapshot's end may be kept too, for members that are a little behind. Entries have no
-// gaps, and the first stands directly after the snapshot's end or before that.
+// A member's log in memory: the newest snapshot and the entries after it. Some entries that the
+// snapshot covers may be kept too, so that followers slightly behind need no snapshot. Used by
+// RaftNode, which writes the same changes to the store.
+//
+// Invariants: the entries have consecutive indexes; the first entry's index is at most the
+// snapshot's index + 1.
 class RaftLog {
  public:
   RaftLog() = default;
@@ -19,31 +22,33 @@
   const std::vector<Entry>& entries() const { return entries_; }
   Index last_index() const { return entries_.empty() ? snapshot_.index : entries_.back().index; }
   Term last_term() const { return TermAt(last_index()); }
-  // Null for an entry that is not here (any more).
+  // The entry at `index`; null if it isn't in memory.
   const Entry* Find(Index index) const;
-  // 0 for an entry that is neither here nor the snapshot's last.
+  // The term of the entry at `index`; 0 if the entry is neither in memory nor the snapshot's last.
   Term TermAt(Index index) const;
-  // Bytes of all commands in memory.
+  // The sum of the sizes of all entries' data in memory.
   size_t bytes() const;
 
-  // Whether what follows entry (index, term) may be appended here (Raft, section 5.3).
+  // Whether this log contains entry (index, term) or its snapshot covers it, so that the entries
+  // that follow it may be appended (Raft, section 5.3).
   bool Matches(Index index, Term term) const;
   // Whether a log that ends with (index, term) is at least as up to date as this one (Raft, section
   // 5.4.1).
   bool IsCoveredBy(Index index, Term term) const;
 
-  // The voters by the newest voters' entry up to `index`, or else by the snapshot.
+  // The voters that the last kVoters entry up to `index` sets; those of the snapshot if no such
+  // entry follows it.
   std::vector<Member> VotersAt(Index index) const;
-  // Where they were set last; the snapshot's end if no entry here does.
+  // The index of the last kVoters entry in memory; the snapshot's index if there is none.
   Index LastVotersIndex() const;
 
-  // REQUIRES: the entry follows the last one.
+  // REQUIRES: entry.index == last_index() + 1.
   void Append(Entry entry) { entries_.push_back(std::move(entry)); }
   // Removes the entry at `index` and all after it.
   void TruncateFrom(Index index);
-  // Takes a newer snapshot and keeps the entries after `drop_to`.
+  // Replaces the snapshot by a newer one and keeps the entries after `drop_to`.
   void Compact(Snapshot snapshot, Index drop_to);
-  // Takes a leader's snapshot in place of everything.
+  // Replaces the whole log by a snapshot received from the leader.
   void Install(Snapshot snapshot);
 
  private:
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr base::Millis kTickMs = 30;
-constexpr base::Millis kReopenMs = 500;
+constexpr base::Millis kReopenIntervalMs = 500;
 
 std::string StoreDirectory(const std::string& data_dir) { return data_dir + "/log"; }
 
-// An error without digits: the numbers of LevelDB's files change with each opening.
+// An error text without digits, for comparing errors: LevelDB's texts contain file numbers, which
+// change with each opening.
 std::string WithoutDigits(std::string text) {
   auto is_digit = [](char character) { return character >= '0' && character <= '9'; };
   text.erase(std::remove_if(text.begin(), text.end(), is_digit), text.end());
@@ -49,7 +50,7 @@
   Open();
   tick_timer_.Repeat(loop_, kTickMs, [this] {
     if (raft_) raft_->Tick(base::SteadyMillis());
-    Pump();
+    ProcessEffects();
   });
 }
 
@@ -58,7 +59,6 @@
   if (raft_) raft_->SetZone(ip, zone);
 }
 
-// A store that can be written, and what it held.
 base::Result<std::unique_ptr<Store>> Replica::OpenStore(RestoredState* restored) {
   if (options_.data_dir.empty()) return MakeMemoryStore();
   std::string directory = StoreDirectory(options_.data_dir);
@@ -69,8 +69,8 @@
   }
   auto opened = OpenAndLoad(directory, restored);
   if (opened || !IsCorruption(opened.error())) return opened;
-  // This member comes back under a new identity, as after a lost disk: its old votes can't be given
-  // twice.
+  // The member rejoins under a new id, as after a lost disk. Under its old id it could vote twice
+  // in a term, since its votes are lost.
   base::Warn("store.corrupt", opened.error());
   callbacks_.store_changed("store.corrupt", opened.error().reason);
   base::Status moved = Quarantine(directory);
@@ -86,11 +86,12 @@
   auto loaded = (*store)->Load();
   if (!loaded) return base::Failure(loaded.error());
   if (!loaded->empty) {
-    // The disk may be full still: it must take something before this member has a part again.
-    WriteRequest again;
-    again.hard_state_changed = true;
-    again.hard_state = loaded->hard_state;
-    base::Status written = (*store)->Write(again);
+    // The disk may still be full. This write, which changes nothing, must succeed before the member
+    // takes part in the log again.
+    WriteRequest write_check;
+    write_check.hard_state_changed = true;
+    write_check.hard_state = loaded->hard_state;
+    base::Status written = (*store)->Write(write_check);
     if (!written) return base::Failure(written.error());
   }
   *restored = std::move(*loaded);
@@ -98,7 +99,7 @@
 }
 
 void Replica::CloseStore(const std::string& event, const std::string& reason) {
-  ++opening_;
+  ++store_generation_;
   store_thread_.reset();
   store_state_ = StoreState::kUnopened;
   if (WithoutDigits(reason) != WithoutDigits(store_error_)) {
@@ -106,7 +107,7 @@
     callbacks_.store_changed(event, reason);
   }
   store_error_ = reason;
-  reopen_timer_.Start(loop_, kReopenMs, [this] { Open(); });
+  reopen_timer_.Start(loop_, kReopenIntervalMs, [this] { Open(); });
 }
 
 RaftNode::Options Replica::RaftOptions(bool store_empty) const {
@@ -123,7 +124,7 @@
     raft.founders = options_.founders;
     raft.cluster = options_.cluster;
   } else if (store_empty) {
-    raft.self.id = base::RandomSeed() | 1;
+    raft.self.id = base::RandomSeed() | 1;  // not 0, which means "no member"
   }
   return raft;
 }
@@ -140,11 +141,11 @@
   bool initial_voter = !raft.founders.empty();
   raft_ = std::make_unique<RaftNode>(std::move(raft), std::move(restored), base::SteadyMillis());
   for (const auto& [ip, zone] : zones_) raft_->SetZone(ip, zone);
-  uint64_t opening = ++opening_;
+  uint64_t store_generation = ++store_generation_;
   store_thread_ = std::make_unique<StoreThread>(
-      std::move(*store), [this, opening](uint64_t sequence, base::Status result) {
-        loop_->Post([this, opening, sequence, result = std::move(result)] {
-          OnWriteFinished(opening, sequence, result);
+      std::move(*store), [this, store_generation](uint64_t sequence, base::Status result) {
+        loop_->Post([this, store_generation, sequence, result = std::move(result)] {
+          OnWriteFinished(store_generation, sequence, result);
         });
       });
   base::Info("log.opened", {{"member", raft_->self().id},
@@ -153,29 +154,32 @@
                             {"term", raft_->term()},
                             {"last", raft_->last_index()},
                             {"voters", raft_->voters().size()}});
-  Pump();
+  ProcessEffects();
 }
 
-void Replica::OnWriteFinished(uint64_t opening, uint64_t sequence, const base::Status& result) {
-  if (opening != opening_) return;
+void Replica::OnWriteFinished(uint64_t store_generation, uint64_t sequence,
+                              const base::Status& result) {
+  if (store_generation != store_generation_) return;
   raft_->OnWriteFinished(base::SteadyMillis(), sequence, result.has_value());
-  Pump();
-  // Nothing of this opening may be trusted: what the disk holds is read anew.
+  ProcessEffects();
+  // After a failed write the content of the disk may differ from the RaftNode's state, so the store
+  // is closed and its content read again.
   if (!result) CloseStore("store.write_failed", result.error().reason);
 }
 
-void Replica::Pump() {
-  if (pumping_ || !raft_) return;  // callbacks may call in; the outer loop takes what they caused
-  pumping_ = true;
+void Replica::ProcessEffects() {
+  // Callbacks may call methods that come here again; the outer loop then executes their effects.
+  if (processing_effects_ || !raft_) return;
+  processing_effects_ = true;
   for (;;) {
     RaftNode::Effects effects = raft_->TakeEffects();
     if (effects.empty()) break;
-    CarryOut(std::move(effects));
+    ExecuteEffects(std::move(effects));
   }
-  pumping_ = false;
+  processing_effects_ = false;
 }
 
-void Replica::CarryOut(RaftNode::Effects effects) {
+void Replica::ExecuteEffects(RaftNode::Effects effects) {
   for (WriteRequest& write : effects.writes) {
     if (store_thread_) store_thread_->Write(std::move(write));
   }
@@ -191,10 +195,12 @@
                                     {"voter", raft_->IsVoter(member.id)}});
   }
   if (effects.discard_store) {
-    // The next opening begins empty, under a new identity, and asks to be taken in.
+    // The next opening begins empty: the member gets a new id and asks the leader to be added as a
+    // learner.
     discard_store_ = true;
     options_.bootstrap = false;
-    CloseStore("store.state_lost", "the log lacks what this member had acknowledged");
+    CloseStore("store.state_lost",
+               "the log lacks entries that this member had acknowledged to the leader");
   }
   if (effects.role_changed) callbacks_.role_changed();
   for (uint64_t token : effects.failed_reads) callbacks_.read_finished(token, false);
@@ -206,35 +212,35 @@
 
 void Replica::Receive(const Message& message, const base::Address& from) {
   raft_->Receive(base::SteadyMillis(), message, from);
-  Pump();
+  ProcessEffects();
 }
 
 std::optional<Index> Replica::Propose(std::string command) {
   auto index = raft_->Propose(base::SteadyMillis(), std::move(command));
-  Pump();
+  ProcessEffects();
   return index;
 }
 
 bool Replica::ConfirmRead(uint64_t token) {
   bool taken = raft_->ConfirmRead(base::SteadyMillis(), token);
-  Pump();
+  ProcessEffects();
   return taken;
 }
 
 bool Replica::ConfirmReadByHeartbeat(uint64_t token) {
   bool taken = raft_->ConfirmReadByHeartbeat(base::SteadyMillis(), token);
-  Pump();
+  ProcessEffects();
   return taken;
 }
 
 void Replica::AddLearner(const Member& member) {
   raft_->AddLearner(base::SteadyMillis(), member);
-  Pump();
+  ProcessEffects();
 }
 
 void Replica::TransferLeadership() {
   raft_->TransferLeadership(base::SteadyMillis());
-  Pump();
+  ProcessEffects();
 }
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -8,41 +8,49 @@
 
 namespace elderkeel::consensus {
 
-// One atomic write to the store. Writes take effect in the order of their sequence.
+// One atomic write to the store: all of it takes effect or none. RaftNode numbers its writes in
+// ascending order and hands them to the store in that order.
 struct WriteRequest {
   uint64_t sequence = 0;
   bool hard_state_changed = false;
   HardState hard_state;
-  Index commit = 0;  // a hint, not synced: what is known to be committed stays so; 0 for none
+  // The highest index known to be committed; 0 for unchanged. It isn't synced for its own sake: an
+  // older value is still correct, since a committed entry stays committed.
+  Index commit = 0;
   Index truncate_from = 0;  // removes this entry and all after it; 0 for none
   std::vector<Entry> entries;
-  std::vector<Snapshot> snapshot;  // none or one; entries up to `drop_to` go with it
-  Index drop_to = 0;
+  std::vector<Snapshot> snapshot;  // none or one
+  Index drop_to = 0;  // removes this entry and all before it, which the snapshot covers; 0 for none
 };
 
-// What a store holds when it is opened.
+// The content of a store when it is opened.
 struct RestoredState {
-  bool empty = true;  // nothing was ever written
+  bool empty = true;  // no hard state was ever written
   HardState hard_state;
-  Index commit = 0;  // known to be committed; 0 for unknown
+  Index commit = 0;  // the highest index known to be committed; 0 for unknown
   Snapshot snapshot;
-  std::vector<Entry> entries;  // without a gap; may begin before the snapshot's end
+  // With consecutive indexes; the first ones may be covered by the snapshot.
+  std::vector<Entry> entries;
 };
 
-// Where a member keeps what it must not forget. Not thread-safe: used by one StoreThread.
+// The persistent state of one member: hard state, log entries and snapshot. Not thread-safe:
+// Replica opens and loads it, and from then on one StoreThread alone uses it.
 class Store {
  public:
   virtual ~Store() = default;
-  // kCorruption: damaged for good. kIoError: may be read later.
+  // Reads the whole store. Errors: kCorruption, the data is damaged for good; kIoError, a later
+  // attempt may succeed.
   virtual base::Result<RestoredState> Load() = 0;
-  // On success the write is on disk, synced. After an error every later write is refused too: the
-  // store must be opened anew.
+  // On success the hard state, snapshot, entries and truncation of the write are synced to disk.
+  // After an error every later write fails too: the store must be opened again.
   virtual base::Status Write(const WriteRequest& write) = 0;
-  // Gives back the room of what was dropped, if enough was written since; called between writes.
+  // Frees the disk space of removed data if enough was written since the last time. Called between
+  // writes.
   virtual void Reclaim() {}
 };
 
-// For machines without a disk: everything goes with the process.
+// A store for machines without a disk: it discards all writes, so a member that uses it restarts
+// empty.
 std::unique_ptr<Store> MakeMemoryStore();
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/store_thread.cc
+++ b/src/consensus/store_thread.cc
@@ -4,8 +4,10 @@
 
 namespace elderkeel::consensus {
 
-StoreThread::StoreThread(std::unique_ptr<Store> store, Done done)
-    : store_(std::move(store)), done_(std::move(done)), thread_([this] { Run(); }) {}
+StoreThread::StoreThread(std::unique_ptr<Store> store, WriteFinished write_finished)
+    : store_(std::move(store)),
+      write_finished_(std::move(write_finished)),
+      thread_([this] { Run(); }) {}
 
 StoreThread::~StoreThread() {
   {
@@ -34,9 +36,9 @@
       write = std::move(queue_.front());
       queue_.pop_front();
     }
-    base::Status written = store_->Write(write);
-    done_(write.sequence, written);
-    if (written) store_->Reclaim();
+    base::Status result = store_->Write(write);
+    write_finished_(write.sequence, result);
+    if (result) store_->Reclaim();
   }
 }
 
