--- a/tests/consensus/disk_store_test.cc
+++ b/tests/consensus/disk_store_test.cc
@@ -27,9 +27,10 @@
               ("elderkeel-store-" + std::to_string(base::RandomSeed()))) {}
   ~StoreTest() override { std::filesystem::remove_all(path_); }
 
-  Entry Make(Index index, Term term) {
+  Entry MakeEntry(Index index, Term term) {
     return Entry{term, index, EntryKind::kCommand, "d" + std::to_string(index)};
   }
+  // Opens the store and returns its content.
   RestoredState Reload() {
     auto store = OpenDiskStore(path_.string());
     EXPECT_TRUE(store.has_value());
@@ -37,6 +38,7 @@
     EXPECT_TRUE(restored.has_value()) << restored.error().reason;
     return *restored;
   }
+  // Opens the store, writes once and closes it.
   void Write(const WriteRequest& write) {
     auto store = OpenDiskStore(path_.string());
     ASSERT_TRUE(store.has_value());
@@ -45,17 +47,19 @@
   std::filesystem::path path_;
 };
 
-TEST_F(StoreTest, KeepsVoteEntriesAndSnapshotAcrossOpenings) {
+// Guards against a reopened store that lost a part of a write, or still holds entries that a write
+// truncated or dropped.
+TEST_F(StoreTest, ReopenedStoreHoldsVoteEntriesAndSnapshot) {
   EXPECT_TRUE(Reload().empty);
   WriteRequest first;
   first.hard_state_changed = true;
   first.hard_state = {7, 8, 3, 9};
   first.snapshot = {Snapshot{2, 1, {}, "state"}};
-  first.entries = {Make(3, 2), Make(4, 2), Make(5, 2)};
+  first.entries = {MakeEntry(3, 2), MakeEntry(4, 2), MakeEntry(5, 2)};
   Write(first);
-  WriteRequest second;  // another leader's entries replace 5, and more follow
+  WriteRequest second;  // another leader's entries replace entry 5 and add entry 6
   second.truncate_from = 5;
-  second.entries = {Make(5, 3), Make(6, 3)};
+  second.entries = {MakeEntry(5, 3), MakeEntry(6, 3)};
   second.commit = 4;
   Write(second);
   RestoredState restored = Reload();
@@ -75,11 +79,13 @@
   EXPECT_EQ(restored.entries.front().index, 5u);
 }
 
-TEST_F(StoreTest, SaysWhenItCannotBeRead) {
+// Guards against a member that runs with a log that misses entries, or with a store whose CURRENT
+// file is damaged.
+TEST_F(StoreTest, LogWithGapAndDamagedCurrentFileAreErrors) {
   WriteRequest write;
   write.hard_state_changed = true;
   write.hard_state = {1, 2, 3, 4};
-  write.entries = {Make(1, 1), Make(3, 1)};  // a gap
+  write.entries = {MakeEntry(1, 1), MakeEntry(3, 1)};  // a gap
   Write(write);
   auto store = OpenDiskStore(path_.string());
   ASSERT_TRUE(store.has_value());
@@ -92,14 +98,18 @@
   EXPECT_FALSE(OpenDiskStore(path_.string()).has_value());
 }
 
-TEST_F(StoreTest, QuarantinesOnlyDamagedStores) {
+// Guards against quarantining a store that is only locked by another opening: the member would lose
+// its votes and entries without need. A damaged store is quarantined, and an empty one can be
+// opened.
+TEST_F(StoreTest, LockedStoreIsNotCorruptionAndDamagedStoreIsQuarantined) {
   WriteRequest write;
   write.hard_state_changed = true;
   write.hard_state = {1, 2, 3, 4};
   Write(write);
   auto first = OpenDiskStore(path_.string());
   ASSERT_TRUE(first.has_value());
-  auto second = OpenDiskStore(path_.string());  // the first one's lock will go
+  auto second =
+      OpenDiskStore(path_.string());  // fails only as long as the first one holds the lock
   ASSERT_FALSE(second.has_value());
   EXPECT_FALSE(IsCorruption(second.error()));
   first->reset();
@@ -113,7 +123,8 @@
   std::filesystem::remove_all(path_.string() + ".unreadable");
 }
 
-TEST_F(StoreTest, WritesInOrderOnItsOwnThread) {
+// Guards against a StoreThread that reorders writes, or drops queued ones when it is destroyed.
+TEST_F(StoreTest, StoreThreadFinishesQueuedWritesInOrderBeforeItEnds) {
   auto store = OpenDiskStore(path_.string());
   ASSERT_TRUE(store.has_value());
   std::vector<uint64_t> done;
@@ -126,16 +137,17 @@
       WriteRequest write;
       write.sequence = i;
       write.hard_state_changed = true;
-      write.entries = {Make(i, 1)};
+      write.entries = {MakeEntry(i, 1)};
       thread.Write(write);
     }
-  }  // an orderly end writes what is queued
+  }  // the destructor executes the queued writes
   ASSERT_EQ(done.size(), 20u);
   EXPECT_TRUE(std::is_sorted(done.begin(), done.end()));
   EXPECT_EQ(Reload().entries.size(), 20u);
 }
 
-// The records as version 0.1.0 wrote them, on their own so that a change of the types shows here.
+// The records as version 0.1.0 wrote them. The types are copies, so that a change of the current
+// types makes the test below fail.
 namespace version_0_1_0 {
 struct Member {
   uint64_t id;
@@ -181,7 +193,9 @@
 }
 }  // namespace version_0_1_0
 
-TEST_F(StoreTest, ReadsWhatVersion010Wrote) {
+// Guards against a change of the stored format: after an update a controller must read the store
+// that the version before it wrote.
+TEST_F(StoreTest, ReadsStoreWrittenByVersion010) {
   namespace old = version_0_1_0;
   leveldb::Options options;
   options.create_if_missing = true;
@@ -201,7 +215,7 @@
                                            {{8, "10.0.0.1", 7000, "10.0.0.1:8383", "z1"},
                                             {9, "10.0.0.2", 7000, "", "z2"}},
                                            std::string(600'000, 's')}));
-  for (uint64_t index = 30; index <= 300; ++index) {  // the index in eight bytes, high ones first
+  for (uint64_t index = 30; index <= 300; ++index) {  // the index as eight bytes, big-endian
     std::string key = "e" + std::string(6, '\0');
     key.push_back(static_cast<char>(index >> 8));
     key.push_back(static_cast<char>(index));
@@ -211,7 +225,8 @@
   put("commit", old::Bytes<uint64_t>(290));
   db.reset();
 
-  for (int openings = 0; openings < 2; ++openings) {  // as it was, and once rewritten
+  // The first opening reads the old files, the second one those that the first opening rewrote.
+  for (int openings = 0; openings < 2; ++openings) {
     RestoredState restored = Reload();
     EXPECT_FALSE(restored.empty);
     EXPECT_EQ(restored.hard_state.cluster, 7u);
@@ -238,23 +253,24 @@
   }
 }
 
-// The only voter of a log with a state of 0.9 MB, changed whole and in parts by turns.
-TEST_F(StoreTest, ManyLargeChangesNeedLittleRoom) {
-  constexpr size_t kState = 900'000, kChanges = 64;
+// Guards against a store or a log that grows without bound, which would fill the disk of 64 MB. The
+// only voter of a log has a state of 0.9 MB; changes of the whole state and small ones alternate.
+TEST_F(StoreTest, ManyLargeChangesStayWithinDiskAndLogBounds) {
+  constexpr size_t kStateBytes = 900'000, kChanges = 64;
   auto store = OpenDiskStore(path_.string());
   ASSERT_TRUE(store.has_value());
-  std::atomic<bool> ending{false};
-  std::atomic<uint64_t> peak{0};
-  std::thread watch([&] {
-    while (!ending) {
+  std::atomic<bool> stopping{false};
+  std::atomic<uint64_t> peak_bytes{0};
+  std::thread size_sampler([&] {
+    while (!stopping) {
       uint64_t bytes = 0;
       std::error_code ignored;
       for (const auto& file : std::filesystem::directory_iterator(path_, ignored)) {
-        std::error_code gone;
-        uint64_t size = file.file_size(gone);
-        if (!gone) bytes += size;
+        std::error_code removed;
+        uint64_t size = file.file_size(removed);
+        if (!removed) bytes += size;
       }
-      peak = std::max<uint64_t>(peak, bytes);
+      peak_bytes = std::max<uint64_t>(peak_bytes, bytes);
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
   });
@@ -264,18 +280,18 @@
   options.cluster = 7;
   RaftNode raft(options, RestoredState(), 0);
   size_t log_bytes = 0, log_size = 0;
-  base::Millis longest = 0;
-  std::string state(2 * kState, 's');  // the configuration in force, and the newest change
-  auto work = [&] {
+  base::Millis longest_reclaim_ms = 0;
+  std::string state(2 * kStateBytes, 's');  // the configuration in force and the newest change
+  auto execute_writes = [&] {
     for (bool any = true; any;) {
       RaftNode::Effects effects = raft.TakeEffects();
       any = !effects.writes.empty();
       for (const WriteRequest& write : effects.writes) {
         auto written = (*store)->Write(write);
         raft.OnWriteFinished(0, write.sequence, written.has_value());
-        base::Millis begun = base::SteadyMillis();
+        base::Millis reclaim_started = base::SteadyMillis();
         (*store)->Reclaim();
-        longest = std::max(longest, base::SteadyMillis() - begun);
+        longest_reclaim_ms = std::max(longest_reclaim_ms, base::SteadyMillis() - reclaim_started);
       }
       if (!effects.committed.empty() && raft.CompactionDue()) {
         raft.Compact(raft.commit(), state);
@@ -286,18 +302,19 @@
   };
   for (base::Millis now = 0; !raft.HasCommittedInTerm() && now < 5000; now += 30) {
     raft.Tick(now);
-    work();
+    execute_writes();
   }
   for (size_t i = 0; i < kChanges; ++i) {
-    size_t bytes = i % 2 == 0 ? kState : 400;
+    size_t bytes = i % 2 == 0 ? kStateBytes : 400;
     ASSERT_TRUE(raft.Propose(0, std::string(bytes, static_cast<char>('a' + i % 26))));
-    work();
+    execute_writes();
   }
-  ending = true;
-  watch.join();
-  std::cout << "folder " << peak / 1000 << " kB, log " << log_bytes / 1000 << " kB, " << log_size
-            << " entries at their peaks, room given back in " << longest << " ms at most\n";
-  EXPECT_LT(peak, 32u << 20);
+  stopping = true;
+  size_sampler.join();
+  std::cout << "directory " << peak_bytes / 1000 << " kB, log " << log_bytes / 1000 << " kB, "
+            << log_size << " entries at their peaks, Reclaim() took at most " << longest_reclaim_ms
+            << " ms\n";
+  EXPECT_LT(peak_bytes, 32u << 20);
   EXPECT_LT(log_bytes, 8u << 20);
   EXPECT_LE(log_size, 97u);
   store->reset();
