--- a/tests/consensus/model.cc
+++ b/tests/consensus/model.cc
@@ -1,4 +1,4 @@
-// Model: the steps, and what each does.
+// Model: which steps are possible, and what each does.
 #include "consensus/model.h"
 
 #include <algorithm>
@@ -16,19 +16,20 @@
   for (size_t i = 0; i < s.nodes.size(); ++i) {
     auto node = std::make_shared<Node>();
     s.nodes[i] = node;
-    if (static_cast<int>(i) < options_.founders) Begin(&s, static_cast<int>(i), node.get(), true);
-    Seal(node.get());
+    if (static_cast<int>(i) < options_.founders)
+      StartNode(&s, static_cast<int>(i), node.get(), true);
+    UpdateDigest(node.get());
   }
   return s;
 }
 
-std::vector<Step> Model::Steps(const State& s) const {
+std::vector<Step> Model::EnabledSteps(const State& s) const {
   std::vector<Step> steps;
   auto may = [&](StepKind kind) { return s.budget[static_cast<size_t>(kind)] != 0; };
   int size = static_cast<int>(s.nodes.size());
   std::set<std::tuple<int, int, uint64_t>> seen;
   std::map<std::pair<int, int>, int> count;
-  for (const Sent& m : s.network) {
+  for (const SentMessage& m : s.network) {
     int nth = count[{m.from, m.to}]++;
     if (!seen.insert({m.from, m.to, m.digest}).second) continue;
     bool arrives = s.nodes[static_cast<size_t>(m.to - 1)]->up;
@@ -68,7 +69,7 @@
         add(StepKind::kJoin, k);
       }
       if (k <= i) continue;
-      add(s.cuts.count({i, k}) ? StepKind::kHeal : StepKind::kCut, k);
+      add(s.cut_links.count({i, k}) ? StepKind::kHeal : StepKind::kCut, k);
     }
   }
   return steps;
@@ -83,19 +84,19 @@
   std::shared_ptr<const Node> before = s->nodes[at];
   if (step.kind == StepKind::kCut || step.kind == StepKind::kHeal) {
     std::pair<int, int> pair{std::min(step.node, step.other), std::max(step.node, step.other)};
-    if (step.kind == StepKind::kHeal) return s->cuts.erase(pair) > 0;
+    if (step.kind == StepKind::kHeal) return s->cut_links.erase(pair) > 0;
     s->network.erase(std::remove_if(s->network.begin(), s->network.end(),
-                                    [&](const Sent& m) {
+                                    [&](const SentMessage& m) {
                                       return std::minmax(m.from, m.to) ==
                                              std::minmax(pair.first, pair.second);
                                     }),
                      s->network.end());
-    return s->cuts.insert(pair).second;
+    return s->cut_links.insert(pair).second;
   }
   std::shared_ptr<const Message> message;
   if (step.kind <= StepKind::kDuplicate) {
     int nth = 0;
-    auto found = std::find_if(s->network.begin(), s->network.end(), [&](const Sent& m) {
+    auto found = std::find_if(s->network.begin(), s->network.end(), [&](const SentMessage& m) {
       return m.from == step.node && m.to == step.other && nth++ == step.nth;
     });
     if (found == s->network.end()) return false;
@@ -117,11 +118,11 @@
       bool is_leader = n.raft->is_leader();
       Millis until =
           is_leader ? RaftNodeProbe::heartbeat_at(*n.raft) : RaftNodeProbe::election_at(*n.raft);
-      // In strides that aren't taken for a sleep.
+      // In increments of half an election timeout, which the node doesn't take for a suspension.
       do {
         n.now = std::min(std::max(n.now, until), n.now + options_.timing.election_timeout / 2);
         n.raft->Tick(n.now);
-        Pump(s, i, &n);
+        ProcessEffects(s, i, &n);
       } while (n.now < until && n.raft->is_leader() == is_leader);
       break;
     }
@@ -135,31 +136,31 @@
       WriteRequest write = std::move(n.writes.front());
       n.writes.erase(n.writes.begin());
       bool ok = step.kind == StepKind::kPersist;
-      if (ok) Store(&n.disk, write);
+      if (ok) ApplyWrite(&n.disk, write);
       if (!ok && !options_.writes_past_refusal) n.writes.clear();
       n.raft->OnWriteFinished(n.now, write.sequence, ok);
       break;
     }
     case StepKind::kCrash:
       if (step.nth > static_cast<int>(n.writes.size())) return false;
-      for (int k = 0; k < step.nth; ++k) Store(&n.disk, n.writes[static_cast<size_t>(k)]);
-      End(&n);
+      for (int k = 0; k < step.nth; ++k) ApplyWrite(&n.disk, n.writes[static_cast<size_t>(k)]);
+      StopNode(&n);
       break;
     case StepKind::kRestart:
-      Begin(s, i - 1, &n, false);
+      StartNode(s, i - 1, &n, false);
       break;
     case StepKind::kWipe: {
       auto history = std::make_shared<History>(*s->history);
-      history->lost.push_back(before);
+      history->wiped.push_back(before);
       s->history = history;
-      End(&n);
+      StopNode(&n);
       n.disk = RestoredState();
-      n.promised_in = n.promised = n.promised_term = 0;
+      n.acknowledged_leader_term = n.acknowledged_index = n.acknowledged_entry_term = 0;
       ++n.wipes;
       break;
     }
     case StepKind::kJoin: {
-      // Asked by one node, it happens at another.
+      // The request comes from `node`, but the step changes only the leader, `other`.
       s->nodes[at] = before;
       size_t leader = static_cast<size_t>(step.other - 1);
       if (leader >= s->nodes.size() || !s->nodes[leader]->is_leader()) return false;
@@ -168,9 +169,9 @@
       auto joined = std::make_shared<Node>(*before);
       s->nodes[leader] = joined;
       joined->raft->AddLearner(joined->now, member);
-      Pump(s, step.other, joined.get());
-      Seal(joined.get());
-      Check(*s, step.other, *before, *joined);
+      ProcessEffects(s, step.other, joined.get());
+      UpdateDigest(joined.get());
+      CheckInvariants(*s, step.other, *before, *joined);
       return true;
     }
     case StepKind::kTransfer:
@@ -183,15 +184,15 @@
       break;
     case StepKind::kCompact:
       if (n.raft->storage_failed() || n.raft->commit() <= n.raft->snapshot_index()) return false;
-      n.raft->Compact(n.raft->commit(), std::to_string(n.chain));
+      n.raft->Compact(n.raft->commit(), std::to_string(n.applied_digest));
       break;
     default:
       return false;
   }
-  if (n.up) Pump(s, i, &n);
-  Seal(&n);
-  Remember(s, i, *before, n);
-  Check(*s, i, *before, n);
+  if (n.up) ProcessEffects(s, i, &n);
+  UpdateDigest(&n);
+  RecordHistory(s, i, *before, n);
+  CheckInvariants(*s, i, *before, n);
   return true;
 }
 
@@ -201,7 +202,7 @@
   if (step.kind <= StepKind::kDuplicate) {
     text += ">" + std::to_string(step.other) + " #" + std::to_string(step.nth);
     int nth = 0;
-    for (const Sent& m : s.network) {
+    for (const SentMessage& m : s.network) {
       if (m.from != step.node || m.to != step.other || nth++ != step.nth) continue;
       static const char* const kNames[] = {
           "PreVote",       "PreVoteReply",       "RequestVote",     "RequestVoteReply",
@@ -241,41 +242,42 @@
   return m;
 }
 
-void Model::Begin(State* s, int i, Node* n, bool founding) {
+void Model::StartNode(State* s, int i, Node* n, bool initial_voter) {
   const auto& log = n->disk.entries;
   for (size_t k = 0; k + 1 < log.size(); ++k) {
-    if (log[k].index + 1 != log[k + 1].index) Fault("readable log", i + 1, "has a gap");
+    if (log[k].index + 1 != log[k + 1].index) ReportFault("readable log", i + 1, "has a gap");
   }
   if (!log.empty() && log.front().index > n->disk.snapshot.index + 1) {
-    Fault("readable log", i + 1, "begins after its snapshot");
+    ReportFault("readable log", i + 1,
+                "is missing entries between its snapshot and its first entry");
   }
   RaftNode::Options o;
   o.self = MemberOf(i, n->wipes);
   o.timing = options_.timing;
   o.tolerance = options_.tolerance;
   o.seed = static_cast<uint64_t>(1 + i * 100 + n->incarnations);
-  if (founding) {
+  if (initial_voter) {
     o.founders = founders_;
     o.cluster = 77;
   }
   n->up = true;
   ++n->incarnations;
-  n->chain = 0;
+  n->applied_digest = 0;
   n->raft.emplace(o, n->disk, n->now);
   for (int k = 0; k < options_.founders + options_.spares; ++k) {
     n->raft->SetZone(AddressOf(k).ip, ZoneOf(k));
   }
-  Pump(s, i + 1, n);
+  ProcessEffects(s, i + 1, n);
 }
 
-void Model::End(Node* n) {
+void Model::StopNode(Node* n) {
   n->up = false;
   n->writes.clear();
   n->raft.reset();
-  n->chain = 0;
+  n->applied_digest = 0;
 }
 
-void Model::Pump(State* s, int i, Node* n) {
+void Model::ProcessEffects(State* s, int i, Node* n) {
   for (;;) {
     RaftNode::Effects effects = n->raft->TakeEffects();
     bool any = !effects.messages.empty() || !effects.writes.empty() || !effects.committed.empty() ||
@@ -284,19 +286,19 @@
       if (!options_.instant_disk || n->writes.empty()) return;
       WriteRequest write = std::move(n->writes.front());
       n->writes.erase(n->writes.begin());
-      Store(&n->disk, write);
+      ApplyWrite(&n->disk, write);
       n->raft->OnWriteFinished(n->now, write.sequence, true);
       continue;
     }
     for (WriteRequest& write : effects.writes) n->writes.push_back(std::move(write));
     for (auto& out : effects.messages) Send(s, i, n, std::move(out));
     for (const Snapshot& snapshot : effects.installed) {
-      n->chain = snapshot.state.empty() ? 0 : std::stoull(snapshot.state);
-      Applied(s, i, snapshot.index, n->chain);
+      n->applied_digest = snapshot.state.empty() ? 0 : std::stoull(snapshot.state);
+      CheckApplied(s, i, snapshot.index, n->applied_digest);
     }
     for (const Entry& entry : effects.committed) {
-      n->chain = Digest().Add(n->chain, DigestOf(entry)).value();
-      Applied(s, i, entry.index, n->chain);
+      n->applied_digest = Digest().Add(n->applied_digest, DigestOf(entry)).value();
+      CheckApplied(s, i, entry.index, n->applied_digest);
     }
   }
 }
@@ -304,32 +306,33 @@
 void Model::Send(State* s, int i, Node* n, consensus::OutgoingMessage out) {
   const Message& m = out.message;
   const consensus::HardState& hard_state = n->disk.hard_state;
-  // Persistent promises: what others will count on is on the disk when it is told.
+  // Persistent promise: what a message promises to other members is on the sender's disk before the
+  // message is sent.
   if (m.type == MessageType::kRequestVote ||
       (m.type == MessageType::kRequestVoteReply && m.granted)) {
     MemberId vote = m.type == MessageType::kRequestVote ? m.from : m.to;
     if (n->disk.empty || hard_state.term < m.term ||
         (hard_state.term == m.term && hard_state.voted_for != vote)) {
-      Fault("persistent promise", i, "told a vote that isn't on its disk");
+      ReportFault("persistent promise", i, "sent a vote that isn't on its disk");
     }
   }
   if (m.type == MessageType::kAppendEntriesReply && m.granted) {
     if (n->disk.empty || hard_state.term < m.term) {
-      Fault("persistent promise", i, "answered in a term that isn't on its disk");
+      ReportFault("persistent promise", i, "replied in a term that isn't on its disk");
     }
-    // A reply held back may speak of a term that has passed; then nobody counts on it any more.
+    // A deferred reply may belong to an earlier term; no leader counts it any more.
     if (m.term == n->raft->term() && m.index > 0) {
       const Entry* e = EntryAt(n->raft->log(), m.index);
       Term term = e ? e->term : 0;
       bool known = e || m.index <= n->raft->snapshot_index();
-      if (!known || !Holds(n->disk, m.index, term)) {
-        Fault("persistent promise", i,
-              "told that it holds " + std::to_string(m.index) + ", which isn't on its disk");
+      if (!known || !HasEntry(n->disk, m.index, term)) {
+        ReportFault("persistent promise", i,
+                    "acknowledged " + std::to_string(m.index) + ", which isn't on its disk");
       }
-      if (n->promised_in != m.term || m.index > n->promised) {
-        n->promised_in = m.term;
-        n->promised = m.index;
-        n->promised_term = term;
+      if (n->acknowledged_leader_term != m.term || m.index > n->acknowledged_index) {
+        n->acknowledged_leader_term = m.term;
+        n->acknowledged_index = m.index;
+        n->acknowledged_entry_term = term;
       }
     }
   }
@@ -337,16 +340,16 @@
   for (int k = 0; k < static_cast<int>(s->nodes.size()); ++k) {
     if (AddressOf(k) == out.to) to = k + 1;
   }
-  if (to == 0 || s->cuts.count(std::minmax(i, to))) return;
+  if (to == 0 || s->cut_links.count(std::minmax(i, to))) return;
   auto message = std::make_shared<const Message>(std::move(out.message));
   uint64_t digest = DigestOf(*message);
   s->network.push_back({i, to, std::move(message), digest});
 }
 
-void Model::Seal(Node* n) {
+void Model::UpdateDigest(Node* n) {
   Digest d;
-  d.Add(n->up, n->wipes, n->chain, n->promised_in, n->promised, n->promised_term, n->disk.empty,
-        n->disk.commit);
+  d.Add(n->up, n->wipes, n->applied_digest, n->acknowledged_leader_term, n->acknowledged_index,
+        n->acknowledged_entry_term, n->disk.empty, n->disk.commit);
   AddTo(&d, n->disk.hard_state);
   AddTo(&d, n->disk.snapshot);
   AddTo(&d, n->disk.entries);
--- a/tests/consensus/model.h
+++ b/tests/consensus/model.h
@@ -7,52 +7,69 @@
 
 namespace elderkeel::model {
 
-// The real machines, their disks and what is under way between them, as states and steps.
+// A cluster for the model checker: real RaftNodes, simulated disks and the messages in flight. The
+// cluster is a State, and Apply() takes one step from it. After each step the invariants are
+// checked. `i` is always a node's number, from 1, except in the methods that say otherwise.
 class Model {
  public:
   explicit Model(Options options);
 
+  // The state in which the initial voters were just started and the spares are down.
   State Initial();
 
-  // All that may happen next and is within the budget.
-  std::vector<Step> Steps(const State& s) const;
+  // All steps that are possible in `s` and within its budget.
+  std::vector<Step> EnabledSteps(const State& s) const;
 
-  // False if the step can't be taken in this state. `fault` tells of a broken invariant.
+  // Takes a step. Returns false if it is impossible in this state. If the step violates an
+  // invariant, sets `fault` to its name and a description. The budget isn't changed.
   bool Apply(State* s, const Step& step, std::string* fault);
 
-  // What a step is about, for a trace; told of the state that it is taken in.
+  // Describes a step for a trace; `s` is the state before it.
   std::string Describe(const State& s, const Step& step) const;
 
   const Options& options() const { return options_; }
 
  private:
+  // For these, `i` counts from 0.
   base::Address AddressOf(int i) const { return {"10.0.0." + std::to_string(i + 1), 7200}; }
   std::string ZoneOf(int i) const;
   Member MemberOf(int i, int wipes) const;
 
-  void Begin(State* s, int i, Node* n, bool founding);
-  void End(Node* n);
+  // Starts node `n` from its disk; here `i` counts from 0. Without `initial_voter`, a node with an
+  // empty disk starts without a cluster, as one that joins.
+  void StartNode(State* s, int i, Node* n, bool initial_voter);
+  void StopNode(Node* n);
 
-  void Pump(State* s, int i, Node* n);
+  // Takes and executes the effects of the RaftNode until there are none.
+  void ProcessEffects(State* s, int i, Node* n);
 
-  // State machine safety: whoever applies up to an index has applied the same.
-  void Applied(State* s, int i, Index index, uint64_t chain);
+  // Checks state machine safety: nodes that applied the entries up to the same index applied the
+  // same entries.
+  void CheckApplied(State* s, int i, Index index, uint64_t applied_digest);
 
+  // Checks what the message promises against the disk, and puts it into flight unless the link is
+  // cut.
   void Send(State* s, int i, Node* n, consensus::OutgoingMessage out);
 
-  void Seal(Node* n);
+  // To be called last in a step, when the node no longer changes.
+  void UpdateDigest(Node* n);
 
-  // The disks, lost ones included, that hold an entry; of those voters only, if given.
-  size_t Copies(const State& s, Index index, Term term, const std::vector<Member>* voters) const;
+  // The number of disks, wiped ones included, that contain an entry; those of `voters` only, if
+  // given.
+  size_t CountCopies(const State& s, Index index, Term term,
+                     const std::vector<Member>* voters) const;
 
-  // What a step added to what must never be taken back.
-  void Remember(State* s, int i, const Node& before, const Node& n);
+  // Adds the leaders and commits of a step to the history, and checks them.
+  void RecordHistory(State* s, int i, const Node& before, const Node& n);
 
-  void Check(const State& s, int i, const Node& before, const Node& n);
+  // Checks the invariants that concern node `i`, which a step changed from `before` to `n`.
+  void CheckInvariants(const State& s, int i, const Node& before, const Node& n);
 
+  // Checks that the majorities of consecutive voter sets, and those of two leaders, must overlap.
   void CheckVoters(const State& s, int i, const Node& n);
 
-  void Fault(const std::string& invariant, int node, const std::string& what);
+  // Sets the fault, unless there is one already or the invariant is ignored.
+  void ReportFault(const std::string& invariant, int node, const std::string& description);
 
   Options options_;
   std::vector<Member> founders_;
--- a/tests/consensus/model_checker_test.cc
+++ b/tests/consensus/model_checker_test.cc
@@ -6,10 +6,11 @@
 namespace elderkeel::model {
 namespace {
 
-// Every state that can be reached within the bound, from every scenario: the same ones each time.
+// Guards against steps, in any order, that violate an invariant. Searches all states within the
+// bound of each scenario; each run reaches the same states.
 class ModelCheckerTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(ModelCheckerTest, NoInvariantBreaksWithinTheBound) {
+TEST_P(ModelCheckerTest, InvariantsHoldInAllStatesWithinBound) {
   const Scenario& scenario = *FindScenario(GetParam());
   Script script(scenario.options);
   scenario.begin(&script);
@@ -17,7 +18,7 @@
   std::printf("%s: %s\n", scenario.name.c_str(), result.Summary().c_str());
   EXPECT_EQ(result.fault, "") << result.Summary();
   EXPECT_TRUE(result.complete);
-  EXPECT_EQ(result.depth, scenario.depth) << "the bound ends early: nothing is left to do";
+  EXPECT_EQ(result.depth, scenario.depth) << "no steps were left before the scenario's depth";
   EXPECT_GT(result.states, 100u);
 }
 
@@ -34,7 +35,8 @@
                            return name;
                          });
 
-TEST(ModelCheckerTest, SameWalkEachTime) {
+// Guards against walks that a seed doesn't reproduce, so that a violation can't be examined.
+TEST(ModelCheckerTest, SameSeedGivesSameWalks) {
   const Scenario& scenario = *FindScenario("replacement");
   Script script(scenario.options);
   scenario.begin(&script);
@@ -45,9 +47,10 @@
   EXPECT_EQ(first.steps, second.steps);
 }
 
-// The shortest trace that took an acknowledged entry from a synced disk: the leader compacts, a
-// late rejection makes it send the snapshot to a member that holds more, and that one installs it.
-TEST(ModelCheckerTest, LateSnapshotTakesNothingBack) {
+// Guards against an acknowledged entry that is removed from a synced disk. In the shortest such
+// trace the leader compacts its log, a late rejection makes it send the snapshot to a follower
+// whose log is longer, and the follower installs it.
+TEST(ModelCheckerTest, LateSnapshotKeepsLaterEntriesOfFollower) {
   const Scenario& scenario = *FindScenario("late-snapshot");
   Script script(scenario.options);
   scenario.begin(&script);
@@ -56,15 +59,15 @@
   ASSERT_EQ(script.at(3).raft->last_index(), 42u);
   ASSERT_TRUE(script.Do({StepKind::kCompact, 1, 0, 0}));
   ASSERT_TRUE(script.Do({StepKind::kDeliver, 3, 1, 0}));
-  for (int k = 0; k < 4 && script.Under(1, 3) > 0; ++k) script.Deliver(1, 3);
+  for (int k = 0; k < 4 && script.CountInFlight(1, 3) > 0; ++k) script.Deliver(1, 3);
   script.PersistAll(3);
   EXPECT_EQ(script.fault, "");
   EXPECT_EQ(script.at(3).raft->last_index(), 42u);
   EXPECT_EQ(Replay(scenario.options, script.steps), "");
 }
 
-// The checker's own arithmetic.
-TEST(ModelCheckerTest, MajoritiesMeetOrNot) {
+// Guards against an error in the checker's arithmetic, which would hide unsafe voter changes.
+TEST(ModelCheckerTest, MajoritiesOverlapOnlyIfTheyMustShareAMember) {
   auto set = [](std::vector<MemberId> ids) {
     std::vector<Member> members;
     for (MemberId id : ids) {
@@ -75,7 +78,7 @@
   };
   struct Case {
     std::vector<MemberId> a, b;
-    bool meet;
+    bool overlap;
   };
   for (const Case& c : std::vector<Case>{
            {{1, 2, 3}, {1, 2, 3}, true},
@@ -88,8 +91,8 @@
            {{1}, {1, 2}, true},
            {{1}, {2}, false},
        }) {
-    EXPECT_EQ(MajoritiesMeet(set(c.a), set(c.b)), c.meet) << c.a.size() << " " << c.b.size();
-    EXPECT_EQ(MajoritiesMeet(set(c.b), set(c.a)), c.meet) << c.a.size() << " " << c.b.size();
+    EXPECT_EQ(MajoritiesOverlap(set(c.a), set(c.b)), c.overlap) << c.a.size() << " " << c.b.size();
+    EXPECT_EQ(MajoritiesOverlap(set(c.b), set(c.a)), c.overlap) << c.a.size() << " " << c.b.size();
   }
 }
 
--- a/tests/consensus/model_digest.h
+++ b/tests/consensus/model_digest.h
@@ -32,8 +32,9 @@
 using consensus::Term;
 using consensus::WriteRequest;
 
-// An order-dependent digest of 64 bits. With ten million states the chance that any two different
-// ones share a digest, and one of them is passed over, is about three in a million.
+// A 64-bit digest that depends on the order of the values. A search skips a state whose digest
+// equals that of another one. Among ten million states the probability that any two different ones
+// collide is about three in a million.
 class Digest {
  public:
   template <class T>
@@ -96,18 +97,21 @@
 
 namespace elderkeel::consensus {
 
-// What the checker reads of a machine and nobody else may.
+// Access to the private state of a RaftNode, for the model checker only.
 struct RaftNodeProbe {
-  static const HardState& hard_state(const RaftNode& m) { return m.hard_state_; }
-  static const Snapshot& snapshot(const RaftNode& m) { return m.log_.snapshot(); }
-  static base::Millis election_at(const RaftNode& m) { return m.election_at_; }
-  static base::Millis heartbeat_at(const RaftNode& m) { return m.heartbeat_at_; }
+  static const HardState& hard_state(const RaftNode& raft) { return raft.hard_state_; }
+  static const Snapshot& snapshot(const RaftNode& raft) { return raft.log_.snapshot(); }
+  static base::Millis election_at(const RaftNode& raft) { return raft.election_at_; }
+  static base::Millis heartbeat_at(const RaftNode& raft) { return raft.heartbeat_at_; }
 
-  // Everything that the machine's behaviour depends on, with these abstractions: of times only what
-  // the code compares them with (a leader is heard or not, a member silent so long or not, a disk
-  // stuck or not); the state of the random generator isn't told apart, since a tick goes to the
-  // time-out whatever was drawn; numbers of writes are counted from the last finished one. Rounds
-  // are taken as they are, though only their order matters. Reads aren't walked.
+  // A digest of all state that the node's behaviour depends on, with these abstractions:
+  // - Of times only the results of the comparisons that the code makes: whether the leader is in
+  //   contact, whether a member has been silent for a certain time, whether the disk is stalled.
+  // - The state of the random generator is left out, since a tick advances the clock to the timeout
+  //   of any length.
+  // - Sequence numbers of writes are relative to the last finished write.
+  // Rounds are included as they are, though only their order matters. Reads are left out, since no
+  // step begins one.
   static uint64_t DigestOf(const RaftNode& raft, base::Millis now) {
     const PendingWrites& writes = raft.pending_writes_;
     model::Digest d;
--- a/tests/consensus/model_search.cc
+++ b/tests/consensus/model_search.cc
@@ -12,20 +12,21 @@
 class Stopwatch {
  public:
   double seconds() const {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - begun_).count();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at_).count();
   }
 
  private:
-  std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point started_at_ = std::chrono::steady_clock::now();
 };
 
+// Sets the trace of `result`: the script's steps, then those that were found.
 void ExplainTrace(const Script& script, const std::vector<Step>& found, Result* result) {
-  Script again(script.model.options());
+  Script replay(script.model.options());
   result->trace = script.steps;
   result->trace.insert(result->trace.end(), found.begin(), found.end());
-  result->begun = script.steps.size();
-  for (const Step& step : result->trace) again.Do(step);
-  result->descriptions = again.descriptions;
+  result->script_steps = script.steps.size();
+  for (const Step& step : result->trace) replay.Do(step);
+  result->descriptions = replay.descriptions;
 }
 
 }  // namespace
@@ -34,20 +35,20 @@
   Script script(options);
   for (const Step& step : steps) {
     if (!script.fault.empty()) break;
-    if (!script.Do(step))
-      return "a step can't be taken: " + script.model.Describe(script.state, step);
+    if (!script.Do(step)) return "impossible step: " + script.model.Describe(script.state, step);
   }
   return script.fault;
 }
 
-Result Search(const Script& script, const StepBudget& budget, int depth, size_t most_states,
-              double most_seconds) {
+Result Search(const Script& script, const StepBudget& budget, int depth, size_t max_states,
+              double max_seconds) {
+  // How a state was reached: by a step from the state of another link; link 0 is the first state.
   struct Link {
     size_t parent;
     Step step;
   };
   Result result;
-  Stopwatch watch;
+  Stopwatch stopwatch;
   Model model = script.model;
   std::unordered_set<uint64_t> seen;
   std::vector<Link> links;
@@ -66,7 +67,7 @@
   for (int level = 0; level < depth && !now.empty() && !cut_short && result.fault.empty();
        ++level) {
     for (auto& [link, state] : now) {
-      for (const Step& step : model.Steps(state)) {
+      for (const Step& step : model.EnabledSteps(state)) {
         State reached = state;
         std::string fault;
         if (!model.Apply(&reached, step, &fault)) continue;
@@ -86,7 +87,7 @@
         next.push_back({links.size() - 1, std::move(reached)});
       }
       state = State();
-      cut_short = seen.size() >= most_states || watch.seconds() > most_seconds;
+      cut_short = seen.size() >= max_states || stopwatch.seconds() > max_seconds;
       if (!result.fault.empty() || cut_short) break;
     }
     result.depth = level + 1;
@@ -95,13 +96,13 @@
   }
   result.states = seen.size();
   result.complete = !cut_short && result.fault.empty();
-  result.seconds = watch.seconds();
+  result.seconds = stopwatch.seconds();
   return result;
 }
 
 std::vector<Step> Shrink(const Script& script, std::vector<Step> steps, const std::string& fault) {
   std::string invariant = fault.substr(0, fault.find(':'));
-  auto still = [&](const std::vector<Step>& tried) {
+  auto still_fails = [&](const std::vector<Step>& tried) {
     State state = script.state;
     Model model = script.model;
     std::string found;
@@ -116,7 +117,7 @@
     for (size_t k = 0; k < steps.size(); ++k) {
       std::vector<Step> tried = steps;
       tried.erase(tried.begin() + static_cast<std::ptrdiff_t>(k));
-      if (!still(tried)) continue;
+      if (!still_fails(tried)) continue;
       steps = std::move(tried);
       shorter = true;
       --k;
@@ -126,20 +127,20 @@
 }
 
 Result Walk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
-            double most_seconds, size_t most_walks) {
+            double max_seconds, size_t max_walks) {
   Result result;
-  Stopwatch watch;
+  Stopwatch stopwatch;
   Model model = script.model;
   base::Random random(seed);
   std::unordered_set<uint64_t> seen;
-  for (size_t walk = 0; walk < most_walks && watch.seconds() < most_seconds; ++walk) {
+  for (size_t walk = 0; walk < max_walks && stopwatch.seconds() < max_seconds; ++walk) {
     State state = script.state;
     state.budget = budget;
     std::vector<Step> taken;
     for (int k = 0; k < depth; ++k) {
-      std::vector<Step> steps = model.Steps(state);
+      std::vector<Step> steps = model.EnabledSteps(state);
       if (steps.empty()) break;
-      // Mostly what goes by itself, so that walks get somewhere between what is rare.
+      // Mostly deliver messages and finish writes, so that walks make progress between other steps.
       if (random.Below(8) != 0) {
         std::vector<Step> usual;
         for (const Step& step : steps) {
@@ -160,7 +161,7 @@
       if (!fault.empty()) {
         result.fault = fault;
         result.states = seen.size();
-        result.seconds = watch.seconds();
+        result.seconds = stopwatch.seconds();
         ExplainTrace(script, Shrink(script, taken, fault), &result);
         return result;
       }
@@ -168,7 +169,7 @@
     }
   }
   result.states = seen.size();
-  result.seconds = watch.seconds();
+  result.seconds = stopwatch.seconds();
   return result;
 }
 
--- a/tests/consensus/model_state.h
+++ b/tests/consensus/model_state.h
@@ -15,53 +15,60 @@
 
 using consensus::RaftNodeProbe;
 
+// What a step does. The names in kStepNames are printed in traces and are values of the tool
+// model_check.
 enum class StepKind : uint8_t {
-  kDeliver,    // the nth message under way from one node to another
-  kDrop,       // the same one is lost
-  kDuplicate,  // the same one arrives and is still under way
-  kTick,       // a node's clock goes to its next time-out
-  kSleep,      // a node was frozen for ten seconds
-  kPersist,    // the oldest write of a node is on its disk
-  kRefuse,     // the oldest write of a node is refused by its disk
-  kCrash,      // a node ends; of its writes the n oldest are on its disk
-  kRestart,    // a node starts from its disk; one without a disk under a new identity
-  kWipe,       // a node ends and its disk is gone
-  kJoin,       // a node asks a leader to be taken in
-  kTransfer,   // a leader hands over
-  kCut,        // all under way between two nodes is lost, and what they send from now on
-  kHeal,       // no more
-  kPropose,    // a command at a leader
-  kCompact,    // a node replaces its log by a snapshot, up to what it applied
+  kDeliver,    // the nth message in flight from one node to another arrives
+  kDrop,       // that message is lost
+  kDuplicate,  // that message arrives, and a copy remains in flight
+  kTick,       // a node's clock advances to its next timeout
+  kSleep,      // a node's process was suspended for ten seconds
+  kPersist,    // the oldest outstanding write of a node reaches its disk
+  kRefuse,     // the oldest outstanding write of a node fails
+  kCrash,      // a node stops; the n oldest of its outstanding writes have reached its disk
+  kRestart,    // a node starts with the content of its disk; after a wipe under a new id
+  kWipe,       // a node stops and loses its disk
+  kJoin,       // a node asks a leader to add it as a learner
+  kTransfer,   // a leader transfers its leadership
+  kCut,        // the link between two nodes loses all messages, those in flight included
+  kHeal,       // the link between two nodes works again
+  kPropose,    // a command is proposed to a leader
+  kCompact,    // a node replaces its log up to the commit index by a snapshot
 };
 constexpr size_t kStepKinds = static_cast<size_t>(StepKind::kCompact) + 1;
 constexpr const char* kStepNames[kStepKinds] = {
     "deliver", "drop", "duplicate", "tick",     "sleep", "persist", "refuse",  "crash",
     "restart", "wipe", "join",      "transfer", "cut",   "heal",    "propose", "compact"};
 
-// Nodes are counted from 1, as founders' ids are.
+// One step. Nodes are numbered from 1, as the initial voters' ids are.
 struct Step {
   StepKind kind;
-  int node = 0;   // that it happens at; of a message: the sender
-  int other = 0;  // of a message: the receiver; of a join: the leader
-  int nth = 0;    // of the messages between the two, in the order they were sent; of a crash: kept
+  int node = 0;   // where it happens; for a message: the sender
+  int other = 0;  // for a message: the receiver; for a join: the leader; for a link: its other end
+  // For a message: its position, from 0, among those in flight from `node` to `other`, in the order
+  // they were sent. For a crash: how many outstanding writes have reached the disk.
+  int nth = 0;
 };
 
-using StepBudget =
-    std::array<int, kStepKinds>;  // steps of each kind that are left; below 0: no bound
+// How many more steps of each kind may be taken; a negative number means no limit.
+using StepBudget = std::array<int, kStepKinds>;
 
+// The cluster that is modelled.
 struct Options {
-  int founders = 3;
-  int spares = 0;  // nodes that aren't started at first
+  int founders = 3;  // the initial voters
+  int spares = 0;    // additional nodes, which aren't running at first
   consensus::Tolerance tolerance;
   int zones = 3;
-  bool instant_disk = false;  // writes are done at once, for bounds that look elsewhere
+  // Writes finish at once. That leaves more of the bound to scenarios that aren't about the disk.
+  bool instant_disk = false;
   bool writes_past_refusal =
-      false;                      // the store goes on with what was queued behind a refused write
-  std::set<std::string> ignored;  // invariants that aren't checked, to see what else would notice
+      false;  // the store still executes the writes queued after a failed one
+  // The names of invariants that aren't checked, to find out which others detect the same fault.
+  std::set<std::string> ignored;
   consensus::Timing timing = ShortTiming();
 
-  // So that one unanswered heartbeat makes a voter silent enough to be replaced, and two to be
-  // forgotten: the checker needs the decision and not the wait.
+  // With these times one unanswered heartbeat is enough to replace a voter, and two to remove it.
+  // The checker examines these decisions; longer times would only add steps.
   static consensus::Timing ShortTiming() {
     consensus::Timing t;
     t.heartbeat_interval = 500;
@@ -73,72 +80,81 @@
   }
 };
 
-// One member with its disk. Never changed once it is part of a state: steps copy it first.
+// One member with its disk. Immutable once it is part of a State: a step changes a copy.
 struct Node {
   bool up = false;
   int incarnations = 0, wipes = 0;
   Millis now = 1000;
-  RestoredState disk;                // what is synced
+  RestoredState disk;                // the synced content
   std::vector<WriteRequest> writes;  // outstanding, oldest first
-  std::optional<RaftNode> raft;
-  uint64_t chain = 0;  // digest of all that was applied
-  // The furthest that it told the leader of a term it holds.
-  Term promised_in = 0;
-  Index promised = 0;
-  Term promised_term = 0;  // of the entry there
-  uint64_t digest = 0;
+  std::optional<RaftNode> raft;      // none while the node is down
+  uint64_t applied_digest = 0;       // of all applied entries, in order
+  // The highest index that the node acknowledged to the leader of a term, and the term of that
+  // entry.
+  Term acknowledged_leader_term = 0;
+  Index acknowledged_index = 0;
+  Term acknowledged_entry_term = 0;
+  uint64_t digest = 0;  // of the whole node, as Model::UpdateDigest() computes it
 
   bool is_leader() const { return up && raft->is_leader(); }
 };
 
-struct Sent {
+// A message in flight.
+struct SentMessage {
   int from = 0, to = 0;
   std::shared_ptr<const Message> message;
   uint64_t digest = 0;
 };
 
-// What the invariants remember.
+// Facts of the steps so far that the invariants are checked against.
 struct History {
-  struct Acknowledged {
+  // An entry that a leader committed, so that clients may have received an acknowledgement.
+  struct Committed {
     Term term = 0;  // of the entry
     uint64_t digest = 0;
-    Term in = 0;  // of the leader that committed it
-    size_t copies = 0;
+    Term leader_term = 0;  // of the leader that committed it
+    size_t copies = 0;     // the disks that had the entry then
   };
   std::map<Term, MemberId> leaders;
-  std::map<Index, Acknowledged> acknowledged;
-  std::map<Index, uint64_t> chains;               // what applying up to there gives
-  std::vector<std::shared_ptr<const Node>> lost;  // as they were when their disks went
+  std::map<Index, Committed> committed;
+  std::map<Index, uint64_t> applied_digests;       // of the entries up to each applied index
+  std::vector<std::shared_ptr<const Node>> wiped;  // nodes as they were before they were wiped
 };
 
+// A state of the whole cluster. A copy is cheap: it shares nodes, messages and history.
 struct State {
   std::vector<std::shared_ptr<const Node>> nodes;
-  std::vector<Sent> network;
-  std::set<std::pair<int, int>> cuts;
+  std::vector<SentMessage> network;         // in flight, in the order they were sent
+  std::set<std::pair<int, int>> cut_links;  // with the lower number first
   std::shared_ptr<const History> history = std::make_shared<History>();
   StepBudget budget{};
   int proposals = 0;
 
+  // Equal states have equal digests. Search() takes states with equal digests for the same state.
   uint64_t DigestValue() const {
     Digest d;
     for (const auto& n : nodes) d.Add(n->digest);
-    uint64_t messages = 0;  // a multiset: the order of sending tells nothing
-    for (const Sent& m : network) messages += Digest().Add(m.digest, m.from, m.to).value();
+    uint64_t messages = 0;  // a sum, since the order of sending makes no difference
+    for (const SentMessage& m : network) messages += Digest().Add(m.digest, m.from, m.to).value();
     d.Add(messages, network.size(), proposals);
-    for (const auto& [a, b] : cuts) d.Add(a, b);
+    for (const auto& [a, b] : cut_links) d.Add(a, b);
     for (int left : budget) d.Add(left);
     for (const auto& [term, id] : history->leaders) d.Add(term, id);
-    d.Add(history->acknowledged.size(), history->lost.size());
-    for (const auto& [index, a] : history->acknowledged) d.Add(index, a.digest, a.in, a.copies);
+    d.Add(history->committed.size(), history->wiped.size());
+    for (const auto& [index, a] : history->committed)
+      d.Add(index, a.digest, a.leader_term, a.copies);
     return d.value();
   }
 };
 
-bool MajoritiesMeet(const std::vector<Member>& a, const std::vector<Member>& b);
+// Whether any majority of `a` and any majority of `b` have a member in common.
+bool MajoritiesOverlap(const std::vector<Member>& a, const std::vector<Member>& b);
 
-// The disk's log as the store would read it.
+// The entry at `index`; null if `log` doesn't contain it.
 const Entry* EntryAt(const std::vector<Entry>& log, Index index);
-bool Holds(const RestoredState& disk, Index index, Term term);
-void Store(RestoredState* disk, const WriteRequest& write);
+// Whether the disk contains entry (index, term), or its snapshot covers the index.
+bool HasEntry(const RestoredState& disk, Index index, Term term);
+// Executes a write as the store does.
+void ApplyWrite(RestoredState* disk, const WriteRequest& write);
 
 }  // namespace elderkeel::model
