--- a/tests/forwarding/at_most_once_test.cc
+++ b/tests/forwarding/at_most_once_test.cc
@@ -6,8 +6,9 @@
 #include "forwarding/stand_in.h"
 #include "http/http_client.h"
 
-// No answer goes to the wrong caller, and what may run once is not sent again unless it is shown
-// that it didn't run: each misbehaviour of a server, with each class of status.
+// At-most-once execution with one misbehaving server: for each misbehaviour and each class of
+// status, no client gets another request's answer, and a non-idempotent request is sent again only
+// if it certainly didn't run.
 
 namespace elderkeel {
 namespace {
@@ -16,6 +17,7 @@
 using stand_in::Deed;
 using stand_in::Server;
 
+// Runs the loop until `done` returns true; returns false if it doesn't within `at_most` ms.
 template <class Condition>
 bool RunUntil(base::Loop* loop, Condition done, base::Millis at_most) {
   base::Millis end = base::SteadyMillis() + at_most;
@@ -27,34 +29,36 @@
   }
   return true;
 }
-// With some turns more, so that what came due at the end is handled also after a stall.
+// Runs the loop for `ms`, then some iterations more, so that events due by then are handled even if
+// the process was stalled.
 void RunFor(base::Loop* loop, base::Millis ms) {
   RunUntil(
       loop, [] { return false; }, ms);
   for (int i = 0; i < 5; ++i) event_base_loop(loop->base(), EVLOOP_NONBLOCK);
 }
 
-// What the first send of the request comes to.
-enum class Verdict {
-  kAnswered,  // the answer counts, with its status
-  kNotRun,    // shown not to have run
-  kMaybeRun,  // it may have run, and this is known at once
-  kUnknown,   // nothing is heard until the deadline
-  kEither,    // kNotRun or kMaybeRun, as the connection happened to break
+// What the proxy can conclude from the first attempt of the request.
+enum class Expected {
+  kAnswered,  // the answer is valid, with its status
+  kNotRun,    // it certainly didn't run
+  kMaybeRun,  // it may have run; the attempt fails at once
+  kNoAnswer,  // it may have run; no valid answer arrives until the deadline
+  kEither,    // kNotRun or kMaybeRun, depending on when the connection breaks
 };
 
 struct Case {
   const char* name;
   Deed deed;
-  Verdict verdict;
-  bool reuse;  // whether the connection carries the next request
+  Expected expected;
+  bool reuse;  // whether the next request uses the same connection
+  // When the server misbehaves.
   enum class When {
-    kRequest,  // does it to the request, on a connection that carried one before
-    kBefore,   // to the request before it
+    kRequest,  // on the request, on a connection that carried one before
+    kBefore,   // on the request before it
     kFresh,    // on a new connection
     kPart,     // in the middle of a large request
   } when = When::kRequest;
-  bool every_status = true;
+  bool every_status = true;  // false: with status 200 only
 };
 
 class AtMostOnce : public ::testing::Test {
@@ -78,17 +82,18 @@
     router_->Adopt(configuration::RoutingTable::Build(
         stand_in::ConfigurationText(2000, 60, idle_ms_), router_->names(), router_->regions()));
   }
-  void List(const std::vector<Server*>& servers) {
+  void AdoptEndpoints(const std::vector<Server*>& servers) {
     discovery::EndpointSnapshot endpoints{1, ++sequence_, {}};
     for (Server* s : servers) {
-      // The first one is preferred: it is in this proxy's zone.
+      // The proxy prefers the first server: it is in the proxy's own zone.
       endpoints.servers.push_back({s->id(), "s", s->address().ToString(),
                                    s == servers.front() ? "a" : "b", "v", 4, false, 0, 0});
     }
     router_->Adopt(endpoints);
   }
-  // The status that a client of its own gets, 0 for a closed connection; checks whose answer it is.
-  int Ask(bool idempotent, const std::string& attempt, int remaining_ms, size_t bytes = 4) {
+  // Sends a request on a new connection. Returns the status of its answer, 0 if the connection was
+  // closed; checks that a server's answer is the one to this request.
+  int SendRequest(bool idempotent, const std::string& attempt, int remaining_ms, size_t bytes = 4) {
     Client client(&loop_, settings_.front);
     client.Send(stand_in::RequestText(idempotent, attempt, remaining_ms, bytes));
     EXPECT_TRUE(RunUntil(
@@ -106,6 +111,7 @@
     }
     return answer.status;
   }
+  // The number of arrivals of `attempt` at the server, or of those that ran.
   static int Count(const Server& server, const std::string& attempt, bool only_runs) {
     int n = 0;
     for (const Server::Arrival& a : server.arrivals) {
@@ -113,6 +119,7 @@
     }
     return n;
   }
+  // The number of the connection on which `attempt` arrived first; 0 if it didn't arrive.
   static int ConnectionOf(const Server& server, const std::string& attempt) {
     for (const Server::Arrival& a : server.arrivals) {
       if (a.attempt == attempt) return a.connection;
@@ -120,14 +127,15 @@
     return 0;
   }
 
-  // Some requests at a server that is well, so that there is budget for further sends.
-  void Deposit() {
+  // Sends requests to a healthy server, so that the retry budget allows retries.
+  void FillRetryBudget() {
     Server other(&loop_, "i-other", 24000);
-    List({&other});
-    for (int i = 0; i < 5; ++i) Ask(true, "earn", 2000);
+    AdoptEndpoints({&other});
+    for (int i = 0; i < 5; ++i) SendRequest(true, "earn", 2000);
   }
-  void Play(const Case& c, int status, bool idempotent);
-  void PlayAll(bool idempotent);
+  // Runs one case and checks statuses, arrivals and runs at both servers.
+  void RunCase(const Case& c, int status, bool idempotent);
+  void RunAllCases(bool idempotent);
 
   base::Loop loop_;
   base::Settings settings_;
@@ -137,71 +145,72 @@
   int64_t idle_ms_ = 3000;
 };
 
-void AtMostOnce::Play(const Case& c, int status, bool idempotent) {
+void AtMostOnce::RunCase(const Case& c, int status, bool idempotent) {
   using When = Case::When;
   SCOPED_TRACE(std::string(c.name) + " " + std::to_string(status) +
                (idempotent ? " repeatable" : " once"));
   Open();
   Server bad(&loop_, "i-bad", 24000), good(&loop_, "i-good", 24000);
-  Deposit();
-  auto play = [&](const char* attempt) {
+  FillRetryBudget();
+  auto misbehave_on = [&](const char* attempt) {
     bad.choose = [=](const http::Message& request) {
       const std::string* id = request.Find(stand_in::kAttempt);
       return id && *id == attempt ? Server::Play{c.deed, status, 0} : Server::Play();
     };
   };
-  List({&bad});
-  if (c.when == When::kRequest) play("watched");
-  if (c.when == When::kBefore) play("before");
+  AdoptEndpoints({&bad});
+  if (c.when == When::kRequest) misbehave_on("watched");
+  if (c.when == When::kBefore) misbehave_on("before");
   if (c.when != When::kFresh) {
-    EXPECT_EQ(Ask(true, "before", 2000), c.when == When::kBefore ? status : 200);
-    // What may run once needs a connection that has settled; what is done while idle is done then.
+    EXPECT_EQ(SendRequest(true, "before", 2000), c.when == When::kBefore ? status : 200);
+    // A non-idempotent request uses only a connection idle for a while; misbehaviour on an idle
+    // connection happens in that time.
     if (!idempotent || c.when == When::kBefore) RunFor(&loop_, 18);
   } else {
     bad.on_connection = [&] { return c.deed; };
-    if (c.verdict == Verdict::kAnswered) play("watched");
+    if (c.expected == Expected::kAnswered) misbehave_on("watched");
   }
   bool armed = c.when == When::kPart;
   if (armed) bad.on_part = [&] { return c.deed; };
-  List({&bad, &good});
+  AdoptEndpoints({&bad, &good});
 
-  bool unknown = c.verdict == Verdict::kUnknown;
-  int got = Ask(idempotent, "watched", unknown && !idempotent ? 120 : 2000,
-                c.when == When::kPart ? 600000 : 4);
+  bool no_answer = c.expected == Expected::kNoAnswer;
+  int got = SendRequest(idempotent, "watched", no_answer && !idempotent ? 120 : 2000,
+                        c.when == When::kPart ? 600000 : 4);
   int at_bad = Count(bad, "watched", false), runs = Count(bad, "watched", true);
   int all_runs = runs + Count(good, "watched", true);
-  // What a server answers with its own status counts; but for those that promise "not run".
-  Verdict verdict = c.verdict;
+  // A valid answer is final, except with a status that means "not executed".
+  Expected expected = c.expected;
   int answered = c.when == When::kBefore ? 200 : status;
-  if (verdict == Verdict::kAnswered && answered == 421) verdict = Verdict::kNotRun;
+  if (expected == Expected::kAnswered && answered == 421) expected = Expected::kNotRun;
   bool promise = answered == 503 || answered == 429 || answered == 408;
-  if (verdict == Verdict::kEither) {
+  if (expected == Expected::kEither) {
     EXPECT_TRUE(got == 200 || (!idempotent && got == 502)) << got;
-  } else if (verdict == Verdict::kAnswered && answered < 500 && !promise) {
+  } else if (expected == Expected::kAnswered && answered < 500 && !promise) {
     EXPECT_EQ(got, answered);
     EXPECT_EQ(runs, 1);
-  } else if (idempotent || verdict == Verdict::kNotRun) {
+  } else if (idempotent || expected == Expected::kNotRun) {
     EXPECT_EQ(got, 200);
-  } else if (verdict == Verdict::kAnswered) {
+  } else if (expected == Expected::kAnswered) {
     EXPECT_EQ(got, promise ? 502 : answered);
   } else {
-    EXPECT_EQ(got, unknown ? 504 : 502);
+    EXPECT_EQ(got, no_answer ? 504 : 502);
   }
   EXPECT_LE(at_bad, 1);
   if (!idempotent) {
     EXPECT_LE(all_runs, 1);
     EXPECT_EQ(got == 200 ? 1 : 0, got == 200 ? all_runs : 0);
-    if (verdict != Verdict::kNotRun && verdict != Verdict::kEither) {
+    if (expected != Expected::kNotRun && expected != Expected::kEither) {
       EXPECT_EQ(Count(good, "watched", false), 0) << "sent again";
     }
   }
 
-  // The next request gets its own answer too, on the same connection or on another.
-  if (got != 0 && answered == 421 && verdict == Verdict::kNotRun) return;  // it is taken for gone
+  // The next request gets its own answer, on the same connection only if that may be reused.
+  if (got != 0 && answered == 421 && expected == Expected::kNotRun) return;  // it is ejected
   RunFor(&loop_, c.deed == Deed::kTwiceLater ? 10 : 1);
   bad.on_connection = bad.on_part = [] { return Deed::kWell; };
-  List({&bad});
-  EXPECT_EQ(Ask(true, "next", 2000), 200);
+  AdoptEndpoints({&bad});
+  EXPECT_EQ(SendRequest(true, "next", 2000), 200);
   int on = ConnectionOf(bad, "watched");
   if (on != 0) {
     EXPECT_EQ(ConnectionOf(bad, "next") == on, c.reuse);
@@ -213,87 +222,103 @@
 
 using When = Case::When;
 const Case kCases[] = {
-    {"well", Deed::kWell, Verdict::kAnswered, true},
-    {"interim answers first", Deed::kInterim, Verdict::kAnswered, true},
-    {"twice", Deed::kTwice, Verdict::kAnswered, false},
-    {"twice, later", Deed::kTwiceLater, Verdict::kAnswered, false},
-    {"in pieces around the next", Deed::kPieces, Verdict::kAnswered, false},
-    {"another's, then its own", Deed::kOtherThenOwn, Verdict::kAnswered, false},
-    {"bytes after it", Deed::kExtra, Verdict::kAnswered, false},
-    {"another's id", Deed::kOtherId, Verdict::kUnknown, false},
-    {"no id", Deed::kNoId, Verdict::kMaybeRun, false},
-    {"two ids", Deed::kTwoIds, Verdict::kMaybeRun, false},
-    {"not executed", Deed::kNotExecuted, Verdict::kNotRun, true},
-    {"not executed, another's", Deed::kOtherNotExecuted, Verdict::kUnknown, false},
-    {"not executed, nobody's", Deed::kNoIdNotExecuted, Verdict::kMaybeRun, false},
-    {"behind a piece of a first line", Deed::kGluedReason, Verdict::kMaybeRun, false},
-    {"behind a piece of a header", Deed::kGluedValue, Verdict::kMaybeRun, false},
-    {"cut in the head", Deed::kCutHead, Verdict::kMaybeRun, false},
-    {"cut in the body", Deed::kCutBody, Verdict::kMaybeRun, false},
-    {"reset after it", Deed::kReset, Verdict::kMaybeRun, false, When::kRequest, false},
-    {"half-closed after it", Deed::kHalfClose, Verdict::kMaybeRun, false, When::kRequest, false},
-    {"silent after it", Deed::kNoAnswer, Verdict::kUnknown, false, When::kRequest, false},
-    {"reset in the middle", Deed::kResetMiddle, Verdict::kMaybeRun, false, When::kPart, false},
-    {"half-closed in the middle", Deed::kHalfCloseMiddle, Verdict::kMaybeRun, false, When::kPart,
+    {"success", Deed::kWell, Expected::kAnswered, true},
+    {"interim answers first", Deed::kInterim, Expected::kAnswered, true},
+    {"answer twice", Deed::kTwice, Expected::kAnswered, false},
+    {"answer twice, the second later", Deed::kTwiceLater, Expected::kAnswered, false},
+    {"half of an earlier answer after it, the rest with the next", Deed::kPieces,
+     Expected::kAnswered, false},
+    {"another request's answer, then its own", Deed::kOtherThenOwn, Expected::kAnswered, false},
+    {"surplus bytes after the answer", Deed::kExtra, Expected::kAnswered, false},
+    {"another request's id", Deed::kOtherId, Expected::kNoAnswer, false},
+    {"no id", Deed::kNoId, Expected::kMaybeRun, false},
+    {"two ids", Deed::kTwoIds, Expected::kMaybeRun, false},
+    {"not executed", Deed::kNotExecuted, Expected::kNotRun, true},
+    {"not executed, with another request's id", Deed::kOtherNotExecuted, Expected::kNoAnswer,
      false},
-    {"silent in the middle", Deed::kNoAnswerInTheMiddle, Verdict::kUnknown, false, When::kPart,
+    {"not executed, without an id", Deed::kNoIdNotExecuted, Expected::kMaybeRun, false},
+    {"after a piece of a status line", Deed::kGluedReason, Expected::kMaybeRun, false},
+    {"after a piece of a header", Deed::kGluedValue, Expected::kMaybeRun, false},
+    {"head cut off", Deed::kCutHead, Expected::kMaybeRun, false},
+    {"body cut off", Deed::kCutBody, Expected::kMaybeRun, false},
+    {"reset after the request", Deed::kReset, Expected::kMaybeRun, false, When::kRequest, false},
+    {"half-closed after the request", Deed::kHalfClose, Expected::kMaybeRun, false, When::kRequest,
      false},
-    {"reset before it", Deed::kResetFirst, Verdict::kEither, false, When::kFresh, false},
-    {"half-closed before it", Deed::kHalfCloseFirst, Verdict::kEither, false, When::kFresh, false},
-    {"silent before it", Deed::kNoAnswerAtAll, Verdict::kUnknown, false, When::kFresh, false},
-    {"another's answer before it", Deed::kOtherFirst, Verdict::kAnswered, false, When::kFresh,
+    {"no answer after the request", Deed::kNoAnswer, Expected::kNoAnswer, false, When::kRequest,
      false},
-    {"nobody's answer before it", Deed::kNoIdFirst, Verdict::kMaybeRun, false, When::kFresh, false},
-    {"idle connection reset", Deed::kResetIdle, Verdict::kAnswered, true, When::kBefore, false},
-    {"idle connection brings an answer", Deed::kNoiseIdle, Verdict::kAnswered, true, When::kBefore,
+    {"reset within the request", Deed::kResetMiddle, Expected::kMaybeRun, false, When::kPart,
      false},
-    {"the one before answered twice", Deed::kTwiceLater, Verdict::kAnswered, true, When::kBefore,
+    {"half-closed within the request", Deed::kHalfCloseMiddle, Expected::kMaybeRun, false,
+     When::kPart, false},
+    {"no answer, request read in part", Deed::kNoAnswerInTheMiddle, Expected::kNoAnswer, false,
+     When::kPart, false},
+    {"reset before the request", Deed::kResetFirst, Expected::kEither, false, When::kFresh, false},
+    {"half-closed before the request", Deed::kHalfCloseFirst, Expected::kEither, false,
+     When::kFresh, false},
+    {"no answer on a new connection", Deed::kNoAnswerAtAll, Expected::kNoAnswer, false,
+     When::kFresh, false},
+    {"another request's answer before the request", Deed::kOtherFirst, Expected::kAnswered, false,
+     When::kFresh, false},
+    {"answer without an id before the request", Deed::kNoIdFirst, Expected::kMaybeRun, false,
+     When::kFresh, false},
+    {"idle connection reset", Deed::kResetIdle, Expected::kAnswered, true, When::kBefore, false},
+    {"answer on an idle connection", Deed::kNoiseIdle, Expected::kAnswered, true, When::kBefore,
      false},
-    {"the one before in pieces", Deed::kPieces, Verdict::kAnswered, true, When::kBefore, false},
+    {"previous request answered twice", Deed::kTwiceLater, Expected::kAnswered, true, When::kBefore,
+     false},
+    {"previous answer followed by half of an earlier one", Deed::kPieces, Expected::kAnswered, true,
+     When::kBefore, false},
 };
 
-void AtMostOnce::PlayAll(bool idempotent) {
+void AtMostOnce::RunAllCases(bool idempotent) {
   for (const Case& c : kCases) {
     for (int status : {200, 409, 500, 503, 429, 408, 421}) {
-      if (status == 200 || c.every_status) Play(c, status, idempotent);
+      if (status == 200 || c.every_status) RunCase(c, status, idempotent);
     }
   }
 }
 
-TEST_F(AtMostOnce, EachMisbehaviourForWhatMayBeRepeated) { PlayAll(true); }
+TEST_F(AtMostOnce, IdempotentRequestsGetTheirOwnAnswerDespiteEachMisbehaviour) {
+  RunAllCases(true);
+}
 
-TEST_F(AtMostOnce, EachMisbehaviourForWhatMayRunOnce) { PlayAll(false); }
+TEST_F(AtMostOnce, NonIdempotentRequestsRunAtMostOnceDespiteEachMisbehaviour) {
+  RunAllCases(false);
+}
 
-TEST_F(AtMostOnce, AnAddressThatAnotherServiceHas) {
+// A server's address taken over by a server of another service: that one rejects the request with
+// 421 without executing it, so that it is sent to another server.
+TEST_F(AtMostOnce, RequestToAnAddressTakenOverByAnotherServiceRunsOnceElsewhere) {
   for (bool pooled : {true, false}) {
     for (bool idempotent : {true, false}) {
       SCOPED_TRACE(std::string(pooled ? "pooled" : "new") + (idempotent ? " repeatable" : " once"));
       Open();
       Server bad(&loop_, "i-bad", 24000), good(&loop_, "i-good", 24000);
-      Deposit();
-      List({&bad});
+      FillRetryBudget();
+      AdoptEndpoints({&bad});
       if (pooled) {
-        EXPECT_EQ(Ask(true, "before", 2000), 200);
+        EXPECT_EQ(SendRequest(true, "before", 2000), 200);
         RunFor(&loop_, 18);
       }
-      List({&bad, &good});
+      AdoptEndpoints({&bad, &good});
       bad.SetId("i-of-another-service");
-      EXPECT_EQ(Ask(idempotent, "watched", 2000), 200);
+      EXPECT_EQ(SendRequest(idempotent, "watched", 2000), 200);
       EXPECT_EQ(Count(bad, "watched", false), 1);
       EXPECT_EQ(Count(bad, "watched", true), 0);
       EXPECT_EQ(Count(good, "watched", true), 1);
-      // In a new life at the same address it gets a connection of its own.
+      // A new server of the service at the same address gets a new connection.
       bad.SetId("i-new");
-      List({&bad});
-      EXPECT_EQ(Ask(idempotent, "new", 2000), 200);
+      AdoptEndpoints({&bad});
+      EXPECT_EQ(SendRequest(idempotent, "new", 2000), 200);
       EXPECT_NE(ConnectionOf(bad, "new"), ConnectionOf(bad, "watched"));
     }
   }
 }
 
-// Clients that leave while their request runs: its late answer reaches nobody, neither who comes
-// next nor what follows on the server's connection; and it isn't sent again.
-TEST_F(AtMostOnce, ClientsThatLeave) {
+// A client disconnects, or its deadline passes, while its request runs. The late answer must not
+// reach a later client or a later request on the server's connection, and the request isn't sent
+// again.
+TEST_F(AtMostOnce, LateAnswerAfterTheClientLeftReachesNoOtherRequest) {
   enum Way { kReset, kClose, kLateAfterDeadline };
   for (Way way : {kReset, kClose, kLateAfterDeadline}) {
     for (bool idempotent : {true, false}) {
@@ -304,7 +329,7 @@
         bool late = *request.Find(stand_in::kAttempt) == "left";
         return late ? Server::Play{Deed::kLate, 200, 60} : Server::Play();
       };
-      List({&one, &two});
+      AdoptEndpoints({&one, &two});
       int remaining = way == kLateAfterDeadline ? 30 : 2000;
       auto client = std::make_unique<Client>(&loop_, settings_.front);
       client->Send(stand_in::RequestText(idempotent, "left", remaining));
@@ -317,10 +342,10 @@
             &loop_, [&] { return !client->answers.empty(); }, 1000));
         EXPECT_EQ(client->answers[0].status, 504);
       }
-      // New clients on what may be the same descriptors, and the same one again, while the answer
-      // comes.
+      // Requests of new clients, which may reuse the file descriptors, and of the same client,
+      // while the answer arrives.
       for (int i = 0; i < 8; ++i) {
-        EXPECT_EQ(Ask(idempotent, "after-" + std::to_string(i), 2000), 200);
+        EXPECT_EQ(SendRequest(idempotent, "after-" + std::to_string(i), 2000), 200);
         RunFor(&loop_, 10);
       }
       if (way == kLateAfterDeadline) {
@@ -337,9 +362,9 @@
   }
 }
 
-// Answers keep the order of the requests, whichever server is quicker; what may run once waits for
-// its turn, and isn't begun at all if the client leaves before.
-TEST_F(AtMostOnce, PipelinedRequests) {
+// Pipelined requests are answered in order, whichever server is faster. A non-idempotent one isn't
+// sent before those ahead of it are answered, and not at all if the client disconnects until then.
+TEST_F(AtMostOnce, PipelinedNonIdempotentRequestWaitsForThoseAheadOfIt) {
   for (bool leaves : {false, true}) {
     Open();
     Server one(&loop_, "i-1", 24000), two(&loop_, "i-2", 24000);
@@ -347,7 +372,7 @@
       return *request.Find(stand_in::kAttempt) == "a" ? Server::Play{Deed::kLate, 200, 40}
                                                       : Server::Play();
     };
-    List({&one, &two});
+    AdoptEndpoints({&one, &two});
     Client client(&loop_, settings_.front);
     client.Send(stand_in::RequestText(true, "a", 2000) + stand_in::RequestText(true, "b", 2000) +
                 stand_in::RequestText(false, "c", 2000) + stand_in::RequestText(true, "d", 2000));
@@ -357,7 +382,7 @@
       client.Reset();
       RunFor(&loop_, 60);
       EXPECT_EQ(Count(one, "c", false) + Count(two, "c", false), 0);
-      EXPECT_EQ(Ask(true, "e", 2000), 200);
+      EXPECT_EQ(SendRequest(true, "e", 2000), 200);
       continue;
     }
     ASSERT_TRUE(RunUntil(
@@ -368,8 +393,9 @@
   }
 }
 
-// What is refused for want of memory has not run: the client is told when to come again.
-TEST_F(AtMostOnce, ARequestThatIsGivenUpUnreadSaysWhenToRetry) {
+// A request whose body exceeds the memory for request bodies is rejected before it is read in full.
+// It didn't run, so the client gets 503 with Retry-After.
+TEST_F(AtMostOnce, RequestRejectedForLackOfMemoryGetsRetryAfter) {
   settings_.memory_mb = 0;
   Open();
   Client client(&loop_, settings_.front);
@@ -381,11 +407,13 @@
   EXPECT_NE(client.answers[0].Find("Retry-After"), nullptr);
 }
 
-TEST_F(AtMostOnce, AConnectionThatRestedFourFifthsOfTheIdleTime) {
+// A client connection idle for four fifths of the idle timeout still carries a request; it is
+// closed only once the timeout has passed.
+TEST_F(AtMostOnce, ClientConnectionIsUsableUntilTheIdleTimeout) {
   idle_ms_ = 500;
   Open();
   Server one(&loop_, "i-1", 24000);
-  List({&one});
+  AdoptEndpoints({&one});
   Client client(&loop_, settings_.front);
   for (size_t i = 0; i < 3; ++i) {
     std::string id = "r" + std::to_string(i);
--- a/tests/forwarding/at_most_once_world.h
+++ b/tests/forwarding/at_most_once_world.h
@@ -23,23 +23,23 @@
 
 struct Options {
   uint64_t seed = 1;
-  base::Millis run_ms = 4000;  // then it waits for what is still under way, and ends
+  base::Millis run_ms = 4000;  // without the time in which requests in flight come to an end
   int proxies = 3;
   int servers = 4;
   int clients = 24;
 };
 
-// What was seen. The first group must be 0.
+// Counts of one run. Those of the first group are violations and must be 0.
 struct Report {
-  int doubled = 0;                 // requests that may run once and ran more often
-  int foreign = 0;                 // answers, or bytes, that belong to no request of that client
-  int broken_promises = 0;         // 503, 429, 408 or 421 for what ran
-  int reused = 0;                  // requests on a connection that had brought surplus bytes
-  std::vector<std::string> first;  // a few of those, in words
+  int doubled = 0;                 // non-idempotent requests that ran more than once
+  int foreign = 0;                 // answers, or bytes, that don't belong to the client's request
+  int broken_promises = 0;         // 503, 429, 408 or 421 ("not executed") for requests that ran
+  int reused = 0;                  // requests on a connection that had carried surplus bytes
+  std::vector<std::string> first;  // descriptions of the first violations
 
-  int once = 0, repeatable = 0;  // requests sent by clients
+  int once = 0, repeatable = 0;  // requests sent by clients: non-idempotent, idempotent
   int runs = 0, answers = 0, promises = 0, without_answer = 0;
-  int sent_again = 0;  // arrivals of what may run once past the first
+  int sent_again = 0;  // arrivals of non-idempotent requests after the first
   int misdeeds = 0, resets = 0, other_incarnations = 0, left = 0, kills = 0, freezes = 0;
   bool Holds() const { return doubled + foreign + broken_promises + reused == 0; }
   std::string Line() const {
@@ -57,93 +57,98 @@
   }
 };
 
-// Proxies (processes of their own, each with a real RequestRouter), stand-in servers that stutter
-// and clients that leave, all on loopback; proxies are killed, frozen and started again,
-// connections reset, addresses held by another life for a while. Decisions are drawn from the seed;
-// when they take effect is up to the machine, so a run can't be repeated to the letter.
+// Runs proxies (child processes, each with a real RequestRouter), servers that misbehave and
+// clients that disconnect, all on loopback. Proxies are killed, suspended and restarted,
+// connections are reset, and a server's address is taken over by another server for a while.
+// Decisions are drawn from the seed, but their timing depends on the machine, so a run can't be
+// reproduced exactly.
 class World {
  public:
   explicit World(const Options& options) : options_(options), random_(options.seed) {}
   ~World() {
-    for (Proxy& p : proxies_) Kill(&p);
+    for (Proxy& p : proxies_) KillProxy(&p);
   }
 
+  // Runs once and returns the counts.
   Report Run() {
     signal(SIGPIPE, SIG_IGN);
     for (int i = 0; i < options_.servers; ++i) AddServer(i);
     for (int i = 0; i < options_.proxies; ++i) {
       proxies_.emplace_back();
-      proxies_.back().front = {"127.0.0.1", FreePort()};
-      Start(&proxies_.back());
+      proxies_.back().address = {"127.0.0.1", FreePort()};
+      StartProxy(&proxies_.back());
     }
     for (int i = 0; i < options_.clients; ++i) {
-      callers_.push_back(std::make_unique<Caller>());
-      Later(callers_.back().get(), 300 + Draw(50));
+      clients_.push_back(std::make_unique<ClientState>());
+      ScheduleSend(clients_.back().get(), 300 + Draw(50));
     }
-    base::Timer fault;
+    base::Timer fault_timer;
     std::function<void()> next = [&] {
-      Fault();
-      fault.Start(&loop_, 40 + Draw(100), next);
+      InjectFault();
+      fault_timer.Start(&loop_, 40 + Draw(100), next);
     };
-    fault.Start(&loop_, 600, next);
-    Turn(options_.run_ms);
-    fault.Cancel();
+    fault_timer.Start(&loop_, 600, next);
+    RunLoopFor(options_.run_ms);
+    fault_timer.Cancel();
     stopping_ = true;
     for (Proxy& p : proxies_) {
       if (p.pid > 0) kill(p.pid, SIGCONT);
     }
-    // Deadlines end, and whatever is to run later has run.
-    Turn(kLongestMs + 800);
-    for (auto& caller : callers_) End(caller.get());
-    for (const auto& [attempt, seen] : seen_) {
-      if (seen.once && seen.runs > 1) {
+    // Until all deadlines have passed and all delayed requests have run.
+    RunLoopFor(kMaxClientWaitMs + 800);
+    for (auto& state : clients_) Disconnect(state.get());
+    for (const auto& [attempt, stats] : attempts_) {
+      if (stats.once && stats.runs > 1) {
         ++report_.doubled;
-        Note("ran " + std::to_string(seen.runs) + " times: " + attempt);
+        RecordViolation("ran " + std::to_string(stats.runs) + " times: " + attempt);
       }
-      if (seen.promised != 0 && seen.runs > 0) {
+      if (stats.promised != 0 && stats.runs > 0) {
         ++report_.broken_promises;
-        Note("ran, and answered " + std::to_string(seen.promised) + ": " + attempt);
+        RecordViolation("ran, but was answered " + std::to_string(stats.promised) + ": " + attempt);
       }
     }
     return report_;
   }
 
  private:
-  static constexpr int kLongestMs = 600;
+  static constexpr int kMaxClientWaitMs = 600;  // above the longest deadline plus 100 ms
 
+  // One proxy process; while `timer` runs it is killed or suspended.
   struct Proxy {
-    base::Address front;
-    pid_t pid = -1;
+    base::Address address;  // of its listener for clients
+    pid_t pid = -1;         // -1 while killed
     base::Timer timer;
   };
-  // One client: a connection, and the requests on it that wait for an answer.
-  struct Caller {
+  // One client: its connection, and the requests sent on it.
+  struct ClientState {
     std::unique_ptr<Client> client;
-    std::vector<std::string> asked;
-    size_t judged = 0;
+    std::vector<std::string> sent;
+    size_t checked = 0;  // answers; the next one belongs to sent[checked]
     base::Timer timer;
   };
-  struct Seen {
+  // What happened to one attempt id.
+  struct AttemptStats {
     bool once = false;
-    int arrivals = 0, runs = 0, promised = 0;
-    std::set<int> statuses;  // that servers gave it
+    int arrivals = 0, runs = 0;
+    int promised = 0;        // status that promised the client "not executed"; 0 for none
+    std::set<int> statuses;  // of the servers' answers
   };
 
   int Draw(int below) { return static_cast<int>(random_() % static_cast<uint64_t>(below)); }
   bool Chance(int percent) { return Draw(100) < percent; }
-  void Note(const std::string& what) {
+  void RecordViolation(const std::string& what) {
     if (report_.first.size() < 5) report_.first.push_back(what);
   }
-  void Turn(base::Millis ms) {
+  void RunLoopFor(base::Millis ms) {
     base::Timer stop;
     stop.Start(&loop_, ms, [this] { loop_.Stop(); });
     loop_.Run();
   }
 
   void AddServer(int i) {
-    balancer_.push_back(std::make_unique<Server>(&loop_, "i-" + std::to_string(i), 25000));
-    Server* server = balancer_.back().get();
-    server->choose = [this](const http::Message&) { return Choose(); };
+    servers_.push_back(std::make_unique<Server>(&loop_, "i-" + std::to_string(i), 25000));
+    Server* server = servers_.back().get();
+    server->choose = [this](const http::Message&) { return ChooseBehaviour(); };
     server->on_connection = [this] {
       static const Deed kDeeds[] = {Deed::kResetFirst, Deed::kHalfCloseFirst, Deed::kNoAnswerAtAll,
                                     Deed::kOtherFirst, Deed::kNoIdFirst};
@@ -155,25 +160,26 @@
       return Chance(20) ? kDeeds[Draw(3)] : Deed::kWell;
     };
     server->on_arrival = [this](const Server::Arrival& arrival) {
-      auto at = seen_.find(arrival.attempt);
-      if (at == seen_.end()) {
+      auto at = attempts_.find(arrival.attempt);
+      if (at == attempts_.end()) {
         ++report_.foreign;
-        return Note("a request that no client sent: " + arrival.attempt);
+        return RecordViolation("a server received a request that no client sent: " +
+                               arrival.attempt);
       }
-      Seen& seen = at->second;
-      if (++seen.arrivals > 1 && seen.once) ++report_.sent_again;
-      seen.statuses.insert(arrival.status);
+      AttemptStats& stats = at->second;
+      if (++stats.arrivals > 1 && stats.once) ++report_.sent_again;
+      stats.statuses.insert(arrival.status);
       if (arrival.spoilt) {
         ++report_.reused;
-        Note("on a connection with surplus bytes: " + arrival.attempt);
+        RecordViolation("request sent on a connection with surplus bytes: " + arrival.attempt);
       }
       if (!arrival.ran) return;
-      ++seen.runs;
+      ++stats.runs;
       ++report_.runs;
     };
   }
 
-  Server::Play Choose() {
+  Server::Play ChooseBehaviour() {
     static const Deed kDeeds[] = {
         Deed::kInterim,         Deed::kTwice,       Deed::kTwiceLater,  Deed::kPieces,
         Deed::kOtherThenOwn,    Deed::kOtherId,     Deed::kNoId,        Deed::kTwoIds,
@@ -204,177 +210,180 @@
     return next_port_++;
   }
 
-  void Start(Proxy* p) {
+  void StartProxy(Proxy* p) {
     std::vector<discovery::Server> list;
-    for (size_t i = 0; i < balancer_.size(); ++i) {
-      list.push_back({"i-" + std::to_string(i), "s", balancer_[i]->address().ToString(),
+    for (size_t i = 0; i < servers_.size(); ++i) {
+      list.push_back({"i-" + std::to_string(i), "s", servers_[i]->address().ToString(),
                       i % 2 ? "b" : "a", "v", 6, false, 0, 0});
     }
     p->pid = fork();
     if (p->pid != 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // The servers' and clients' sockets are the parent's alone, or their resets wouldn't be any.
+    // Closes inherited sockets of servers and clients; held open here, the parent's close would not
+    // reset them.
     for (int fd = 3; fd < 1024; ++fd) close(fd);
     base::Loop loop;
     base::Settings settings;
     settings.zone = "a";
-    settings.front = p->front;
+    settings.front = p->address;
     settings.retry_ratio = 1;
     settings.retry_slack = 200;
     settings.connect_ms = 200;
     telemetry::Recorder recorder(telemetry::Recorder::Options(),
                                  telemetry::MakeCallSink([](std::string) { return true; }));
-    forwarding::RequestRouter front(&loop, settings, &recorder);
-    front.SetServing(true);
-    if (!front.Listen().has_value()) _exit(3);
-    front.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
-    front.Adopt(configuration::RoutingTable::Build(stand_in::ConfigurationText(1000, 200, 3000),
-                                                   front.names(), front.regions()));
-    front.Adopt(discovery::EndpointSnapshot{1, 1, list});
+    forwarding::RequestRouter router(&loop, settings, &recorder);
+    router.SetServing(true);
+    if (!router.Listen().has_value()) _exit(3);
+    router.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
+    router.Adopt(configuration::RoutingTable::Build(stand_in::ConfigurationText(1000, 200, 3000),
+                                                    router.names(), router.regions()));
+    router.Adopt(discovery::EndpointSnapshot{1, 1, list});
     loop.Run();
     _exit(0);
   }
-  void Kill(Proxy* p) {
+  void KillProxy(Proxy* p) {
     if (p->pid <= 0) return;
     kill(p->pid, SIGKILL);
     waitpid(p->pid, nullptr, 0);
     p->pid = -1;
   }
 
-  void Fault() {
+  void InjectFault() {
     Proxy* p = &proxies_[static_cast<size_t>(Draw(options_.proxies))];
-    Server* server = balancer_[static_cast<size_t>(Draw(options_.servers))].get();
-    // Each kind once, then as it is drawn.
-    switch (troubles_++ < 6 ? troubles_ - 1 : Draw(6)) {
+    Server* server = servers_[static_cast<size_t>(Draw(options_.servers))].get();
+    // Each kind once, then at random.
+    switch (faults_injected_++ < 6 ? faults_injected_ - 1 : Draw(6)) {
       case 0:
         if (p->timer.armed()) return;
         ++report_.kills;
-        Kill(p);
-        return p->timer.Start(&loop_, 20 + Draw(100), [this, p] { Start(p); });
+        KillProxy(p);
+        return p->timer.Start(&loop_, 20 + Draw(100), [this, p] { StartProxy(p); });
       case 1:
       case 2:
         if (p->timer.armed()) return;
         ++report_.freezes;
         kill(p->pid, SIGSTOP);
-        return p->timer.Start(&loop_, 10 + Draw(kLongestMs), [p] { kill(p->pid, SIGCONT); });
+        return p->timer.Start(&loop_, 10 + Draw(kMaxClientWaitMs), [p] { kill(p->pid, SIGCONT); });
       case 3:
       case 4:
         ++report_.resets;
         return server->ResetAll();
       default: {
-        // The address is another's for a while.
+        // Another server takes over the address for a while.
         std::string id = server->id();
         if (id.find("else") != std::string::npos) return;
         ++report_.other_incarnations;
         server->SetId(id + "-else");
-        incarnations_.push_back(std::make_unique<base::Timer>());
-        incarnations_.back()->Start(&loop_, 20 + Draw(150), [server, id] { server->SetId(id); });
+        id_restore_timers_.push_back(std::make_unique<base::Timer>());
+        id_restore_timers_.back()->Start(&loop_, 20 + Draw(150),
+                                         [server, id] { server->SetId(id); });
       }
     }
   }
 
-  void Later(Caller* caller, base::Millis after) {
-    caller->timer.Start(&loop_, after, [this, caller] { Ask(caller); });
+  void ScheduleSend(ClientState* state, base::Millis after) {
+    state->timer.Start(&loop_, after, [this, state] { SendRequests(state); });
   }
 
-  void Ask(Caller* caller) {
+  void SendRequests(ClientState* state) {
     if (stopping_) return;
-    if (!caller->client || caller->client->closed || Chance(15)) {
-      End(caller);
+    if (!state->client || state->client->closed || Chance(15)) {
+      Disconnect(state);
       const Proxy& proxy = proxies_[static_cast<size_t>(Draw(options_.proxies))];
-      caller->client = std::make_unique<Client>(&loop_, proxy.front);
-      caller->client->on_change = [this, caller] { Received(caller); };
+      state->client = std::make_unique<Client>(&loop_, proxy.address);
+      state->client->on_change = [this, state] { OnReceived(state); };
     }
     int requests = Chance(25) ? 2 + Draw(3) : 1;
-    int remaining = 100 + Draw(kLongestMs - 200);
+    int remaining = 100 + Draw(kMaxClientWaitMs - 200);
     std::string bytes;
     for (int i = 0; i < requests; ++i) {
       bool once = Chance(60);
       std::string attempt = (once ? "p" : "g") + std::to_string(++last_attempt_);
-      seen_[attempt].once = once;
+      attempts_[attempt].once = once;
       ++(once ? report_.once : report_.repeatable);
-      caller->asked.push_back(attempt);
+      state->sent.push_back(attempt);
       bytes += stand_in::RequestText(!once, attempt, remaining, Chance(10) ? 200000 : 4);
     }
-    caller->client->Send(bytes);
+    state->client->Send(bytes);
     if (Chance(8)) {
-      // It leaves soon, with a reset or in order.
+      // The client disconnects soon, by a reset or an orderly close.
       ++report_.left;
       bool reset = Chance(50);
-      caller->timer.Start(&loop_, Draw(30), [this, caller, reset] {
-        if (reset) caller->client->Reset();
-        End(caller);
-        Later(caller, 1 + Draw(5));
+      state->timer.Start(&loop_, Draw(30), [this, state, reset] {
+        if (reset) state->client->Reset();
+        Disconnect(state);
+        ScheduleSend(state, 1 + Draw(5));
       });
       return;
     }
-    // It waits as long as it said, then gives up.
-    caller->timer.Start(&loop_, remaining + 100, [this, caller] {
-      End(caller);
-      Later(caller, 1 + Draw(5));
+    // The client disconnects if it has no answer 100 ms after its deadline.
+    state->timer.Start(&loop_, remaining + 100, [this, state] {
+      Disconnect(state);
+      ScheduleSend(state, 1 + Draw(5));
     });
   }
 
-  void Received(Caller* caller) {
-    Client& client = *caller->client;
-    for (; caller->judged < client.answers.size(); ++caller->judged) {
-      Judge(caller, client.answers[caller->judged]);
+  void OnReceived(ClientState* state) {
+    Client& client = *state->client;
+    for (; state->checked < client.answers.size(); ++state->checked) {
+      CheckAnswer(state, client.answers[state->checked]);
     }
     if (client.no_answer) {
       ++report_.foreign;
-      Note("bytes that are no answer");
+      RecordViolation("a client received bytes that are no HTTP answer");
       client.no_answer = false;
       client.closed = true;
     }
-    if (client.closed || caller->judged == caller->asked.size()) Later(caller, 1 + Draw(25));
+    if (client.closed || state->checked == state->sent.size()) ScheduleSend(state, 1 + Draw(25));
   }
 
-  void Judge(Caller* caller, const http::Message& answer) {
+  void CheckAnswer(ClientState* state, const http::Message& answer) {
     ++report_.answers;
-    if (caller->judged >= caller->asked.size()) {
+    if (state->checked >= state->sent.size()) {
       ++report_.foreign;
-      return Note("an answer on a connection where no request waits");
+      return RecordViolation("an answer on a connection without a pending request");
     }
-    const std::string& attempt = caller->asked[caller->judged];
-    Seen& seen = seen_[attempt];
+    const std::string& attempt = state->sent[state->checked];
+    AttemptStats& stats = attempts_[attempt];
     int status = answer.status;
     const std::string* id = answer.Find(stand_in::kAttempt);
     bool sealed = answer.Find("Elderkeel-Server-Seal") != nullptr;
-    bool own = sealed && id && *id == attempt && seen.statuses.count(status) > 0 &&
+    bool own = sealed && id && *id == attempt && stats.statuses.count(status) > 0 &&
                (answer.body.empty() || answer.body == Server::BodyOf(attempt));
     if ((sealed && !own) || (!sealed && (status / 100 == 2 || id != nullptr))) {
       ++report_.foreign;
-      Note("not the answer of " + attempt + ": " + std::to_string(status) + " " + answer.body);
+      RecordViolation("not the answer to " + attempt + ": " + std::to_string(status) + " " +
+                      answer.body);
     }
     if (status == 503 || status == 429 || status == 408 || status == 421) {
-      seen.promised = status;
+      stats.promised = status;
       ++report_.promises;
     }
   }
 
-  void End(Caller* caller) {
-    caller->timer.Cancel();
-    report_.without_answer += static_cast<int>(caller->asked.size() - caller->judged);
-    caller->asked.clear();
-    caller->judged = 0;
-    if (!caller->client) return;
-    // It may be on the stack of its own callback.
-    caller->client->on_change = nullptr;
-    std::shared_ptr<Client> last(std::move(caller->client));
-    loop_.Defer([last] {});
+  void Disconnect(ClientState* state) {
+    state->timer.Cancel();
+    report_.without_answer += static_cast<int>(state->sent.size() - state->checked);
+    state->sent.clear();
+    state->checked = 0;
+    if (!state->client) return;
+    // Destruction is deferred: a callback of the client may be on the stack.
+    state->client->on_change = nullptr;
+    std::shared_ptr<Client> disconnected(std::move(state->client));
+    loop_.Defer([disconnected] {});
   }
 
   Options options_;
   std::mt19937_64 random_;
   base::Loop loop_;
-  std::vector<std::unique_ptr<Server>> balancer_;
+  std::vector<std::unique_ptr<Server>> servers_;
   std::deque<Proxy> proxies_;
-  std::vector<std::unique_ptr<Caller>> callers_;
-  std::vector<std::unique_ptr<base::Timer>> incarnations_;
-  std::unordered_map<std::string, Seen> seen_;
+  std::vector<std::unique_ptr<ClientState>> clients_;
+  std::vector<std::unique_ptr<base::Timer>> id_restore_timers_;
+  std::unordered_map<std::string, AttemptStats> attempts_;
   Report report_;
   uint64_t last_attempt_ = 0;
-  int troubles_ = 0;
+  int faults_injected_ = 0;
   uint16_t next_port_ = 27500;
   bool stopping_ = false;
 };
--- a/tests/forwarding/at_most_once_world_test.cc
+++ b/tests/forwarding/at_most_once_world_test.cc
@@ -5,8 +5,10 @@
 namespace elderkeel::once {
 namespace {
 
-// A short run of the at-most-once checker (at_most_once_run.cc).
-TEST(Once, NothingRunsTwiceNothingIsForeignNoPromiseBreaks) {
+// A short run of the at-most-once checker (at_most_once_run.cc): under faults, no non-idempotent
+// request runs twice, no client gets another request's answer, and nothing answered as not executed
+// has run.
+TEST(Once, NoViolationUnderServerClientAndProxyFaults) {
   Options options;
   options.seed = 7;
   Report report = World(options).Run();
@@ -16,7 +18,7 @@
   EXPECT_EQ(report.broken_promises, 0);
   EXPECT_EQ(report.reused, 0);
   for (const std::string& what : report.first) ADD_FAILURE() << what;
-  // It would prove nothing without these.
+  // The run proves something only if all of these occurred.
   EXPECT_GT(report.once, 200);
   EXPECT_GT(report.runs, 100);
   EXPECT_GT(report.answers, 100);
--- a/tests/forwarding/request_router_fixture.h
+++ b/tests/forwarding/request_router_fixture.h
@@ -17,15 +17,15 @@
 #include "forwarding/request_router.h"
 #include "transport/socket.h"
 
-// A request router on loopback, between servers and clients that the test plays.
+// A RequestRouter on loopback, between servers and clients that the test controls.
 
 namespace elderkeel::forwarding {
 
-// A server as the protocol describes one, which does what the test tells it to do.
+// A server on loopback that answers with bytes chosen by the test. Runs on the test's event loop.
 class StandIn {
  public:
-  // Gets each request as it came; returns the bytes to send, or nothing for silence. "RESET"
-  // resets.
+  // Called with the bytes of each request; returns the bytes to send, empty for no answer. "RESET"
+  // resets the connection; with "CUT" the bytes before it are sent and the connection is closed.
   using Script = std::function<std::string(const std::string& request)>;
 
   StandIn(base::Loop* loop, Script script) : loop_(loop), script_(std::move(script)) {
@@ -35,12 +35,13 @@
     }
   }
   const base::Address& address() const { return address_; }
-  // Sends bytes where request `number` came from; for scripts that were silent.
+  // Sends bytes on the connection of request `number`, counted from 0; for scripts that returned
+  // none.
   void SendLate(size_t number, const std::string& bytes) {
-    bufferevent_write(origins_[number], bytes.data(), bytes.size());
+    bufferevent_write(request_sockets_[number], bytes.data(), bytes.size());
   }
-  std::vector<std::string> requests;
-  int connections = 0;
+  std::vector<std::string> requests;  // received so far
+  int connections = 0;                // accepted so far
 
  private:
   struct Connection {
@@ -59,11 +60,12 @@
           std::string bytes(evbuffer_get_length(bufferevent_get_input(b)), '\0');
           evbuffer_remove(bufferevent_get_input(b), bytes.data(), bytes.size());
           self->requests.push_back(bytes);
-          self->origins_.push_back(b);
+          self->request_sockets_.push_back(b);
           std::string answer = self->script_(bytes);
           if (answer == "RESET") {
-            linger hard{1, 0};
-            setsockopt(bufferevent_getfd(b), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+            linger reset_on_close{1, 0};
+            setsockopt(bufferevent_getfd(b), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                       sizeof reset_on_close);
             bufferevent_setcb(b, nullptr, nullptr, nullptr, nullptr);
             shutdown(bufferevent_getfd(b), SHUT_RDWR);
             return;
@@ -80,18 +82,18 @@
         },
         nullptr, [](bufferevent*, short, void*) {}, c.get());
     bufferevent_enable(c->socket.get(), EV_READ | EV_WRITE);
-    open_.push_back(std::move(c));
+    connections_.push_back(std::move(c));
   }
 
   base::Loop* loop_;
   Script script_;
   base::Address address_;
   transport::Listener listener_;
-  std::vector<std::unique_ptr<Connection>> open_;
-  std::vector<bufferevent*> origins_;  // of the requests
+  std::vector<std::unique_ptr<Connection>> connections_;
+  std::vector<bufferevent*> request_sockets_;  // by request
 };
 
-// A client's connection that stays open.
+// A client connection that stays open between requests.
 class OpenConnection {
  public:
   explicit OpenConnection(const base::Address& address)
@@ -102,12 +104,12 @@
     if (fd_ >= 0) close(fd_);
   }
 
-  // True once the kernel has taken the bytes.
+  // Returns whether the kernel took all bytes; it doesn't until the connection is established.
   bool TrySend(const std::string& bytes) {
     return send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
            static_cast<ssize_t>(bytes.size());
   }
-  // Takes what has come; at most `most` bytes.
+  // Reads what has arrived, at most `most` bytes, without blocking.
   void Receive(size_t most = SIZE_MAX) {
     char buffer[4096];
     while (most > 0) {
@@ -127,6 +129,7 @@
   bool closed_ = false;
 };
 
+// The value of a header in the bytes of a message; empty if it is absent.
 inline std::string HeaderOf(const std::string& request, const std::string& name) {
   size_t at = request.find(name + ": ");
   if (at == std::string::npos) return "";
@@ -134,12 +137,15 @@
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
+// A successful answer to `request` that passes all checks.
 inline std::string Good(const std::string& request, const std::string& body = "hello") {
   return "HTTP/1.1 200 OK\r\nElderkeel-Attempt-Id: " + HeaderOf(request, "Elderkeel-Attempt-Id") +
          "\r\nElderkeel-Server-Seal: seal\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
+// A RequestRouter with its own event loop. Tests add servers with Serve(), call Configure(), and
+// send requests with Exchange() or Open().
 class RequestRouterTest : public ::testing::Test {
  protected:
   RequestRouterTest()
@@ -161,16 +167,18 @@
     }
   }
 
+  // Starts a server and adds it to the endpoint list.
   StandIn* Serve(const std::string& id, StandIn::Script script) {
-    balancer_.push_back(std::make_unique<StandIn>(&loop_, std::move(script)));
-    Add(id, balancer_.back()->address().ToString());
-    return balancer_.back().get();
+    servers_.push_back(std::make_unique<StandIn>(&loop_, std::move(script)));
+    AddEndpoint(id, servers_.back()->address().ToString());
+    return servers_.back().get();
   }
-  void Add(const std::string& id, const std::string& address) {
-    // The first one is preferred: it is in this node's zone.
+  void AddEndpoint(const std::string& id, const std::string& address) {
+    // The router prefers the first server: it is in the router's own zone.
     endpoints_.servers.push_back(
         {id, "s", address, endpoints_.servers.empty() ? "a" : "b", "v", 2, false, 0, 0});
   }
+  // Puts in force a configuration with an idempotent and a non-idempotent route, and the endpoints.
   void Configure(int64_t timeout_ms = 1000, int64_t target_latency_ms = 2000) {
     auto route = [&](const char* label, const char* prefix, const char* variant) {
       return std::string(R"({"label":")") + label + R"(","host":"h.example","path-prefix":")" +
@@ -184,12 +192,13 @@
         R"(],"service-list":[{"label":"s","max-conns":100}],"limits":{"max-header-bytes":600,"max-body-bytes":1000,"header-timeout-ms":200,"idle-timeout-ms":3000}})";
     router_->Adopt(configuration::RoutingTable::Build(text, router_->names(), router_->regions()));
     router_->Adopt(endpoints_);
-    // Some requests first, so that there is budget for further sends.
-    for (int i = 0; i < 4; ++i) PendingRequest("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
+    // These match no route and get 404; they run the loop, but don't add to the retry budget.
+    for (int i = 0; i < 4; ++i) Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
   }
 
-  // Sends bytes on a new connection and returns all that comes until the end, or `ms` have passed.
-  std::string PendingRequest(const std::string& bytes, int ms = 1500) {
+  // Sends bytes on a new connection. Returns the bytes received until all requests are answered,
+  // the connection is closed, or `ms` milliseconds have passed.
+  std::string Exchange(const std::string& bytes, int ms = 1500) {
     int fd = transport::StartConnect(settings_.front, 0);
     std::string answer;
     bool sent = false;
@@ -207,12 +216,12 @@
       ssize_t n = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (n == 0) break;
       if (n > 0) answer.append(buffer, static_cast<size_t>(n));
-      if (n > 0 && ReadAnswer(answer) >= Requests(bytes)) break;
+      if (n > 0 && ReadAnswer(answer) >= CountRequests(bytes)) break;
     }
     close(fd);
     return answer;
   }
-  // Runs the loop until `condition` holds; false if it doesn't within some seconds.
+  // Runs the loop until `condition` holds; returns false if it doesn't within 5 s.
   bool RunUntil(const std::function<bool()>& condition) {
     base::Millis end = base::SteadyMillis() + 5000;
     base::Timer wake;
@@ -223,17 +232,19 @@
     }
     return true;
   }
-  // A new connection on which `bytes` were sent.
+  // Opens a connection and sends `bytes` on it.
   OpenConnection Open(const std::string& bytes) {
     OpenConnection connection(settings_.front);
     EXPECT_TRUE(RunUntil([&] { return connection.TrySend(bytes); }));
     return connection;
   }
-  static int Requests(const std::string& bytes) {
+  // The number of requests in `bytes`, at least 1.
+  static int CountRequests(const std::string& bytes) {
     int n = 0;
     for (size_t at = 0; (at = bytes.find(" HTTP/1.1\r\n", at)) != std::string::npos; ++at) ++n;
     return std::max(1, n);
   }
+  // The number of complete answers at the start of `bytes`.
   static int ReadAnswer(const std::string& bytes) {
     int n = 0;
     std::unique_ptr<evbuffer, decltype(&evbuffer_free)> buffer(evbuffer_new(), &evbuffer_free);
@@ -245,6 +256,7 @@
     }
     return n;
   }
+  // A request of kind "get" (idempotent) or "post" (non-idempotent).
   std::string Ask(const std::string& kind, const std::string& id = "id-1",
                   const std::string& remaining = "900") {
     std::string head = (kind == "post" ? "POST" : "GET") + std::string(" /") + kind +
@@ -252,6 +264,7 @@
                        "\r\nElderkeel-Remaining-Ms: " + remaining + "\r\n";
     return kind == "post" ? head + "Content-Length: 4\r\n\r\nbody" : head + "\r\n";
   }
+  // The status of the first answer; 0 if there is none.
   static int Status(const std::string& answer) {
     return answer.size() > 12 && answer.rfind("HTTP/1.1 ", 0) == 0 ? std::atoi(answer.c_str() + 9)
                                                                    : 0;
@@ -262,7 +275,7 @@
   std::mutex mutex_;
   std::string records_;
   telemetry::Recorder recorder_;
-  std::vector<std::unique_ptr<StandIn>> balancer_;
+  std::vector<std::unique_ptr<StandIn>> servers_;
   discovery::EndpointSnapshot endpoints_{1, 1, {}};
   std::unique_ptr<RequestRouter> router_;
 };
--- a/tests/forwarding/request_router_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -9,10 +9,10 @@
 namespace elderkeel::forwarding {
 namespace {
 
-TEST_F(RequestRouterTest, ForwardsUnchangedWithDeadlineAndExpectedServer) {
+TEST_F(RequestRouterTest, ForwardsRequestsUnchangedWithDeadlineAndExpectedServer) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
-  std::string answer = PendingRequest(
+  std::string answer = Exchange(
       "POST /post/x?y=%20z HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a7\r\n"
       "Elderkeel-Remaining-Ms: 500\r\nConnection: X-Hop, Elderkeel-Attempt-Id\r\nX-Hop: "
       "1\r\nX-Kept: 2\r\n"
@@ -33,38 +33,39 @@
   EXPECT_EQ(sent.substr(sent.size() - 4), "\r\nhi");
 }
 
-// What a server does, and what the client gets: for what may be repeated, a second server that is
-// well saves the day; for what may run once only, just when the first has certainly not run it.
-TEST_F(RequestRouterTest, EachKindOfFailure) {
+// For each way in which a server can fail: an idempotent request is retried at a second server that
+// works; a non-idempotent one only if the first server certainly didn't execute it. Guards against
+// executing a non-idempotent request twice, and against passing on an answer to another request.
+TEST_F(RequestRouterTest, RetriesOnlyWhatCannotRunTwiceAfterEachKindOfFailure) {
   struct Case {
     const char* name;
     StandIn::Script bad;
     int get_status, post_status;
-    size_t post_arrivals;  // at both servers together
+    size_t post_arrivals;  // of the "post" request, at both servers together
   };
   auto plain = [](const char* text) {
     return [text](const std::string&) { return std::string(text); };
   };
-  // The same with the request's id, or with another's, behind the first line.
-  auto named = [](const char* text, bool ours) {
-    return [text, ours](const std::string& r) {
-      std::string id = ours ? HeaderOf(r, "Elderkeel-Attempt-Id") : "another";
+  // `text` with the request's attempt id, or with a different one, after the status line.
+  auto with_id = [](const char* text, bool own_id) {
+    return [text, own_id](const std::string& r) {
+      std::string id = own_id ? HeaderOf(r, "Elderkeel-Attempt-Id") : "another";
       std::string answer = text;
       return answer.insert(answer.find("\r\n") + 2, "Elderkeel-Attempt-Id: " + id + "\r\n");
     };
   };
   const char* busy = "HTTP/1.1 503 Busy\r\nElderkeel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   std::vector<Case> cases = {
-      {"well", [](const std::string& r) { return Good(r); }, 200, 200, 1},
-      {"turned away", named(busy, true), 200, 200, 2},
-      // Neither is a word about this request; so it may have run.
-      {"another turned away", named(busy, false), 200, 504, 1},
-      {"nobody turned away", plain(busy), 200, 502, 1},
-      {"misdirected", named("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", true), 200, 200, 2},
-      {"another's answer, late, then ours",
+      {"success", [](const std::string& r) { return Good(r); }, 200, 200, 1},
+      {"not executed", with_id(busy, true), 200, 200, 2},
+      // Neither answer is about this request, which may therefore have been executed.
+      {"another request not executed", with_id(busy, false), 200, 504, 1},
+      {"not executed, without an id", plain(busy), 200, 502, 1},
+      {"misdirected", with_id("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", true), 200, 200, 2},
+      {"late answer to another request, then its own",
        [](const std::string& r) { return Good("Elderkeel-Attempt-Id: other\r\n") + Good(r); }, 200,
        200, 1},
-      {"two of others",
+      {"two answers to another request",
        [](const std::string& r) {
          std::string other = Good("Elderkeel-Attempt-Id: other\r\n");
          return other + other + Good(r);
@@ -74,35 +75,36 @@
       {"cut short",
        plain("HTTP/1.1 200 OK\r\nElderkeel-Server-Seal: s\r\nContent-Length: 50\r\n\r\nhalfCUT"),
        200, 502, 1},
-      {"no answer but bytes", plain("%%%% what is this\r\n\r\n"), 200, 502, 1},
+      {"bytes that are no HTTP answer", plain("%%%% what is this\r\n\r\n"), 200, 502, 1},
       {"no seal",
        [](const std::string& r) {
          return "HTTP/1.1 200 OK\r\nElderkeel-Attempt-Id: " + HeaderOf(r, "Elderkeel-Attempt-Id") +
                 "\r\nContent-Length: 2\r\n\r\nhi";
        },
        200, 502, 1},
-      {"answer to another",
+      {"answer to another request",
        [](const std::string&) { return Good("Elderkeel-Attempt-Id: other\r\n"); }, 200, 504, 1},
-      {"encoded",
+      {"encoded body",
        [](const std::string& r) {
          std::string good = Good(r);
          return good.insert(17, "Content-Encoding: gzip\r\n");
        },
        200, 502, 1},
-      {"no end of its own",
+      {"answer delimited by the end of the connection",
        [](const std::string& r) {
          return "HTTP/1.1 200 OK\r\nElderkeel-Server-Seal: s\r\nElderkeel-Attempt-Id: " +
                 HeaderOf(r, "Elderkeel-Attempt-Id") + "\r\n\r\nhiCUT";
        },
        200, 502, 1},
-      {"own failure", named("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), 200, 500, 1},
-      // A status that promises "not run" without saying so is not passed on.
-      {"busy, but it may have run", named("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true),
-       200, 502, 1},
-      {"own refusal", named("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n", true), 409, 409,
+      {"server failure", with_id("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), 200, 500,
        1},
-      {"more than its answer", [](const std::string& r) { return Good(r) + "HTTP/1.1 200 OK\r\n"; },
-       200, 200, 1},
+      // 503 would mean "not executed" to the client, but the server didn't mark the answer so.
+      {"503 that may have been executed",
+       with_id("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), 200, 502, 1},
+      {"final client error", with_id("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n", true),
+       409, 409, 1},
+      {"bytes after the answer",
+       [](const std::string& r) { return Good(r) + "HTTP/1.1 200 OK\r\n"; }, 200, 200, 1},
   };
   for (const Case& c : cases) {
     for (const char* kind : {"get", "post"}) {
@@ -117,13 +119,13 @@
       auto* bad = Serve("i-bad", c.bad);
       auto* good = Serve("i-good", [](const std::string& r) { return Good(r); });
       Configure();
-      for (int i = 0; i < 3; ++i) PendingRequest(Ask("get", "warm-" + std::to_string(i)));
-      // The warm-up may have taught the node to avoid the bad server: a fresh view, with the
-      // budget.
+      for (int i = 0; i < 3; ++i) Exchange(Ask("get", "warm-" + std::to_string(i)));
+      // These requests fill the retry budget, but their failures may have ejected the bad server.
+      // Under a new id it starts without that history.
       endpoints_.servers[0].id = "i-bad-2";
       router_->Adopt(endpoints_);
       size_t before = bad->requests.size() + good->requests.size();
-      std::string answer = PendingRequest(Ask(kind));
+      std::string answer = Exchange(Ask(kind));
       std::string want =
           kind == std::string("get") ? std::to_string(c.get_status) : std::to_string(c.post_status);
       EXPECT_EQ(std::to_string(Status(answer)), want) << c.name << " " << kind << ": " << answer;
@@ -134,35 +136,36 @@
   }
 }
 
-TEST_F(RequestRouterTest, ServesNothingUntilItsStateIsConfirmed) {
+TEST_F(RequestRouterTest, RejectsRequestsUntilItsStateIsConfirmed) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   router_->SetServing(false);
-  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 503);
+  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);
   EXPECT_TRUE(server->requests.empty());
   router_->SetServing(true);
-  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 200);
+  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);
 }
 
-// That a route does not exist is said only by what is known to be recent.
-TEST_F(RequestRouterTest, DeniesNothingByAStateThatMayBeOutOfDate) {
+// Guards against a 404 for a route that a newer configuration has: while its configuration may be
+// out of date, the router answers 503 instead.
+TEST_F(RequestRouterTest, AnswersUnknownRouteWith503WhileConfigurationMayBeOutOfDate) {
   Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   bool recent = false;
   router_->SetDenialGuard([&] { return recent; });
   std::string unknown = "GET /got/ HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a\r\n\r\n";
-  std::string answer = PendingRequest(unknown);
+  std::string answer = Exchange(unknown);
   EXPECT_EQ(Status(answer), 503);
   EXPECT_NE(answer.find("Retry-After: "), std::string::npos) << answer;
-  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 200);  // what is there is served all the same
+  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);  // known routes are served
   recent = true;
-  EXPECT_EQ(Status(PendingRequest(unknown)), 404);
+  EXPECT_EQ(Status(Exchange(unknown)), 404);
 }
 
-TEST_F(RequestRouterTest, RejectsWhatItMustNotForward) {
+TEST_F(RequestRouterTest, RejectsInvalidRequestsWithoutForwardingThem) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   std::string big(700, 'x');
-  EXPECT_EQ(Status(PendingRequest(Ask("get"))), 503);  // nothing known yet
+  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);  // no configuration yet
   Configure();
   struct Case {
     const char* name;
@@ -182,11 +185,11 @@
        "a\r\nElderkeel-Remaining-Ms: soon\r\n\r\n",
        400},
       {"connect", "CONNECT h.example:80 HTTP/1.1\r\nHost: h.example\r\n\r\n", 405},
-      {"whole address",
+      {"absolute-form target",
        "GET http://h.example/get/ HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a\r\n\r\n",
        400},
       {"unknown method", "FROB /get/ HTTP/1.1\r\nHost: h.example\r\n\r\n", 501},
-      {"smuggled",
+      {"request smuggling",
        "POST /post/ HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a\r\nContent-Length: "
        "5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /get/ HTTP/1.1\r\n",
        400},
@@ -195,15 +198,14 @@
        413},
       {"head too slow", "GET /get/ HTTP/1.1\r\nHost:", 408},
   };
-  for (const Case& c : cases) EXPECT_EQ(Status(PendingRequest(c.bytes)), c.status) << c.name;
+  for (const Case& c : cases) EXPECT_EQ(Status(Exchange(c.bytes)), c.status) << c.name;
   EXPECT_TRUE(server->requests.empty());
 }
 
-TEST_F(RequestRouterTest, AnswersPipelinedRequestsInTheirOrder) {
+TEST_F(RequestRouterTest, AnswersPipelinedRequestsInOrder) {
   Serve("i-1", [](const std::string& r) { return Good(r, HeaderOf(r, "Elderkeel-Attempt-Id")); });
   Configure();
-  std::string answer =
-      PendingRequest(Ask("get", "first") + Ask("post", "second") + Ask("get", "third"));
+  std::string answer = Exchange(Ask("get", "first") + Ask("post", "second") + Ask("get", "third"));
   size_t first = answer.find("\r\n\r\nfirst"), second = answer.find("\r\n\r\nsecond"),
          third = answer.find("\r\n\r\nthird");
   ASSERT_NE(third, std::string::npos) << answer;
@@ -211,31 +213,31 @@
   EXPECT_LT(second, third);
 }
 
-TEST_F(RequestRouterTest, ASilentServerEndsNothingBeforeTheDeadline) {
+TEST_F(RequestRouterTest, WaitsForASilentServerUntilTheDeadline) {
   settings_.second_sends = false;
   Serve("i-1", [](const std::string&) { return std::string(); });
   Configure();
   base::Millis begun = base::SteadyMillis();
-  EXPECT_EQ(Status(PendingRequest(Ask("post", "a", "300"))), 504);
+  EXPECT_EQ(Status(Exchange(Ask("post", "a", "300"))), 504);
   base::Millis took = base::SteadyMillis() - begun;
   EXPECT_GE(took, 290);
   EXPECT_LT(took, 600);
 }
 
-TEST_F(RequestRouterTest, ALateIdempotentRequestIsHedged) {
+TEST_F(RequestRouterTest, HedgesAnIdempotentRequestThatIsLate) {
   auto* silent = Serve("i-1", [](const std::string&) { return std::string(); });
-  auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
+  auto* healthy = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure(1000, 200);
-  for (int i = 0; i < 3; ++i) PendingRequest(Ask("get", "w" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) Exchange(Ask("get", "w" + std::to_string(i)));
   endpoints_.servers[0].id = "i-1-again";
   router_->Adopt(endpoints_);
   size_t before = silent->requests.size();
-  EXPECT_EQ(Status(PendingRequest(Ask("get", "late"))), 200);
+  EXPECT_EQ(Status(Exchange(Ask("get", "late"))), 200);
   EXPECT_EQ(silent->requests.size(), before + 1);
-  EXPECT_FALSE(well->requests.empty());
+  EXPECT_FALSE(healthy->requests.empty());
 }
 
-TEST_F(RequestRouterTest, StreamsAnswersTooLargeToBuffer) {
+TEST_F(RequestRouterTest, StreamsLargeAnswersAndResetsTheClientIfCut) {
   settings_.held_body_bytes = 1000;
   std::string large(300000, 'x');
   bool cut = false, chunks = false;
@@ -254,20 +256,20 @@
   for (bool in_chunks : {false, true}) {
     chunks = in_chunks;
     cut = false;
-    std::string answer = PendingRequest(Ask("get", "whole"));
+    std::string answer = Exchange(Ask("get", "whole"));
     EXPECT_EQ(ReadAnswer(answer), 1) << answer.substr(0, 300);
     EXPECT_GT(answer.size(), large.size());
     EXPECT_EQ(answer.find("chunked") != std::string::npos, in_chunks);
     cut = true;
-    answer = PendingRequest(Ask("get", "cut"));
+    answer = Exchange(Ask("get", "cut"));
     EXPECT_GT(answer.size(), 1000u);
-    EXPECT_EQ(ReadAnswer(answer), 0);  // never looks complete
+    EXPECT_EQ(ReadAnswer(answer), 0);  // the client must not take it for complete
   }
 }
 
-TEST_F(RequestRouterTest, AfterASuspensionSendsNothingForClientsThatLeft) {
-  // Found in an incident: a node that was frozen woke and sent all that had piled up to the
-  // servers.
+// Guards against an incident in which a suspended proxy, once resumed, sent all requests that had
+// accumulated to the servers, although their clients had disconnected.
+TEST_F(RequestRouterTest, AfterASuspensionSendsNothingForClientsThatDisconnected) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
   std::vector<int> clients;
@@ -285,30 +287,29 @@
     }
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the loop does not run
-  PendingRequest("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
-  EXPECT_EQ(Status(PendingRequest(Ask("get", "after"))), 200);
-  // Only the one that waited, and the one after.
+  Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
+  EXPECT_EQ(Status(Exchange(Ask("get", "after"))), 200);
+  // One request whose client is still connected, and the one sent after the suspension.
   EXPECT_EQ(server->requests.size(), 2u);
   for (int fd : clients) close(fd);
 }
 
-TEST_F(RequestRouterTest, AnUnreachableServerCountsAsNoArrival) {
-  Add("i-gone", "127.0.0.1:1");
-  auto* well = Serve("i-2", [](const std::string& r) { return Good(r); });
+TEST_F(RequestRouterTest, RetriesANonIdempotentRequestAfterAnUnreachableServer) {
+  AddEndpoint("i-gone", "127.0.0.1:1");
+  auto* healthy = Serve("i-2", [](const std::string& r) { return Good(r); });
   Configure();
-  EXPECT_EQ(Status(PendingRequest(Ask("post"))), 200);
-  EXPECT_EQ(well->requests.size(), 1u);
+  EXPECT_EQ(Status(Exchange(Ask("post"))), 200);
+  EXPECT_EQ(healthy->requests.size(), 1u);
 }
 
-TEST_F(RequestRouterTest, ReusesConnectionsAndRecordsFailures) {
+TEST_F(RequestRouterTest, ReusesConnectionsAndRecordsWhyARequestFailed) {
   auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
   Configure();
-  for (int i = 0; i < 5; ++i)
-    EXPECT_EQ(Status(PendingRequest(Ask("get", "r" + std::to_string(i)))), 200);
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(Status(Exchange(Ask("get", "r" + std::to_string(i)))), 200);
   EXPECT_EQ(server->connections, 1);
   endpoints_.servers[0].draining = true;
   router_->Adopt(endpoints_);
-  std::string answer = PendingRequest(Ask("get", "nobody-there"));
+  std::string answer = Exchange(Ask("get", "nobody-there"));
   EXPECT_EQ(Status(answer), 503);
   EXPECT_FALSE(HeaderOf(answer, "Retry-After").empty());
   recorder_.Flush();
