--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -17,25 +17,26 @@
 using forwarding::ServerState;
 using forwarding::Signal;
 
-TEST(AttemptLog, SaysWhatMayFollow) {
+// A further attempt after one that may have run could run a request twice that isn't idempotent.
+TEST(AttemptLog, AllowsAttemptsAndPromisesNotRunByTheOutcomesSoFar) {
   struct Case {
     const char* name;
     bool idempotent;
     int attempts;
-    std::vector<AttemptOutcome> fates;
+    std::vector<AttemptOutcome> outcomes;
     bool may_send;
-    bool may_promise;
+    bool certainly_not_run;
   } cases[] = {
       {"nothing sent", false, 2, {}, true, true},
       {"not sent", false, 2, {AttemptOutcome::kNotSent}, true, true},
-      {"turned away", false, 2, {AttemptOutcome::kNotRun}, true, true},
-      {"turned away by all",
+      {"rejected", false, 2, {AttemptOutcome::kNotRun}, true, true},
+      {"rejected by all",
        false,
        2,
        {AttemptOutcome::kNotRun, AttemptOutcome::kNotRun},
        false,
        true},
-      {"unreached ones do not count",
+      {"attempts that were not sent don't count",
        false,
        2,
        {AttemptOutcome::kNotSent, AttemptOutcome::kNotSent, AttemptOutcome::kNotRun},
@@ -43,38 +44,37 @@
        true},
       {"in flight", false, 2, {AttemptOutcome::kPending}, false, false},
       {"may have run", false, 2, {AttemptOutcome::kMaybeRun}, false, false},
-      {"turned away, then may have run",
+      {"rejected, then may have run",
        false,
        3,
        {AttemptOutcome::kNotRun, AttemptOutcome::kMaybeRun},
        false,
        false},
       {"ran", false, 2, {AttemptOutcome::kRun}, false, false},
-      {"repeatable in flight", true, 2, {AttemptOutcome::kPending}, true, false},
-      {"repeatable may have run", true, 2, {AttemptOutcome::kMaybeRun}, true, false},
-      {"repeatable spent",
+      {"idempotent, in flight", true, 2, {AttemptOutcome::kPending}, true, false},
+      {"idempotent, may have run", true, 2, {AttemptOutcome::kMaybeRun}, true, false},
+      {"idempotent, no attempts left",
        true,
        2,
        {AttemptOutcome::kMaybeRun, AttemptOutcome::kMaybeRun},
        false,
        false},
-      {"repeatable, one attempt", true, 1, {AttemptOutcome::kNotRun}, false, true},
+      {"idempotent, one attempt", true, 1, {AttemptOutcome::kNotRun}, false, true},
   };
   for (const Case& c : cases) {
     AttemptLog attempt_log(c.idempotent, c.attempts);
-    for (AttemptOutcome outcome_of_attempt : c.fates)
-      attempt_log.End(attempt_log.Begin(), outcome_of_attempt);
+    for (AttemptOutcome outcome : c.outcomes) attempt_log.End(attempt_log.Begin(), outcome);
     EXPECT_EQ(attempt_log.MayAttempt(), c.may_send) << c.name;
-    EXPECT_EQ(attempt_log.IsCertainlyNotRun(), c.may_promise) << c.name;
+    EXPECT_EQ(attempt_log.IsCertainlyNotRun(), c.certainly_not_run) << c.name;
   }
 }
 
-discovery::EndpointSnapshot MakeCatalog(std::vector<discovery::Server> servers) {
+discovery::EndpointSnapshot MakeSnapshot(std::vector<discovery::Server> servers) {
   return discovery::EndpointSnapshot{1, 1, std::move(servers)};
 }
 discovery::Server Entry(const std::string& id, const std::string& zone, bool draining = false,
-                        int warm = 0) {
-  return {id, "s", "10.0.0.1:80", zone, "v1", 2, draining, warm, warm};
+                        int slow_start_ms = 0) {
+  return {id, "s", "10.0.0.1:80", zone, "v1", 2, draining, slow_start_ms, slow_start_ms};
 }
 
 class LoadBalancerTest : public ::testing::Test {
@@ -85,13 +85,13 @@
     options.zone = "here";
     return options;
   }
-  // Whom it chooses, over many tries without sending.
+  // How often each server, by id, is chosen in 200 choices without an attempt being sent.
   std::map<std::string, int> Choices(base::Millis now, bool idempotent = true,
                                      std::vector<uint32_t> tried = {}) {
     std::map<std::string, int> counts;
     for (int i = 0; i < 200; ++i) {
-      uint32_t s = balancer_.Choose(now, {names_.Find("s"), 100, idempotent, tried, allowed_});
-      ++counts[s == LoadBalancer::kNone ? "none" : balancer_.at(s).id];
+      uint32_t server = balancer_.Choose(now, {names_.Find("s"), 100, idempotent, tried, allowed_});
+      ++counts[server == LoadBalancer::kNone ? "none" : balancer_.at(server).id];
     }
     return counts;
   }
@@ -100,8 +100,9 @@
   LoadBalancer balancer_;
 };
 
-TEST_F(LoadBalancerTest, PrefersItsZoneAndSpillsWhenThatIsBusy) {
-  balancer_.Adopt(0, MakeCatalog({Entry("near", "here"), Entry("far", "there")}));
+// Requests could leave the zone without need, or wait in it although other zones have room.
+TEST_F(LoadBalancerTest, PrefersItsOwnZoneUntilThatIsAtItsLimit) {
+  balancer_.Adopt(0, MakeSnapshot({Entry("near", "here"), Entry("far", "there")}));
   EXPECT_EQ(Choices(0)["near"], 200);
   uint32_t near = 0;
   balancer_.Begin(0, near);
@@ -109,43 +110,49 @@
   EXPECT_EQ(Choices(1)["far"], 200);
 }
 
-TEST_F(LoadBalancerTest, NeverChoosesWhatDrainsIsGoneOrWasTried) {
-  balancer_.Adopt(0,
-                  MakeCatalog({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
+// A request sent to a server that is about to stop could be lost; a retry on the same server is
+// likely to fail again.
+TEST_F(LoadBalancerTest, NeverChoosesDrainingUnlistedOrTriedServers) {
+  balancer_.Adopt(
+      0, MakeSnapshot({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
   auto changes = balancer_.Adopt(
-      0, MakeCatalog({Entry("a", "here", true), Entry("b", "here", true), Entry("c", "there")}));
+      0, MakeSnapshot({Entry("a", "here", true), Entry("b", "here", true), Entry("c", "there")}));
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].what, LoadBalancer::Change::What::kDraining);
   EXPECT_EQ(Choices(1)["c"], 200);
   EXPECT_EQ(Choices(1, true, {2})["none"], 200);
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here", true)}));
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here", true)}));
   EXPECT_EQ(Choices(2)["none"], 200);
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
 }
 
+// A server that can't be reached could keep receiving requests; readmitted untested, it could fail
+// many at once.
 TEST_F(LoadBalancerTest, EjectsAFailingServerAndReadmitsItByATrialRequest) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   balancer_.Begin(0, 0);
   balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["b"], 200);
   EXPECT_TRUE(balancer_.DueProbes(20).empty());
-  EXPECT_EQ(Choices(10000)["b"], 200);  // time alone does not let it back
+  EXPECT_EQ(Choices(10000)["b"], 200);  // time alone doesn't readmit it
   ASSERT_EQ(balancer_.DueProbes(10000).size(), 1u);
   balancer_.OnProbeResult(10000, 0, true);
-  EXPECT_EQ(Choices(10001, true)["a"], 200);   // shows itself with what may be repeated
-  EXPECT_EQ(Choices(10001, false)["b"], 200);  // not with what may run once only
+  EXPECT_EQ(Choices(10001, true)["a"], 200);   // on probation: idempotent requests only
+  EXPECT_EQ(Choices(10001, false)["b"], 200);  // not requests that may run only once
   balancer_.Begin(10001, 0);
   EXPECT_EQ(Choices(10002, true)["b"], 200);  // one at a time
   balancer_.End(10100, 0, 10001, Signal::kGood, 99, 100);
   EXPECT_EQ(Choices(10101, false)["a"], 200);
 }
 
-TEST_F(LoadBalancerTest, AnswersOutweighProbesThatLie) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
+// The answers of a health endpoint can be wrong both ways: they could keep a working server ejected
+// for ever, or readmit a failing one for good.
+TEST_F(LoadBalancerTest, AnswersToRequestsOutweighWrongProbeResults) {
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   base::Millis now = 0;
   balancer_.Begin(now, 0);
   balancer_.End(now, 0, now, Signal::kUnreachable, -1, 100);
-  // A health answer that stays bad does not keep a server out for ever: it gets a trial.
+  // Probes that keep failing don't keep a server ejected for ever: it is put on probation.
   int probes = 0;
   while (!balancer_.at(0).probation && probes < 10) {
     now += 100000;
@@ -153,22 +160,24 @@
     ++probes;
   }
   EXPECT_EQ(probes, 2);
-  // And one that stays good does not keep an ill server in.
+  // One failed request ejects a readmitted server again, whatever probes show.
   balancer_.Begin(now, 0);
   balancer_.End(now + 5, 0, now, Signal::kBroken, -1, 100);
   EXPECT_EQ(Choices(now + 6)["b"], 200);
 }
 
-TEST_F(LoadBalancerTest, UsesTheCondemnedWhenThereIsNothingElse) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here")}));
+// If all servers are ejected, requests would fail although one of them may work.
+TEST_F(LoadBalancerTest, ChoosesAnEjectedServerWhenNoOtherIsEligible) {
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here")}));
   balancer_.Begin(0, 0);
   balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["a"], 200);
 }
 
+// Requests could go to a slower server although a faster one has room.
 TEST_F(LoadBalancerTest, AvoidsSlowServersThoseInSlowStartAndUnresponsiveOnes) {
-  balancer_.Adopt(
-      0, MakeCatalog({Entry("a", "here"), Entry("b", "here"), Entry("cold", "here", false, 3000)}));
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "here"),
+                                   Entry("cold", "here", false, 3000)}));
   EXPECT_EQ(Choices(1)["cold"], 0);
   for (int i = 0; i < 30; ++i) {
     balancer_.Begin(i, 0);
@@ -176,31 +185,33 @@
   }
   EXPECT_EQ(Choices(100)["a"], 0);
   balancer_.Begin(100, 1);
-  EXPECT_EQ(Choices(5000)["b"], 0);  // out for long without an answer
+  EXPECT_EQ(Choices(5000)["b"], 0);  // its attempt has long been unanswered
 }
 
-// A server that has gone dark on connections that are there says nothing; sends given up do.
+// A server that stops responding on established connections gives no error. Only attempts abandoned
+// without an answer show it; if they were ignored, requests would continue to go there.
 TEST_F(LoadBalancerTest, EjectsAnUnresponsiveServer) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there")}));
-  auto unanswered_ms = [&](base::Millis now, base::Millis age) {
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
+  auto abandon_attempt = [&](base::Millis now, base::Millis age) {
     balancer_.Begin(now - age, 0);
     balancer_.OnAttemptAbandoned(now, 0, now - age, 100);
   };
-  unanswered_ms(1000, 150);  // the client left early: nothing is learnt
-  unanswered_ms(1000, 150);
+  abandon_attempt(1000, 150);  // abandoned too early to count as a failure
+  abandon_attempt(1000, 150);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
-  unanswered_ms(2000, 400);
+  abandon_attempt(2000, 400);
   balancer_.Begin(2000, 0);
-  balancer_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // an answer speaks for it
-  unanswered_ms(3000, 400);
+  balancer_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // a good answer resets the failures
+  abandon_attempt(3000, 400);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
-  unanswered_ms(3500, 400);
+  abandon_attempt(3500, 400);
   EXPECT_EQ(Choices(3501)["b"], 200);
   EXPECT_EQ(balancer_.DueProbes(100000).size(), 1u);
 }
 
-TEST_F(LoadBalancerTest, GoesWhereItsZonesSharesSay) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
+// Without shares, every proxy prefers its own zone, which could overload the servers of one zone.
+TEST_F(LoadBalancerTest, DistributesRequestsByTheSharesOfZones) {
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
   auto zones = balancer_.SlotsByZone(names_.Find("s"));
   ASSERT_EQ(zones.size(), 3u);
   EXPECT_EQ(balancer_.ZoneName(zones[0].zone), "here");
@@ -212,32 +223,34 @@
   EXPECT_EQ(choices["c"], 0);
 }
 
-TEST(RetryBudget, LateSendsLeaveSomethingForFailures) {
+// Hedges could spend the whole budget and leave none for retries after failures.
+TEST(RetryBudget, HedgesLeaveATokenForRetries) {
   struct Case {
-    double slack;  // of ten nodes
-    int earned;    // requests before it is asked
-    bool calm;
-    bool spend;
+    double slack;  // of ten nodes together
+    int requests;  // deposited before the withdrawal
+    bool may_hedge;
+    bool may_retry;
   } cases[] = {
-      {60, 30, true, true},    // 4.5 saved of 4.8
-      {60, 12, false, true},   // 1.8 saved: one is left for failures
-      {20, 30, true, true},    // 1.6 is all that may be saved, and it is there
-      {20, 9, false, true},    // 1.35 of 1.6
-      {11, 30, false, false},  // not one whole retry may be saved
+      {60, 30, true, true},    // 4.5 saved, at most 4.8
+      {60, 12, false, true},   // 1.8 saved: 1 is reserved for retries
+      {20, 30, true, true},    // at most 1.6 can be saved, and that is reached
+      {20, 9, false, true},    // 1.35 saved, at most 1.6
+      {11, 30, false, false},  // at most 0.88 can be saved, less than one retry
   };
   for (const Case& c : cases) {
     forwarding::RetryBudget b({0.2, c.slack, 0.75});
     b.SetNodes(10);
-    for (int i = 0; i < c.earned; ++i) b.Deposit(0);
-    forwarding::RetryBudget same = b;
-    EXPECT_EQ(b.TryWithdrawForHedge(0), c.calm) << c.slack << " " << c.earned;
-    EXPECT_EQ(same.TryWithdraw(0), c.spend) << c.slack << " " << c.earned;
+    for (int i = 0; i < c.requests; ++i) b.Deposit(0);
+    forwarding::RetryBudget copy = b;
+    EXPECT_EQ(b.TryWithdrawForHedge(0), c.may_hedge) << c.slack << " " << c.requests;
+    EXPECT_EQ(copy.TryWithdraw(0), c.may_retry) << c.slack << " " << c.requests;
   }
 }
 
+// Many nodes, each with its own budget, could together exceed the bound: under uneven load, after
+// restarts, or if all spend their savings at once. Over any window the sum of retries stays within
+// ratio x requests + slack, even if every retry that is allowed is sent.
 TEST(RetryBudget, AllNodesTogetherStayWithinTheBound) {
-  // Many nodes, uneven load, nodes that restart and forget, and every further send that is allowed
-  // is made: the sum over any window stays within ratio x requests + slack.
   const double ratio = 0.2, slack = 30;
   const size_t nodes = 12;
   const int window = 100;
@@ -246,56 +259,58 @@
   bounds.ratio = ratio;
   bounds.slack = slack;
   std::vector<forwarding::RetryBudget> budgets;
-  auto fresh = [&] {
+  auto new_budget = [&] {
     forwarding::RetryBudget b(bounds);
     b.SetNodes(nodes);
     return b;
   };
-  for (size_t i = 0; i < nodes; ++i) budgets.push_back(fresh());
-  std::vector<int> requests, extra;
+  for (size_t i = 0; i < nodes; ++i) budgets.push_back(new_budget());
+  std::vector<int> requests, retries;
   for (int t = 0; t < 3000; ++t) {
-    int asked = 0, spent = 0;
+    int requests_now = 0, retries_now = 0;
     bool burst = (t / 200) % 3 == 0;
     for (size_t i = 0; i < nodes; ++i) {
-      if (random.Below(400) == 0) budgets[i] = fresh();
+      if (random.Below(400) == 0) budgets[i] = new_budget();  // restart
       int count = static_cast<int>(random.Below(burst ? 12 : 3));
       for (int k = 0; k < count; ++k) {
-        ++asked;
+        ++requests_now;
         budgets[i].Deposit(0);
       }
-      // Savings are spent all at once every now and then, which is the worst case.
+      // The worst case: savings accumulate for a while and are then spent all at once.
       if (t % 150 > 100) {
-        while (budgets[i].TryWithdraw(0)) ++spent;
+        while (budgets[i].TryWithdraw(0)) ++retries_now;
       }
     }
-    requests.push_back(asked);
-    extra.push_back(spent);
+    requests.push_back(requests_now);
+    retries.push_back(retries_now);
     if (t + 1 < window) continue;
-    int sum_requests = 0, sum_extra = 0;
+    int sum_requests = 0, sum_retries = 0;
     for (int k = t + 1 - window; k <= t; ++k) {
       sum_requests += requests[k];
-      sum_extra += extra[k];
+      sum_retries += retries[k];
     }
-    ASSERT_LE(sum_extra, ratio * sum_requests + slack) << "at " << t;
+    ASSERT_LE(sum_retries, ratio * sum_requests + slack) << "at " << t;
   }
 }
 
-TEST(RetryBudget, AStartedNodeHasSavedNothing) {
+// A node that restarts could spend again what it has spent before the restart.
+TEST(RetryBudget, ANodeStartsWithoutTokens) {
   forwarding::RetryBudget b({0.2, 60, 0.75});
   b.SetNodes(10);
   EXPECT_FALSE(b.TryWithdraw(0));
   for (int i = 0; i < 7; ++i) b.Deposit(0);
   EXPECT_TRUE(b.TryWithdraw(0));
   EXPECT_FALSE(b.TryWithdraw(0));
-  EXPECT_FALSE(b.TryWithdraw(1));  // each service has its own
+  EXPECT_FALSE(b.TryWithdraw(1));  // each service has its own tokens
 }
 
+// A request could leave the regions that its route allows, or go to a zone that is drained.
 TEST_F(LoadBalancerTest, ChoosesOnlyAllowedRegionsAndNoDrainedZones) {
-  balancer_.Adopt(0, MakeCatalog({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
+  balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
   EXPECT_EQ(Choices(0)["a"], 200);
-  allowed_ = {regions_.Intern("there")};  // a zone without a named region is one by itself
+  allowed_ = {regions_.Intern("there")};  // a zone without a region forms its own
   EXPECT_EQ(Choices(0)["b"], 200);
-  EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // nor for a further try
+  EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // nor for a retry
   allowed_ = {regions_.Intern("nowhere")};
   EXPECT_EQ(Choices(0)["none"], 200);
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), allowed_));
@@ -305,22 +320,24 @@
   balancer_.SetDrainedZones(200, {"afar", "here", "there"}, 3000);
   EXPECT_EQ(Choices(200)["none"], 200);
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
-  // Taken back it may be cold, and is used as such.
+  // Servers of zones that are no longer drained may have restarted: they count as in slow start.
   balancer_.SetDrainedZones(300, {}, 3000);
   EXPECT_TRUE(balancer_.HasUsable(names_.Find("s"), {}));
   EXPECT_EQ(balancer_.at(0).slow_start_until, 3300);
 }
 
-TEST_F(LoadBalancerTest, SendsOnlyToVersionsThatAreAllowed) {
+// During a roll-out, an unproven version could get more requests than allowed, or a rejected one
+// any.
+TEST_F(LoadBalancerTest, ChoosesOnlyServersOfVersionsThatTheRuleAllows) {
   auto list = [](std::vector<std::pair<std::string, std::string>> servers) {
-    discovery::EndpointSnapshot endpoints = MakeCatalog({});
+    discovery::EndpointSnapshot endpoints = MakeSnapshot({});
     for (const auto& [id, version] : servers) {
       endpoints.servers.push_back(Entry(id, id[0] == 'h' ? "here" : "there"));
       endpoints.servers.back().revision = version;
     }
     return endpoints;
   };
-  // Twenty of each version in each of two zones, and another version that nobody ordered.
+  // Twenty servers of each version in each of two zones, and one of a version outside the roll-out.
   std::vector<std::pair<std::string, std::string>> servers = {{"hx", "v9"}};
   for (int i = 0; i < 20; ++i) {
     for (const char* zone : {"h", "t"}) {
@@ -340,11 +357,11 @@
   auto versions = [&](bool secondary) {
     std::map<std::string, std::set<std::string>> used;
     for (int i = 0; i < 400; ++i) {
-      uint32_t at = balancer_.Choose(0, {s, 100, true, {}, {}}, secondary);
-      if (at == LoadBalancer::kNone) continue;
-      used[balancer_.VersionOf(at)].insert(balancer_.at(at).id);
-      balancer_.Begin(0, at);
-      balancer_.End(0, at, 0, Signal::kGood, -1, 100);
+      uint32_t server = balancer_.Choose(0, {s, 100, true, {}, {}}, secondary);
+      if (server == LoadBalancer::kNone) continue;
+      used[balancer_.VersionOf(server)].insert(balancer_.at(server).id);
+      balancer_.Begin(0, server);
+      balancer_.End(0, server, 0, Signal::kGood, -1, 100);
     }
     return used;
   };
@@ -359,9 +376,9 @@
     ++zones[balancer_.at(i).zone];
     ++limited;
   }
-  EXPECT_EQ(limited, 4u);  // three at least, spread evenly over two zones
+  EXPECT_EQ(limited, 4u);  // at least three in all, spread evenly over two zones
   EXPECT_EQ(zones.size(), 2u);
-  // Promoted: the other way round, all of both, and only what is barred is told.
+  // After promotion the roles are swapped and unlimited; only the server of v9 is excluded.
   rule.primary = "v2";
   rule.secondary = "v1";
   rule.limited = false;
@@ -371,7 +388,8 @@
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 0u);
   balancer_.Begin(0, balancer_.Choose(0, {s, 100, true, {}, {}}, true));
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 1u);
-  // Turned down: never, not even if nothing else is left; another one then is used.
+  // A rejected version is never used, not even if no other server is left. Without servers of the
+  // primary version, other versions are used.
   rule = rollout::Rule();
   rule.known = true;
   rule.primary = "v1";
@@ -385,8 +403,5 @@
   EXPECT_TRUE(versions(false).empty());
 }
 
-// All proxies of a zone press on one cold server as hard as they can, with views of each other that
-// differ, restarts and cuts: what it gets within any second stays below the bound.
-
 }  // namespace
 }  // namespace elderkeel
