--- a/tests/forwarding/stand_in.h
+++ b/tests/forwarding/stand_in.h
@@ -13,62 +13,70 @@
 #include "http/http.h"
 #include "transport/socket.h"
 
+// Stand-ins for the servers and clients around a proxy, on loopback: a server that misbehaves in
+// chosen ways, a client, and the texts of requests and configurations.
 namespace elderkeel::stand_in {
 
 constexpr const char* kAttempt = "Elderkeel-Attempt-Id";
 
-// What a server does with one request, or with the connection around it.
+// How a server behaves for one request, or on the connection that carries it. "Own answer" is the
+// correct answer to the request; ids are attempt ids. The previous request is the one before on the
+// same connection; if there is none, the id "other" takes its place.
 enum class Deed {
-  kWell,
-  kInterim,       // interim answers before its own
-  kTwice,         // its answer twice at once
-  kTwiceLater,    // the second one a little later, while nothing is asked
-  kPieces,        // half of an earlier answer behind its own; the other half with the next request
-  kOtherThenOwn,  // an earlier request's answer, then its own
-  kOtherId,       // the answer carries another's id
-  kNoId,          // or none
-  kTwoIds,        // or its own and another's
-  kNotExecuted,   // turned away
-  kOtherNotExecuted,
-  kNoIdNotExecuted,
-  kGluedReason,  // a piece of an earlier answer's first line, then its own answer
-  kGluedValue,   // the same, cut in the value of a header
-  kCutHead,
-  kCutBody,
-  kExtra,  // bytes that are no answer behind its own
-  kReset,  // after the whole request
-  kHalfClose,
-  kNoAnswer,
-  kResetMiddle,  // with a part of the request read
-  kHalfCloseMiddle,
-  kNoAnswerInTheMiddle,
-  kResetIdle,   // answers, then resets the connection while it is idle
-  kNoiseIdle,   // answers, then sends another's answer while nothing is asked
-  kResetFirst,  // on a new connection, before anything is read
-  kHalfCloseFirst,
-  kNoAnswerAtAll,
-  kOtherFirst,  // another's answer before anything is asked
-  kNoIdFirst,
-  kLate,  // well, but only after `late_ms`
+  kWell,          // sends its own answer
+  kInterim,       // sends interim answers (1xx) before its own
+  kTwice,         // sends its own answer twice, at once
+  kTwiceLater,    // sends its own answer again 5 ms later, without a request
+  kPieces,        // half of the previous answer after its own; the other half with the next request
+  kOtherThenOwn,  // the previous request's answer, then its own
+  kOtherId,       // only the previous request's answer, with that request's id
+  kNoId,          // its own answer without an id
+  kTwoIds,        // its own answer with a second id
+  kNotExecuted,   // rejects the request as not executed
+  kOtherNotExecuted,     // the same, with the previous request's id
+  kNoIdNotExecuted,      // the same, without an id
+  kGluedReason,          // an incomplete status line, then its own answer
+  kGluedValue,           // an answer that is cut off in a header's value, then its own answer
+  kCutHead,              // cuts off its own answer within the head, then half-closes
+  kCutBody,              // the same within the body
+  kExtra,                // its own answer, then bytes that are no answer
+  kReset,                // resets the connection after the complete request
+  kHalfClose,            // half-closes after the complete request
+  kNoAnswer,             // never answers the complete request
+  kResetMiddle,          // resets after a part of the request
+  kHalfCloseMiddle,      // half-closes after a part of the request
+  kNoAnswerInTheMiddle,  // stops reading after a part of the request
+  kResetIdle,            // answers, then resets the idle connection 5 ms later
+  kNoiseIdle,       // answers, then sends another request's answer 5 ms later, without a request
+  kResetFirst,      // resets a new connection before it reads anything
+  kHalfCloseFirst,  // half-closes a new connection before it reads anything
+  kNoAnswerAtAll,   // reads nothing from a new connection
+  kOtherFirst,      // sends another request's answer on a new connection, before any request
+  kNoIdFirst,       // the same, without an id
+  kLate,            // sends its own answer after `late_ms`
 };
 
-// One server of the protocol on loopback. It counts what it ran; what it turns away (421, a request
-// that expects another server, Elderkeel-Not-Executed) it didn't run.
+// A server of the protocol on loopback. Tests use it on the event loop's thread; its behaviour is
+// set by the functions below. It records the requests that arrive and whether each ran. A request
+// that it rejects (status 421, another server expected, or Elderkeel-Not-Executed) does not run.
 class Server {
  public:
+  // The behaviour for one request, and the status of its own answer.
   struct Play {
     Deed deed = Deed::kWell;
     int status = 200;
-    base::Millis late_ms = 0;
+    base::Millis late_ms = 0;  // for kLate
   };
+  // A request that has arrived completely.
   struct Arrival {
     std::string attempt;
     int connection;  // counted from 1
     bool ran;
-    int status;   // that its own answer bears, if it gets one
-    bool spoilt;  // on a connection that had brought more than an answer, in one piece with it
+    int status;   // of its own answer, if one is sent
+    bool spoilt;  // an earlier answer on this connection was sent with excess bytes, in one write
   };
 
+  // Listens on the first free port of the 2000 from `first_port` on. `loop` must outlive it.
   Server(base::Loop* loop, std::string id, uint16_t first_port) : loop_(loop), id_(std::move(id)) {
     for (uint16_t port = first_port; port < first_port + 2000; ++port) {
       address_ = {"127.0.0.1", port};
@@ -81,23 +89,27 @@
 
   const base::Address& address() const { return address_; }
   const std::string& id() const { return id_; }
-  // Another life, maybe of another service, at this address.
+  // Simulates that another server, possibly of another service, has started at this address.
   void SetId(std::string id) { id_ = std::move(id); }
 
+  // Called for each request; returns the behaviour for it.
   std::function<Play(const http::Message&)> choose = [](const http::Message&) { return Play(); };
-  // Asked for each new connection, and once the first part of a request has come.
+  // Called for each new connection, and when an incomplete request has been read; only the deeds
+  // for that moment have an effect.
   std::function<Deed()> on_connection = [] { return Deed::kWell; };
   std::function<Deed()> on_part = [] { return Deed::kWell; };
-  // Told of each request that came whole, but for probes; without it they are kept.
+  // Called for each request that has arrived completely, except health probes. If it is not set,
+  // they are appended to `arrivals`.
   std::function<void(const Arrival&)> on_arrival;
   std::vector<Arrival> arrivals;
   int connections = 0;
 
+  // Resets all open connections.
   void ResetAll() {
     for (size_t n = open_.size(); n-- > 0;) Reset(open_[n].get());
   }
 
-  // The body names the request, so that a caller can tell whose it got.
+  // The body contains the attempt id, so that a test can detect another request's answer.
   static std::string BodyOf(const std::string& attempt) { return "body of " + attempt + "."; }
   static std::string Answer(int status, const std::vector<std::string>& ids,
                             const std::string& body, const std::string& more = "") {
@@ -113,30 +125,31 @@
     int number = 0;
     transport::BuffereventPtr socket;
     http::MessageReader reader{HTTP_REQUEST};
-    bool dead = false;
-    bool part_asked = false;
-    bool spoilt = false;
-    std::string with_next;  // bytes that come once the next request is here
-    std::string before;     // the attempt id of the request before
+    bool stopped = false;            // ignores further requests and sends nothing more
+    bool part_handled = false;       // on_part was called for the present request
+    bool spoilt = false;             // as in Arrival, for later requests
+    std::string before_next_answer;  // bytes sent when the next request arrives
+    std::string previous_attempt;    // attempt id of the previous request
     base::Timer timer;
   };
 
   void Write(Connection* c, const std::string& bytes) {
-    if (!c->dead) bufferevent_write(c->socket.get(), bytes.data(), bytes.size());
+    if (!c->stopped) bufferevent_write(c->socket.get(), bytes.data(), bytes.size());
   }
   void StopAnswering(Connection* c) {
-    c->dead = true;
+    c->stopped = true;
     bufferevent_disable(c->socket.get(), EV_READ);
   }
   void Reset(Connection* c) {
-    c->dead = true;
-    linger hard{1, 0};
-    setsockopt(bufferevent_getfd(c->socket.get()), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-    Drop(c);
+    c->stopped = true;
+    linger reset_on_close{1, 0};
+    setsockopt(bufferevent_getfd(c->socket.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+               sizeof reset_on_close);
+    Remove(c);
   }
-  // What was written goes out first.
-  void EndSide(Connection* c) {
-    c->dead = true;
+  // Ends the sending direction, after the bytes that are still buffered.
+  void HalfClose(Connection* c) {
+    c->stopped = true;
     if (evbuffer_get_length(bufferevent_get_output(c->socket.get())) == 0) {
       shutdown(bufferevent_getfd(c->socket.get()), SHUT_WR);
       return;
@@ -145,28 +158,29 @@
         c->socket.get(), nullptr,
         [](bufferevent* b, void*) { shutdown(bufferevent_getfd(b), SHUT_WR); }, &OnEvent, c);
   }
-  void Drop(Connection* c) {
+  // Closes and forgets the connection. It is freed later, since callers may still refer to it.
+  void Remove(Connection* c) {
     c->timer.Cancel();
     for (size_t i = 0; i < open_.size(); ++i) {
       if (open_[i].get() != c) continue;
-      std::shared_ptr<Connection> last(std::move(open_[i]));
+      std::shared_ptr<Connection> removed(std::move(open_[i]));
       open_.erase(open_.begin() + static_cast<long>(i));
-      bufferevent_setcb(last->socket.get(), nullptr, nullptr, nullptr, nullptr);
-      last->socket.reset();
-      loop_->Defer([last] {});
+      bufferevent_setcb(removed->socket.get(), nullptr, nullptr, nullptr, nullptr);
+      removed->socket.reset();
+      loop_->Defer([removed] {});
       return;
     }
   }
 
   void Accept(int fd) {
-    auto made = std::make_unique<Connection>();
-    Connection* c = made.get();
+    auto connection = std::make_unique<Connection>();
+    Connection* c = connection.get();
     c->self = this;
     c->number = ++connections;
-    transport::TuneSocket(fd, 10000);  // what is written goes out at once
+    transport::TuneSocket(fd, 10000);  // sends without delay (TCP_NODELAY)
     c->socket.reset(bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(c->socket.get(), &OnReadable, nullptr, &OnEvent, c);
-    open_.push_back(std::move(made));
+    open_.push_back(std::move(connection));
     switch (on_connection()) {
       case Deed::kResetFirst:
         return Reset(c);
@@ -174,7 +188,7 @@
         return StopAnswering(c);
       case Deed::kHalfCloseFirst:
         bufferevent_enable(c->socket.get(), EV_READ | EV_WRITE);
-        return EndSide(c);
+        return HalfClose(c);
       case Deed::kOtherFirst:
         Write(c, Answer(200, {"other"}, BodyOf("other")));
         break;
@@ -189,25 +203,25 @@
 
   static void OnEvent(bufferevent*, short what, void* arg) {
     auto* c = static_cast<Connection*>(arg);
-    if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c->self->Drop(c);
+    if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c->self->Remove(c);
   }
   static void OnReadable(bufferevent* b, void* arg) {
     auto* c = static_cast<Connection*>(arg);
     evbuffer* in = bufferevent_get_input(b);
-    if (c->dead) {
+    if (c->stopped) {
       evbuffer_drain(in, evbuffer_get_length(in));
       return;
     }
     http::Limits limits;
     auto progress = c->reader.Read(in, limits);
     if (progress == http::MessageReader::Progress::kMore) {
-      if (c->part_asked) return;
-      c->part_asked = true;
+      if (c->part_handled) return;
+      c->part_handled = true;
       switch (c->self->on_part()) {
         case Deed::kResetMiddle:
           return c->self->Reset(c);
         case Deed::kHalfCloseMiddle:
-          return c->self->EndSide(c);
+          return c->self->HalfClose(c);
         case Deed::kNoAnswerInTheMiddle:
           return c->self->StopAnswering(c);
         default:
@@ -217,17 +231,17 @@
     if (progress == http::MessageReader::Progress::kBad) return c->self->Reset(c);
     http::Message request = c->reader.Take();
     c->reader.Reset();
-    c->part_asked = false;
+    c->part_handled = false;
     c->self->Serve(c, request);
   }
 
   void Serve(Connection* c, const http::Message& request) {
-    const std::string* named = request.Find(kAttempt);
-    if (!named) {  // a health probe
+    const std::string* attempt_header = request.Find(kAttempt);
+    if (!attempt_header) {  // a health probe
       return Write(c, "HTTP/1.1 200 OK\r\nElderkeel-Server-Id: " + id_ +
                           "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     }
-    const std::string& attempt = *named;
+    const std::string& attempt = *attempt_header;
     const std::string* expected = request.Find("Elderkeel-Expected-Server");
     Play play = choose(request);
     Deed deed = play.deed;
@@ -241,15 +255,15 @@
     } else {
       arrivals.push_back(arrival);
     }
-    if (!c->with_next.empty()) Write(c, c->with_next);
-    c->with_next.clear();
+    if (!c->before_next_answer.empty()) Write(c, c->before_next_answer);
+    c->before_next_answer.clear();
 
     std::string body = request.method == "HEAD" ? "" : BodyOf(attempt);
     std::string own = Answer(play.status, {attempt}, body);
-    std::string before = c->before.empty() ? "other" : c->before;
-    std::string other = Answer(play.status, {before}, BodyOf(before));
+    std::string previous = c->previous_attempt.empty() ? "other" : c->previous_attempt;
+    std::string other = Answer(play.status, {previous}, BodyOf(previous));
     const std::string refused = "Elderkeel-Not-Executed: 1\r\n";
-    c->before = attempt;
+    c->previous_attempt = attempt;
     c->spoilt |= !misplaced && (deed == Deed::kTwice || deed == Deed::kPieces ||
                                 deed == Deed::kOtherThenOwn || deed == Deed::kExtra);
     if (misplaced) return Write(c, Answer(421, {attempt}, ""));
@@ -263,7 +277,7 @@
         Write(c, own);
         return c->timer.Start(loop_, 5, [this, c, own] { Write(c, own); });
       case Deed::kPieces:
-        c->with_next = other.substr(other.size() / 2);
+        c->before_next_answer = other.substr(other.size() / 2);
         return Write(c, own + other.substr(0, other.size() / 2));
       case Deed::kOtherThenOwn:
         return Write(c, other + own);
@@ -276,7 +290,7 @@
       case Deed::kNotExecuted:
         return Write(c, Answer(refusal, {attempt}, "", refused));
       case Deed::kOtherNotExecuted:
-        return Write(c, Answer(refusal, {before}, "", refused));
+        return Write(c, Answer(refusal, {previous}, "", refused));
       case Deed::kNoIdNotExecuted:
         return Write(c, Answer(refusal, {}, "", refused));
       case Deed::kGluedReason:
@@ -285,16 +299,16 @@
         return Write(c, "HTTP/1.1 421 X\r\nX-Cut: " + own);
       case Deed::kCutHead:
         Write(c, own.substr(0, 30));
-        return EndSide(c);
+        return HalfClose(c);
       case Deed::kCutBody:
         Write(c, own.substr(0, own.size() - 3));
-        return EndSide(c);
+        return HalfClose(c);
       case Deed::kExtra:
         return Write(c, own + "%%%% what is this\r\n\r\n");
       case Deed::kReset:
         return Reset(c);
       case Deed::kHalfClose:
-        return EndSide(c);
+        return HalfClose(c);
       case Deed::kNoAnswer:
         return StopAnswering(c);
       case Deed::kResetIdle:
@@ -317,7 +331,8 @@
   std::vector<std::unique_ptr<Connection>> open_;
 };
 
-// A client's connection to a proxy; requests may be sent before earlier ones are answered.
+// A client's connection to a proxy. Requests may be sent before earlier ones are answered. Used on
+// the event loop's thread.
 class Client {
  public:
   Client(base::Loop* loop, const base::Address& to) {
@@ -342,16 +357,17 @@
   }
   void Reset() {
     if (!socket_) return;
-    linger hard{1, 0};
-    setsockopt(bufferevent_getfd(socket_.get()), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    linger reset_on_close{1, 0};
+    setsockopt(bufferevent_getfd(socket_.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+               sizeof reset_on_close);
     bufferevent_setcb(socket_.get(), nullptr, nullptr, nullptr, nullptr);
     socket_.reset();
     closed = true;
   }
-  std::function<void()> on_change;
+  std::function<void()> on_change;  // called when bytes have arrived or the connection closed
   std::vector<http::Message> answers;
   bool closed = false;
-  bool no_answer = false;  // bytes came that are none in the protocol
+  bool no_answer = false;  // bytes arrived that are no valid answer
 
  private:
   static void OnReadable(bufferevent* b, void* arg) {
@@ -380,7 +396,8 @@
   http::MessageReader reader_{HTTP_RESPONSE};
 };
 
-// A request as a client sends it: GET what may be repeated, POST what may run once.
+// Returns a client's request: a GET if it is idempotent, otherwise a POST, which may run only once.
+// A GET has a body only if `body_bytes` is above 4.
 inline std::string RequestText(bool idempotent, const std::string& attempt, int remaining_ms,
                                size_t body_bytes = 4) {
   std::string head = std::string(idempotent ? "GET /get/" : "POST /post/") +
@@ -391,7 +408,8 @@
          std::string(body_bytes, 'b');
 }
 
-// Routes /get/ (idempotent) and /post/ (effectful) of h.example to service `s`.
+// Returns a configuration that routes /get/ (idempotent) and /post/ (effectful) of h.example to
+// service `s`.
 inline std::string ConfigurationText(int64_t timeout_ms, int64_t target_latency_ms,
                                      int64_t idle_ms) {
   auto route = [&](const std::string& label, const std::string& variant) {
