--- a/src/configuration/change.cc
+++ b/src/configuration/change.cc
@@ -5,7 +5,7 @@
 namespace elderkeel::configuration {
 
 Change::Identity Change::Identify() const {
-  std::array<uint8_t, 9> header{};  // the kind, and if_match with the low bytes first
+  std::array<uint8_t, 9> header{};  // whether it is a patch, then if_match in little-endian order
   header[0] = patch ? 1 : 0;
   for (size_t i = 0; i < 8; ++i) {
     header[i + 1] = static_cast<uint8_t>(static_cast<uint64_t>(if_match) >> (8 * i));
--- a/src/configuration/change.h
+++ b/src/configuration/change.h
@@ -7,14 +7,15 @@
 
 namespace elderkeel::configuration {
 
-// A change as the operator sent it: the whole of a configuration, or a patch. Part of the log, so
-// the order of its fields is a format.
+// A change to the configuration as the operator sent it: a full document, or a patch. It is stored
+// in the replicated log, so the order of its serialized fields is a storage format.
 struct Change {
   bool patch = false;
-  int64_t if_match = 0;  // the revision that it builds on; 0 for the first configuration
+  int64_t if_match = 0;  // If-Match: the revision that the change is based on; 0 for the first one
   std::string body;
 
-  // 128 bits of SHA-256 over all of it: whether two calls carry the same change.
+  // The first 128 bits of the SHA-256 digest of all fields. Two calls with equal identities are
+  // taken to carry the same change.
   using Identity = std::array<uint8_t, 16>;
   Identity Identify() const;
   bool operator==(const Change& other) const {
--- a/src/configuration/configuration_state.cc
+++ b/src/configuration/configuration_state.cc
@@ -9,7 +9,7 @@
 namespace elderkeel::configuration {
 namespace {
 
-// What a patch is applied to before there is any configuration.
+// The document that a patch is applied to before there is a configuration.
 constexpr const char* kEmptyDocument = R"({"revision":0,"route-list":[],"service-list":[]})";
 
 tl::unexpected<base::Verdict> Reject(int status, std::string reason) {
@@ -19,8 +19,11 @@
 
 }  // namespace
 
-// What `change` would put in force, or why it can't.
-tl::expected<ConfigurationState::Candidate, base::Verdict> ConfigurationState::Consider(
+// Returns what `change` would put in force, or the verdict that rejects it. A full document
+// that Evaluate() has just found valid is not validated again, and a patch that names only routes
+// and services is checked by itself. Everything else, and each rejection, goes through
+// PrepareFullCandidate().
+tl::expected<ConfigurationState::Candidate, base::Verdict> ConfigurationState::PrepareCandidate(
     const Change& change) const {
   if (change.if_match == revision_) {
     if (validated_ && validated_->change == change) {
@@ -34,18 +37,20 @@
       }
     }
   }
-  return ConsiderWhole(change);
+  return PrepareFullCandidate(change);
 }
 
-// Whatever is wrong is found in the same order here, whether the short way was tried before or not.
-tl::expected<ConfigurationState::Candidate, base::Verdict> ConfigurationState::ConsiderWhole(
+// Validates the full resulting document. All rejections come from here, so a change with several
+// faults is rejected for the same one whether or not the cheaper check of the patch was tried
+// first.
+tl::expected<ConfigurationState::Candidate, base::Verdict> ConfigurationState::PrepareFullCandidate(
     const Change& change) const {
   if (change.patch || change.if_match != revision_) {
-    base::Status readable = CheckReadable(change.body);
-    if (!readable) return Reject(readable.error());
+    base::Status parsed = CheckSyntax(change.body);
+    if (!parsed) return Reject(parsed.error());
   }
   if (change.if_match != revision_) {
-    return Reject(412, "version " + std::to_string(revision_) + " is current");
+    return Reject(412, "If-Match: revision " + std::to_string(revision_) + " is current");
   }
   Candidate candidate;
   if (change.patch) {
@@ -58,21 +63,21 @@
   }
   auto revision = Validate(candidate.text);
   if (!revision) {
-    // What can't be read at all is said so first.
-    base::Status readable = change.patch ? base::Status() : CheckReadable(change.body);
-    return Reject(readable ? revision.error() : readable.error());
+    // A syntax error is reported in preference to any other fault.
+    base::Status parsed = change.patch ? base::Status() : CheckSyntax(change.body);
+    return Reject(parsed ? revision.error() : parsed.error());
   }
   candidate.revision = *revision;
   if (candidate.revision <= revision_) {
-    return Reject(400, "revision: is not above " + std::to_string(revision_));
+    return Reject(400, "revision: must be greater than " + std::to_string(revision_));
   }
   return candidate;
 }
 
 base::Verdict ConfigurationState::CheckSize(size_t bytes) {
   if (bytes <= kMaxDocumentBytes) return {};
-  return {413, "the document has " + std::to_string(bytes) + " bytes, more than the " +
-                   std::to_string(kMaxDocumentBytes) + " that are taken"};
+  return {413, "the document has " + std::to_string(bytes) + " bytes, but the limit is " +
+                   std::to_string(kMaxDocumentBytes) + " bytes"};
 }
 
 bool ConfigurationState::WasApplied(const Change& change) const {
@@ -86,9 +91,9 @@
 base::Verdict ConfigurationState::CheckCandidateSize(const Candidate& candidate,
                                                      const Change& change) const {
   if (!candidate.patch) return CheckSize(candidate.text.size());
-  // Only near the bound must the document be written to know its size.
-  bool near = document_.MaxBytes() + change.body.size() > kMaxDocumentBytes;
-  if (!near) return {};
+  // The exact size requires serializing the document, so that is done only near the limit.
+  bool near_limit = document_.MaxBytes() + change.body.size() > kMaxDocumentBytes;
+  if (!near_limit) return {};
   auto patched = ApplyPatch(text(), change.body);
   return CheckSize(patched ? patched->size() : 0);
 }
@@ -97,12 +102,13 @@
   if (WasApplied(change)) return {200, ""};
   base::Verdict size = CheckSize(change.body.size());
   if (!size.may_propose()) return size;
-  auto candidate = Consider(change);
+  auto candidate = PrepareCandidate(change);
   if (!candidate) {
-    // No change on a version below 0 was ever applied.
-    bool forgotten = change.if_match >= 0 && change.if_match < known_from_;
-    if (candidate.error().status == 412 && forgotten) {
-      return {503, "so old a change may be one that was taken"};
+    // A 412 would be wrong for the repetition of a change that was applied and has since left
+    // applied_. No change with a negative If-Match is ever applied.
+    bool too_old = change.if_match >= 0 && change.if_match < oldest_known_if_match_;
+    if (candidate.error().status == 412 && too_old) {
+      return {503, "the change is too old to determine whether it was already applied"};
     }
     return candidate.error();
   }
@@ -114,7 +120,7 @@
 }
 
 bool ConfigurationState::Apply(const Change& change) {
-  auto candidate = Consider(change);
+  auto candidate = PrepareCandidate(change);
   if (!candidate) return false;
   base_ = change.patch ? revision_ : 0;
   if (candidate->patch) {
@@ -128,7 +134,7 @@
   applied_.push_back({change.if_match, change.Identify()});
   if (applied_.size() > kMaxApplied) {
     applied_.erase(applied_.begin());
-    known_from_ = applied_.front().if_match;
+    oldest_known_if_match_ = applied_.front().if_match;
   }
   return true;
 }
--- a/src/configuration/configuration_state.h
+++ b/src/configuration/configuration_state.h
@@ -15,47 +15,52 @@
 
 namespace elderkeel::configuration {
 
-// A change, and the document that it makes, are taken up to this size. What is taken is carried to
-// every controller and proxy, in one frame (transport::kMaxFrame) with room for what is added on
-// the way.
+// The maximum size of a change and of the resulting document, in bytes. An accepted document is
+// sent to every controller and proxy in one frame, so half of transport::kMaxFrame stays free for
+// what the messages add to it.
 constexpr size_t kMaxDocumentBytes = 4u << 20;
 static_assert(kMaxDocumentBytes <= transport::kMaxFrame / 2);
 
-// The accepted configuration and what led to it, as a state machine above the log: the same entries
-// give the same state on every controller. Each change is judged again when its entry is applied,
-// so of two that were built on one version only the first in the log takes effect.
+// The accepted configuration and the changes that led to it, as a deterministic state machine on
+// top of the replicated log: the same entries produce the same state on every controller. Each
+// change is validated again when its entry is applied, so of two changes that are based on one
+// revision only the first in the log takes effect.
 class ConfigurationState {
  public:
-  // So many changes are recognized when they are repeated, the newest; of older ones none is
-  // rejected as stale.
+  // The number of most recent changes whose repetition is recognized. A repetition of an older
+  // change can't be told from a stale one, so it is answered with 503 instead of 412.
   static constexpr size_t kMaxApplied = 4096;
 
-  // 413 with the figure for what is larger than is taken.
+  // Returns status 413, with the limit in the reason, if `bytes` exceeds kMaxDocumentBytes.
   static base::Verdict CheckSize(size_t bytes);
-  // Whether `change` may be proposed. What was committed is not rejected for its size any more.
+  // Returns whether `change` may be proposed, or the status to answer: 200 if it has already been
+  // applied, 400 if it is invalid, 412 if it is not based on the current revision, 413 if it or the
+  // resulting document is too large, 503 if it is too old to say. Sizes are checked only here, so
+  // Apply() rejects no committed change for its size.
   base::Verdict Evaluate(const Change& change) const;
-  // True if it took effect.
+  // Applies a committed change. Returns whether it took effect.
   bool Apply(const Change& change);
 
   int64_t revision() const { return revision_; }
-  // The revision that the newest change was built on; 0 if that change was a whole configuration.
+  // The revision that the newest change was based on; 0 if that change was a full document.
   int64_t base() const { return base_; }
   const std::string& text() const { return document_.text(); }
   const ParsedConfiguration& document() const { return document_; }
-  // The newest change as it was sent, if it was a patch; else empty, and `text` is what was sent.
+  // The newest change as it was sent, if it was a patch; else empty, and text() is what was sent.
   const std::string& patch() const { return patch_; }
   bool empty() const { return document_.empty(); }
 
   template <class Archive>
   void save(Archive& archive) const {
-    archive(kFormat, revision_, base_, document_, patch_, known_from_, applied_);
+    archive(kFormat, revision_, base_, document_, patch_, oldest_known_if_match_, applied_);
   }
-  // Also what was saved before identities were kept, when the revision stood first.
+  // Also reads the older format, which starts with the revision instead of kFormat and stores
+  // 64-bit digests of the applied changes instead of their identities.
   template <class Archive>
   void load(Archive& archive) {
     archive(revision_);
     if (revision_ == kFormat) {
-      archive(revision_, base_, document_, patch_, known_from_, applied_);
+      archive(revision_, base_, document_, patch_, oldest_known_if_match_, applied_);
       return;
     }
     Change newest;
@@ -64,13 +69,14 @@
     patch_ = newest.patch ? newest.body : "";
     applied_.clear();
     if (revision_ > 0) applied_.push_back({newest.if_match, newest.Identify()});
-    known_from_ = newest.if_match;
+    oldest_known_if_match_ = newest.if_match;
   }
 
  private:
-  static constexpr int64_t kFormat = -1;  // no revision is below 0
-  // A change that took effect. Revisions rise, so at most one change on each base ever does, and a
-  // rival is told from it by base before identities are compared.
+  // Distinguishes this format from the older one, which starts with a revision: none is negative.
+  static constexpr int64_t kFormat = -1;
+  // A change that took effect. Revisions only increase, so at most one change per base revision
+  // takes effect. `if_match` therefore finds the only entry whose identity needs comparing.
   struct AppliedChange {
     int64_t if_match = 0;
     Change::Identity identity{};
@@ -79,21 +85,22 @@
       archive(if_match, identity);
     }
   };
-  // What a change that may be proposed would put in force: a patch of the document, or another
-  // text.
+  // The result of a change that passed validation: a patch of the current document, or else the
+  // full text of the new document.
   struct Candidate {
     int64_t revision = 0;
     std::optional<ParsedPatch> patch;
     std::string text;
   };
-  // A whole configuration that was found valid for the revision in force, and the revision it
-  // names: applying it needs no second look. Follows from the rest, so it isn't part of the state.
+  // The last full document that was found valid on top of the current revision, and the revision
+  // that it names. Apply() doesn't validate the same change again. This is a cache, so it is not
+  // serialized.
   struct ValidatedChange {
     int64_t revision = 0;
     Change change;
   };
-  tl::expected<Candidate, base::Verdict> Consider(const Change& change) const;
-  tl::expected<Candidate, base::Verdict> ConsiderWhole(const Change& change) const;
+  tl::expected<Candidate, base::Verdict> PrepareCandidate(const Change& change) const;
+  tl::expected<Candidate, base::Verdict> PrepareFullCandidate(const Change& change) const;
   bool WasApplied(const Change& change) const;
   base::Verdict CheckCandidateSize(const Candidate& candidate, const Change& change) const;
 
@@ -101,9 +108,9 @@
   int64_t base_ = 0;
   ParsedConfiguration document_;
   std::string patch_;
-  int64_t known_from_ =
-      0;  // every applied change with this If-Match or a higher one is in applied_
-  std::vector<AppliedChange> applied_;  // the last changes that took effect, by rising If-Match
+  // Every applied change with this If-Match or a higher one is in applied_.
+  int64_t oldest_known_if_match_ = 0;
+  std::vector<AppliedChange> applied_;  // the last kMaxApplied changes, by ascending If-Match
   mutable std::optional<ValidatedChange> validated_;
 };
 
--- a/src/configuration/copy_on_write_map.h
+++ b/src/configuration/copy_on_write_map.h
@@ -7,8 +7,10 @@
 
 namespace elderkeel::configuration {
 
-// A map by name that is cheap to copy and change a little: copies share all shards but those that
-// one of them changes. Copies may be used by the thread that made them alone.
+// A map from strings to values that is cheap to copy and then modify slightly: copies share all
+// shards except those that one of them has modified since. Not thread-safe: all copies of a map
+// must be used on one thread, because MutableShard() relies on the reference counts of shared
+// shards.
 template <class T>
 class CopyOnWriteMap {
  public:
@@ -28,7 +30,8 @@
   static constexpr size_t kShards = 512;
 
   static size_t ShardOf(const std::string& key) {
-    // Not the low bits alone, by which the shard's own buckets are chosen.
+    // Doesn't use the low bits alone: the shard's own hash table chooses buckets by them, and would
+    // put all its keys into few buckets.
     return std::hash<std::string>()(key) / 7 % kShards;
   }
   Shard& MutableShard(const std::string& key) {
--- a/src/configuration/json.cc
+++ b/src/configuration/json.cc
@@ -13,7 +13,8 @@
                                  rapidjson::kParseValidateEncodingFlag |
                                  rapidjson::kParseFullPrecisionFlag;
 
-// Looked at before the text is parsed.
+// Returns whether `text` is nested deeper than kMaxJsonDepth. Scans the text before it is parsed
+// and skips brackets inside strings.
 bool IsTooDeep(std::string_view text) {
   int depth = 0;
   bool in_string = false;
@@ -36,17 +37,17 @@
   return false;
 }
 
-tl::unexpected<base::Error> Unreadable(const char* reason) {
+tl::unexpected<base::Error> ParseFailure(const char* reason) {
   return base::Failure(base::ErrorCode::kInvalidArgument, "configuration.parse", "", reason);
 }
 
 }  // namespace
 
 base::Status ParseObject(std::string_view text, rapidjson::Document* document) {
-  if (IsTooDeep(text)) return Unreadable("nested too deep");
+  if (IsTooDeep(text)) return ParseFailure("nested deeper than 32 levels");
   document->Parse<kParseFlags>(text.data(), text.size());
-  if (document->HasParseError()) return Unreadable("not JSON, or cut short");
-  if (!document->IsObject()) return Unreadable("not an object");
+  if (document->HasParseError()) return ParseFailure("not valid JSON, or truncated");
+  if (!document->IsObject()) return ParseFailure("not a JSON object");
   return {};
 }
 
@@ -64,9 +65,9 @@
   return text;
 }
 
-int64_t IntegerOr(const rapidjson::Value& object, const char* name, int64_t otherwise) {
+int64_t IntegerOr(const rapidjson::Value& object, const char* name, int64_t fallback) {
   auto member = object.FindMember(name);
-  if (member == object.MemberEnd() || !member->value.IsNumber()) return otherwise;
+  if (member == object.MemberEnd() || !member->value.IsNumber()) return fallback;
   const rapidjson::Value& value = member->value;
   return value.IsInt64() ? value.GetInt64() : static_cast<int64_t>(value.GetDouble());
 }
--- a/src/configuration/json.h
+++ b/src/configuration/json.h
@@ -8,23 +8,29 @@
 
 #include "base/error.h"
 
-// How this module reads and writes JSON; nobody else needs it.
+// JSON helpers of the configuration module; internal to it.
 namespace elderkeel::configuration {
 
-// Parses `text`, which must be a JSON object and not be nested deeper than kMaxJsonDepth: RapidJSON
-// walks values recursively. Error: kInvalidArgument, with the reason.
+// The maximum nesting of objects and arrays. RapidJSON writes and validates values recursively, so
+// deeper nesting could exhaust the stack. A reason in ParseObject() states the number.
 constexpr int kMaxJsonDepth = 32;
+
+// Parses `text` into `document`. Error: kInvalidArgument, with the reason, if `text` is not a JSON
+// object or is nested deeper than kMaxJsonDepth.
 base::Status ParseObject(std::string_view text, rapidjson::Document* document);
 
+// Serializes `value` without whitespace.
 std::string WriteJson(const rapidjson::Value& value);
 
-// ASCII letters only.
+// Converts ASCII letters to lower case and leaves all other bytes as they are.
 std::string ToLower(std::string text);
 
-// The whole number that a member of an object holds, or `otherwise` if there is none.
-int64_t IntegerOr(const rapidjson::Value& object, const char* name, int64_t otherwise);
+// Returns the member `name` of `object` as an integer, truncated towards zero, or `fallback` if
+// there is no such member or it is not a number.
+int64_t IntegerOr(const rapidjson::Value& object, const char* name, int64_t fallback);
 
-// The label of a route or a service; null if it has none.
+// Returns the label of a route or a service, or null if it has no label that is a string. The
+// result is valid as long as `item`.
 const char* LabelOf(const rapidjson::Value& item);
 
 }  // namespace elderkeel::configuration
--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -9,8 +9,8 @@
 namespace elderkeel::configuration {
 namespace {
 
-constexpr size_t kMaxCalls = 128;
-constexpr size_t kMaxCallBytes = 32u << 20;  // of bodies; a single one may be larger
+constexpr size_t kMaxCalls = 128;            // pending calls
+constexpr size_t kMaxCallBytes = 32u << 20;  // sum of the pending bodies; a lone call may exceed it
 constexpr const char* kRetryAfterS = "0.3";
 
 size_t BodyBytes(const OperatorCall& call) {
@@ -38,7 +38,7 @@
 }
 
 void OperatorApi::AnswerConfiguration(uint64_t ticket) {
-  if (state_->empty()) return AnswerStatus(ticket, 404, "no configuration yet");
+  if (state_->empty()) return AnswerStatus(ticket, 404, "no configuration has been committed yet");
   http::Message answer = JsonAnswer();
   answer.headers.push_back({"ETag", "\"" + std::to_string(state_->revision()) + "\""});
   answer.body = state_->text();
@@ -67,7 +67,7 @@
     AnswerStatus(ticket, 503, "no leader is known");
     return;
   }
-  http::Message answer = http::OwnAnswer(307, "the leader is elsewhere");
+  http::Message answer = http::OwnAnswer(307, "another controller is the leader");
   answer.headers.push_back({"Location", "http://" + *leader + target});
   answer_(ticket, answer);
 }
@@ -76,16 +76,16 @@
   auto call = ParseOperatorCall(request);
   if (!call) return AnswerStatus(ticket, call.error().status, call.error().reason);
   if (!log_->is_leader()) return RedirectToLeader(ticket, request.target);
-  if (calls_.size() >= kMaxCalls) return AnswerStatus(ticket, 503, "too many calls at once");
+  if (calls_.size() >= kMaxCalls) return AnswerStatus(ticket, 503, "too many pending calls");
   size_t own_bytes = BodyBytes(*call);
   size_t bytes = own_bytes;
   for (const auto& [token, other] : calls_) bytes += BodyBytes(other.call);
   if (bytes > kMaxCallBytes && bytes > own_bytes) {
-    return AnswerStatus(ticket, 503, "too many bytes at once");
+    return AnswerStatus(ticket, 503, "the bodies of the pending calls are too large in total");
   }
   PendingCall pending;
   pending.ticket = ticket;
-  pending.deadline = now + patience_;
+  pending.deadline = now + call_timeout_;
   if (const auto* drain = std::get_if<zone_drain::DrainOrder>(&*call)) {
     pending.drained = drained_zones_->IsDrained(drain->zone);
   }
@@ -98,7 +98,7 @@
   RequestRead(token);
 }
 
-// A leader that has not yet committed an entry of its own term asks again at the next tick.
+// A leader that has not yet committed an entry in its term can't confirm reads; Tick() retries.
 void OperatorApi::RequestRead(uint64_t token) {
   if (!log_->HasCommittedInTerm()) return;
   bool requested = log_->ConfirmRead(token);
@@ -128,11 +128,11 @@
   Serve(now);
 }
 
-// An order that is in force already needs no entry: it may be one that is sent again.
+// An order that is already in force, such as a repeated one, is answered without a new entry.
 base::Verdict OperatorApi::EvaluateDrain(const zone_drain::DrainOrder& order) const {
   bool drained = drained_zones_->IsDrained(order.zone);
   if (drained && order.drain) return {200, ""};
-  // A zone whose last server is gone can still be taken back.
+  // A drained zone can be restored even after its last server has disappeared.
   if (!drained && !log_->HasZone(order.zone)) return {404, "no such zone"};
   return {drained == order.drain ? 200 : 0, ""};
 }
@@ -186,12 +186,14 @@
     AnswerRollout(pending.ticket, read->service);
     return true;
   }
-  // One change at a time: the next one's verdict would rest on an entry that is not committed.
+  // One change at a time: the verdict of the next one would depend on an uncommitted entry.
   if (in_flight_) return false;
   base::Verdict verdict = Evaluate(pending.call);
-  if (verdict.may_propose() && now >= pending.deadline) verdict = {503, "no majority in time"};
+  if (verdict.may_propose() && now >= pending.deadline) {
+    verdict = {503, "no quorum confirmed the call in time"};
+  }
   if (verdict.may_propose() && IsSuperseded(pending)) {
-    verdict = {503, "another order came in between"};
+    verdict = {503, "superseded by another order for the same zone or service"};
   }
   if (verdict.may_propose()) {
     auto index = Propose(pending.call);
@@ -199,13 +201,13 @@
       in_flight_ = InFlight{*index, token};
       return false;
     }
-    verdict = {503, "the log takes nothing now"};
+    verdict = {503, "the log accepts no proposals at the moment"};
   }
   AnswerStatus(pending.ticket, verdict.status, verdict.reason);
   return true;
 }
 
-void OperatorApi::NoteDrains() {
+void OperatorApi::UpdateDrainStates() {
   for (auto& [token, pending] : calls_) {
     const auto* order = std::get_if<zone_drain::DrainOrder>(&pending.call);
     if (!order) continue;
@@ -216,7 +218,7 @@
 }
 
 void OperatorApi::OnApplied(base::Millis now, uint64_t index) {
-  NoteDrains();
+  UpdateDrainStates();
   if (!in_flight_ || index < in_flight_->index) return;
   uint64_t token = in_flight_->token;
   bool own_entry = index == in_flight_->index;
@@ -228,9 +230,11 @@
     const auto* drain = std::get_if<zone_drain::DrainOrder>(&pending.call);
     bool in_force = drain && drained_zones_->IsDrained(drain->zone) == drain->drain;
     base::Verdict verdict = in_force ? base::Verdict{200, ""} : Evaluate(pending.call);
-    bool clear = own_entry && !verdict.may_propose();
-    AnswerStatus(pending.ticket, clear ? verdict.status : 503,
-                 verdict.reason.empty() ? "the change was overtaken" : verdict.reason);
+    // The outcome is definite only if the call's own entry was applied; a later index may mean that
+    // another entry was committed in its place.
+    bool definite = own_entry && !verdict.may_propose();
+    AnswerStatus(pending.ticket, definite ? verdict.status : 503,
+                 verdict.reason.empty() ? "the change was superseded" : verdict.reason);
   }
   Serve(now);
 }
@@ -241,28 +245,28 @@
   in_flight_.reset();
   PendingCalls calls;
   calls.swap(calls_);
-  // What was proposed may still be committed by another leader: no clear answer can be given.
+  // Another leader may still commit the proposed entry, so its outcome is unknown here.
   for (const auto& [token, pending] : calls) {
     AnswerStatus(pending.ticket, 503, "leadership was lost");
   }
 }
 
 void OperatorApi::Tick(base::Millis now) {
-  std::vector<uint64_t> late;
+  std::vector<uint64_t> expired;
   for (const auto& [token, pending] : calls_) {
-    if (now >= pending.deadline) late.push_back(token);
+    if (now >= pending.deadline) expired.push_back(token);
   }
-  for (uint64_t token : late) {
+  for (uint64_t token : expired) {
     uint64_t ticket = calls_[token].ticket;
     calls_.erase(token);
-    AnswerStatus(ticket, 503, "no majority in time");
+    AnswerStatus(ticket, 503, "no quorum confirmed the call in time");
   }
   if (!log_->HasCommittedInTerm()) return;
-  std::vector<uint64_t> unread;
+  std::vector<uint64_t> unrequested;
   for (const auto& [token, pending] : calls_) {
-    if (!pending.read_requested) unread.push_back(token);
+    if (!pending.read_requested) unrequested.push_back(token);
   }
-  for (uint64_t token : unread) {
+  for (uint64_t token : unrequested) {
     if (calls_.count(token)) RequestRead(token);
   }
 }
--- a/src/configuration/operator_call.cc
+++ b/src/configuration/operator_call.cc
@@ -11,6 +11,8 @@
 namespace elderkeel::configuration {
 namespace {
 
+// The maximum size of the body of a roll-out order. A reason in ParseRolloutOrder() states the
+// number.
 constexpr size_t kMaxOrderBytes = 4096;
 
 bool StartsWith(std::string_view text, std::string_view prefix) {
@@ -21,7 +23,8 @@
   return tl::unexpected<base::Verdict>({status, std::move(reason)});
 }
 
-// A number as If-Match carries it, with or without quotes; -1 when it is none.
+// Parses the number in an If-Match header, with or without quotes. Returns -1 if there is no header
+// or it holds no number.
 int64_t ParseIfMatch(const std::string* header) {
   if (!header) return -1;
   std::string_view text = *header;
@@ -37,7 +40,7 @@
   change.patch = request.method == "PATCH";
   if (!change.patch && request.method != "PUT") return Reject(405, "GET, PUT, PATCH");
   change.if_match = ParseIfMatch(request.Find("If-Match"));
-  if (change.if_match < 0) return Reject(400, "If-Match: is missing or no number");
+  if (change.if_match < 0) return Reject(400, "If-Match: is missing or not a number");
   base::Verdict size = ConfigurationState::CheckSize(request.body.size());
   if (!size.may_propose()) return tl::unexpected<base::Verdict>(size);
   change.body = request.body;
@@ -69,11 +72,11 @@
 }
 
 tl::expected<OperatorCall, base::Verdict> ParseRolloutOrder(const std::string& body) {
-  if (body.size() > kMaxOrderBytes) return Reject(400, "the body is too large");
+  if (body.size() > kMaxOrderBytes) return Reject(400, "the body exceeds 4096 bytes");
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (document.HasParseError() || !document.IsObject()) {
-    return Reject(400, "the body is no JSON object");
+    return Reject(400, "the body is not a JSON object");
   }
   std::string fault = base::SchemaFault(RolloutOrderSchema(), document);
   if (!fault.empty()) return Reject(400, fault);
--- a/src/configuration/operator_call.h
+++ b/src/configuration/operator_call.h
@@ -11,10 +11,12 @@
 #include "rollout/rollouts.h"
 #include "zone_drain/drained_zones.h"
 
-// The calls of the operator's interface, read from HTTP requests.
+// The calls of the HTTP API for operators, and how they are parsed from requests.
 namespace elderkeel::configuration {
 
+// Reads the current configuration.
 struct ReadConfiguration {};
+// Reads the stage of the newest roll-out of a service.
 struct ReadRollout {
   std::string service;
 };
@@ -26,11 +28,11 @@
 constexpr std::string_view kRolloutsPath = "/elderkeel/rollouts";
 constexpr std::string_view kRolloutPrefix = "/elderkeel/rollouts/";  // a service follows
 
-// Whether the path belongs to the operator's interface.
+// Returns whether `path` belongs to the operator API.
 bool IsOperatorPath(std::string_view path);
 
-// The call that a request makes. REQUIRES: its path belongs to the interface. The error has the
-// status to answer: 400, 405 (its reason lists the methods allowed), 413.
+// Parses a request into a call. The error holds the status to answer: 400, 405 (its reason lists
+// the allowed methods) or 413. REQUIRES: IsOperatorPath(request.Path()).
 tl::expected<OperatorCall, base::Verdict> ParseOperatorCall(const http::Message& request);
 
 }  // namespace elderkeel::configuration
--- a/src/configuration/parsed_configuration.cc
+++ b/src/configuration/parsed_configuration.cc
@@ -15,17 +15,20 @@
 using rapidjson::Document;
 using rapidjson::Value;
 
-// Labels are compared up to the first NUL elsewhere; what holds one is left to that code.
-bool MayHoldNul(std::string_view json) { return json.find("\\u0000") != std::string_view::npos; }
+// Returns whether a string in `json` may contain a NUL. ApplyPatch() and validation treat labels as
+// C strings, which end at the first NUL, so such texts are left to them.
+bool MayContainNul(std::string_view json) { return json.find("\\u0000") != std::string_view::npos; }
 
-// Where requests meet a route; no other may have the same.
+// Returns the host in lower case and the path prefix of a route, which must be unique in a
+// document.
 std::string LocationOf(const Value& route) {
   std::string location = ToLower(route["host"].GetString());
   location += '\0';
   return location + route["path-prefix"].GetString();
 }
 
-// Adds what one list of a patch removes or puts. False if it is none.
+// Appends the changes in one list of a patch, which either removes or upserts. Returns false if the
+// list is neither of routes nor of services, or if an item is malformed.
 bool ParseChanges(const Value& name, const Value& list, bool remove, ParsedPatch* patch) {
   bool is_route = name == "route-list";
   bool known = is_route || name == "service-list";
@@ -39,10 +42,11 @@
   return true;
 }
 
-// As ApplyPatch reads it: what is removed goes before what is put, wherever it stands.
+// Parses a patch as ApplyPatch() does: removals come before upserts, whatever their order in the
+// text. Returns nullopt if ParsedPatch can't represent the patch.
 std::optional<ParsedPatch> ParsePatch(std::string_view text) {
   Document document;
-  if (MayHoldNul(text) || !ParseObject(text, &document)) return std::nullopt;
+  if (MayContainNul(text) || !ParseObject(text, &document)) return std::nullopt;
   ParsedPatch patch;
   auto revision = document.FindMember("revision");
   if (revision == document.MemberEnd() || !revision->value.IsInt64()) return std::nullopt;
@@ -58,8 +62,9 @@
   return patch;
 }
 
-// What each item that the patch touches is in the end, by label; empty for gone.
+// The JSON text of each changed route or service after the patch, by label; empty if it is removed.
 using FinalItems = std::map<std::string, const std::string*>;
+
 FinalItems FinalItemsOf(const ParsedPatch& patch, bool routes) {
   FinalItems items;
   for (const ParsedPatch::ItemChange& change : patch.changes) {
@@ -68,6 +73,7 @@
   return items;
 }
 
+// Appends the items that remain to `json`, after `name`, which opens the array.
 void AppendList(const char* name, const FinalItems& items, std::string* json) {
   *json += name;
   bool first = true;
@@ -80,8 +86,8 @@
   *json += ']';
 }
 
-// A document of the items that a patch puts. The form of an item rests on nothing but itself, so
-// those that are new are checked by themselves.
+// Returns a document that holds only the items that a patch upserts. Whether an item matches the
+// schema doesn't depend on other items, so the new ones can be checked separately.
 std::string DocumentOfChanges(const FinalItems& routes, const FinalItems& services) {
   std::string json = R"({"revision":1)";
   AppendList(R"(,"route-list":[)", routes, &json);
@@ -89,20 +95,21 @@
   return json + "}";
 }
 
-// How many routes use each service, more or less than before.
+// The change in the number of uses of each service by routes.
 using ServiceUses = std::unordered_map<std::string, int64_t>;
 
-// Whether all routes of the list find their location free: `taken` before, but for those `freed`.
-// Counts the services that they use.
-bool PlaceRoutes(const Value& routes, const std::unordered_set<std::string>& taken,
+// Returns whether each of `routes` has targets with a positive sum of weights and a location that
+// no other route has: neither another of `routes` nor one in `taken` that isn't in `freed`. Adds
+// the services that the routes use to `uses`.
+bool CheckRoutes(const Value& routes, const std::unordered_set<std::string>& taken,
                  const std::unordered_set<std::string>& freed, ServiceUses* uses) {
-  std::unordered_set<std::string> placed;
+  std::unordered_set<std::string> added;
   for (const Value& route : routes.GetArray()) {
     std::string location = LocationOf(route);
     if (taken.count(location) && !freed.count(location)) return false;
-    if (!placed.insert(location).second) return false;
+    if (!added.insert(location).second) return false;
     RouteTargets targets = TargetsOf(route);
-    if (targets.weight == 0) return false;
+    if (targets.weight_sum == 0) return false;
     for (const std::string& service : targets.services) ++(*uses)[service];
   }
   return true;
@@ -115,7 +122,7 @@
   return by_label.emplace(items.back().label, std::prev(items.end())).second;
 }
 
-void ParsedConfiguration::ItemList::Put(const std::string& label, std::string text) {
+void ParsedConfiguration::ItemList::Upsert(const std::string& label, std::string text) {
   auto found = by_label.find(label);
   if (found == by_label.end()) {
     Add(label, std::move(text));
@@ -128,7 +135,7 @@
   auto found = by_label.find(label);
   if (found == by_label.end()) return;
   auto item = found->second;
-  by_label.erase(found);  // its key is the item's
+  by_label.erase(found);  // before the item, since the key refers to its label
   items.erase(item);
 }
 
@@ -173,33 +180,33 @@
 
 void ParsedConfiguration::BuildIndex(Index* index) const {
   Document document;
-  if (MayHoldNul(text_) || !ParseObject(text_, &document)) return;
+  if (MayContainNul(text_) || !ParseObject(text_, &document)) return;
   bool revision = false, routes = false, services = false, unique = true;
   for (const auto& member : document.GetObject()) {
     std::string_view name(member.name.GetString(), member.name.GetStringLength());
-    DocumentMember kept{WriteJson(member.name) + ":", nullptr};
-    // Of members that stand twice the first counts.
+    DocumentMember indexed{WriteJson(member.name) + ":", nullptr};
+    // Of duplicate members the first counts, as in ApplyPatch().
     if (name == "route-list" && !routes) {
       routes = true;
-      kept.list = &index->routes;
+      indexed.list = &index->routes;
     } else if (name == "service-list" && !services) {
       services = true;
-      kept.list = &index->services;
+      indexed.list = &index->services;
     } else if (name == "revision" && !revision) {
       revision = true;
       index->revision_member = index->members.size();
     }
-    if (kept.list) {
+    if (indexed.list) {
       if (!member.value.IsArray()) return;
       for (const Value& item : member.value.GetArray()) {
         const char* label = LabelOf(item);
         if (!label) return;
-        unique &= kept.list->Add(label, WriteJson(item));
+        unique &= indexed.list->Add(label, WriteJson(item));
       }
     } else {
-      kept.text += WriteJson(member.value);
+      indexed.text += WriteJson(member.value);
     }
-    index->members.push_back(std::move(kept));
+    index->members.push_back(std::move(indexed));
   }
   index->covers_all = revision && routes && services && unique;
 }
@@ -218,9 +225,10 @@
   return labels;
 }
 
-// Adds what a route needs of the relations, or with `sign` -1 takes it away.
-void ParsedConfiguration::Relate(const std::string& route_text, int64_t sign,
-                                 Relations* relations) {
+// Adds the location and the service uses of a route to `relations` if `sign` is 1, and removes them
+// if it is -1.
+void ParsedConfiguration::UpdateRelations(const std::string& route_text, int64_t sign,
+                                          Relations* relations) {
   Document route;
   if (!ParseObject(route_text, &route)) return;
   if (sign > 0) {
@@ -237,7 +245,7 @@
   Index& index = EnsureIndex();
   if (!index.relations) {
     Relations& relations = index.relations.emplace();
-    for (const Item& item : index.routes.items) Relate(item.text, 1, &relations);
+    for (const Item& item : index.routes.items) UpdateRelations(item.text, 1, &relations);
   }
   return *index.relations;
 }
@@ -247,14 +255,15 @@
   auto patch = ParsePatch(text);
   if (!patch || patch->revision < 1) return std::nullopt;
   std::string changed = DocumentOfChanges(FinalItemsOf(*patch, true), FinalItemsOf(*patch, false));
-  if (!KeepsRelations(*patch, changed)) return std::nullopt;
+  if (!ResultIsValid(*patch, changed)) return std::nullopt;
   return patch;
 }
 
-// Whether the document that a patch leads to is valid: the items that it puts have the right form,
-// no two routes have the same location, and every service that a route names is listed.
-bool ParsedConfiguration::KeepsRelations(const ParsedPatch& patch,
-                                         const std::string& changed_items) const {
+// Returns whether the document after the patch is valid: the upserted items match the schema, no
+// two routes have the same location, and every service that a route names is listed.
+// `changed_items` is the document that DocumentOfChanges() returns for the patch.
+bool ParsedConfiguration::ResultIsValid(const ParsedPatch& patch,
+                                        const std::string& changed_items) const {
   Document changed;
   if (!ParseObject(changed_items, &changed) || !MatchesSchema(changed)) return false;
   const Index& index = EnsureIndex();
@@ -262,7 +271,7 @@
   FinalItems routes = FinalItemsOf(patch, true);
   FinalItems services = FinalItemsOf(patch, false);
 
-  std::unordered_set<std::string> freed;  // locations
+  std::unordered_set<std::string> freed;  // locations that changed or removed routes had before
   ServiceUses uses;
   for (const auto& [label, item] : routes) {
     const Item* before = index.routes.Find(label);
@@ -272,17 +281,17 @@
     freed.insert(LocationOf(route));
     for (const std::string& service : TargetsOf(route).services) --uses[service];
   }
-  if (!PlaceRoutes(changed["route-list"], relations.locations, freed, &uses)) return false;
+  if (!CheckRoutes(changed["route-list"], relations.locations, freed, &uses)) return false;
   auto is_listed = [&](const std::string& service) {
     auto touched = services.find(service);
     if (touched != services.end()) return !touched->second->empty();
     return index.services.Find(service) != nullptr;
   };
-  // Services of the routes that changed, and those that are removed.
+  // Adds the changed and removed services to those that the changed routes use.
   for (const auto& [label, item] : services) uses.emplace(label, 0);
-  for (const auto& [service, more] : uses) {
+  for (const auto& [service, delta] : uses) {
     auto before = relations.service_uses.find(service);
-    int64_t after = more + (before == relations.service_uses.end() ? 0 : before->second);
+    int64_t after = delta + (before == relations.service_uses.end() ? 0 : before->second);
     if (after > 0 && !is_listed(service)) return false;
   }
   return true;
@@ -293,24 +302,25 @@
   constexpr size_t kMaxRevisionDigits = 20;
   max_bytes_ = MaxBytes() + kMaxRevisionDigits;
   for (const ParsedPatch::ItemChange& change : patch.changes) max_bytes_ += change.item.size() + 1;
-  // All that leave their location do so before any takes one.
+  // All changed routes release their old locations before any takes its new one, since two routes
+  // may swap locations.
   std::unordered_set<std::string> touched;
   for (const ParsedPatch::ItemChange& change : patch.changes) {
     if (!change.is_route || !index.relations || !touched.insert(change.label).second) continue;
     const Item* before = index.routes.Find(change.label);
-    if (before) Relate(before->text, -1, &*index.relations);
+    if (before) UpdateRelations(before->text, -1, &*index.relations);
   }
   for (const ParsedPatch::ItemChange& change : patch.changes) {
     ItemList& list = change.is_route ? index.routes : index.services;
     if (change.item.empty()) {
       list.Remove(change.label);
     } else {
-      list.Put(change.label, change.item);
+      list.Upsert(change.label, change.item);
     }
   }
   for (const std::string& label : touched) {
     const Item* after = index.routes.Find(label);
-    if (after) Relate(after->text, 1, &*index.relations);
+    if (after) UpdateRelations(after->text, 1, &*index.relations);
   }
   index.members[index.revision_member].text = "\"revision\":" + std::to_string(patch.revision);
   std::string().swap(text_);
--- a/src/configuration/parsed_configuration.h
+++ b/src/configuration/parsed_configuration.h
@@ -15,27 +15,31 @@
 
 namespace elderkeel::configuration {
 
-// What a patch says, as far as it names routes and services alone.
+// The parsed form of a patch that changes only the revision, routes and services.
 struct ParsedPatch {
+  // The upsert or removal of one route or service.
   struct ItemChange {
-    bool is_route = true;  // or a service
+    bool is_route = true;  // false: a service
     std::string label;
-    std::string item;  // its new JSON text; empty to remove it
+    std::string item;  // the new JSON text; empty for a removal
   };
   int64_t revision = 0;
-  std::vector<ItemChange> changes;  // in order
+  std::vector<ItemChange> changes;  // in the order in which they apply
 };
 
-// An accepted configuration, its routes and services found by their labels, so that a patch costs
-// what the patch holds and not what the document holds. Its text is what was sent, or what
-// ApplyPatch would have made of it, byte for byte. The index is made when it is first needed; a
-// document or a patch that it does not cover (other lists than routes and services, labels that
-// aren't unique) goes through ApplyPatch as a whole. Not to be used by two threads at once, not
-// even to read.
+// An accepted configuration document with an index of its routes and services by label, so that the
+// cost of a patch depends on the size of the patch and not of the document. Controllers hold the
+// replicated configuration in it, and the dissemination of configurations holds its copy.
+//
+// The text is byte for byte what was sent, or what ApplyPatch() would have returned. The index is
+// built when it is first needed. A document that the index doesn't cover (labels that aren't
+// unique) and a patch that ParsedPatch can't represent (lists other than routes and services) go
+// through ApplyPatch() and a full parse. Not thread-safe, not even for const calls, since these
+// fill caches.
 class ParsedConfiguration {
  public:
   ParsedConfiguration() = default;
-  // `text` is a valid document, or empty for none.
+  // REQUIRES: `text` is a valid document, or empty for no configuration.
   explicit ParsedConfiguration(std::string text) : text_(std::move(text)) {}
   ParsedConfiguration(const ParsedConfiguration& other) : text_(other.text()) {}
   ParsedConfiguration(ParsedConfiguration&&) = default;
@@ -47,22 +51,24 @@
   }
 
   bool empty() const { return text_.empty() && !(index_ && index_->covers_all); }
-  // Written anew after a patch, when it is next asked for.
+  // Returns the document. After a patch the first call serializes it anew.
   const std::string& text() const;
-  // An upper bound of the text's size, without writing it.
+  // Returns an upper bound of the size of text() in bytes, without serializing the document.
   size_t MaxBytes() const { return text_.empty() ? max_bytes_ : text_.size(); }
   bool HasService(const std::string& label) const;
+  // Returns the labels of all routes, in the order of the document.
   std::vector<std::string> RouteLabels() const;
 
-  // The patch, if it leads from this valid document to a valid one; none if it does not, or if only
-  // the whole document can tell.
+  // Returns the parsed patch if applying it results in a valid document. Returns nullopt if it
+  // doesn't or if that can't be determined without validating the full document.
   std::optional<ParsedPatch> CheckPatch(std::string_view patch) const;
-  // REQUIRES: CheckPatch gave it for this document as it is.
+  // REQUIRES: CheckPatch() returned `patch` for the current state of this document.
   void Apply(const ParsedPatch& patch);
-  // Applies a patch that was checked elsewhere. Error: kInvalidArgument.
+  // Applies a patch that a controller has already validated. Error: kInvalidArgument if the patch
+  // is malformed.
   base::Status ApplyUnchecked(std::string_view patch);
 
-  // As its text alone.
+  // Serialized as the text only.
   template <class Archive>
   void save(Archive& archive) const {
     archive(text());
@@ -75,47 +81,52 @@
   }
 
  private:
+  // One route or service.
   struct Item {
     std::string label;
-    std::string text;
+    std::string text;  // JSON
   };
   // Routes or services, in the order of the document.
   struct ItemList {
     std::list<Item> items;
-    std::unordered_map<std::string_view, std::list<Item>::iterator> by_label;  // keys: the items'
+    // The keys refer to the labels of `items`.
+    std::unordered_map<std::string_view, std::list<Item>::iterator> by_label;
 
-    // False if the label is there already.
+    // Appends an item. Returns false if the label exists already; the item is still appended then.
     bool Add(std::string label, std::string text);
-    void Put(const std::string& label, std::string text);
+    // Replaces the text of the item with this label, or appends a new item.
+    void Upsert(const std::string& label, std::string text);
     void Remove(const std::string& label);
     const Item* Find(const std::string& label) const;
   };
-  // One member of the document: its text with the name, and its list if it is one of the two.
+  // One member of the document. `text` holds the name, the colon and the value; for the route list
+  // and the service list the value is in `list` instead.
   struct DocumentMember {
     std::string text;
     ItemList* list = nullptr;
   };
-  // Where routes stand and how often routes name each service; for checks alone.
+  // The locations of all routes, and how often routes name each service. Used to check patches;
+  // built when the first one is checked.
   struct Relations {
-    std::unordered_set<std::string> locations;
-    std::unordered_map<std::string, int64_t> service_uses;
+    std::unordered_set<std::string> locations;              // host, NUL, path prefix
+    std::unordered_map<std::string, int64_t> service_uses;  // by label of the service
   };
   struct Index {
-    bool covers_all = false;  // false: patches go through the whole document
+    bool covers_all = false;  // false: patches require a full parse, and the rest is not used
     std::vector<DocumentMember> members;
-    size_t revision_member = 0;  // in members
+    size_t revision_member = 0;  // position in `members`
     ItemList routes, services;
     std::optional<Relations> relations;
   };
   Index& EnsureIndex() const;
   void BuildIndex(Index* index) const;
   Relations& EnsureRelations() const;
-  bool KeepsRelations(const ParsedPatch& patch, const std::string& changed_items) const;
-  static void Relate(const std::string& route_text, int64_t sign, Relations* relations);
+  bool ResultIsValid(const ParsedPatch& patch, const std::string& changed_items) const;
+  static void UpdateRelations(const std::string& route_text, int64_t sign, Relations* relations);
 
-  mutable std::string text_;  // empty if it must be written from the index
+  mutable std::string text_;  // empty if it must be serialized from the index
   mutable std::unique_ptr<Index> index_;
-  size_t max_bytes_ = 0;  // of the text while it isn't written
+  size_t max_bytes_ = 0;  // upper bound of the text's size; used while text_ is empty
 };
 
 }  // namespace elderkeel::configuration
--- a/src/configuration/patch.cc
+++ b/src/configuration/patch.cc
@@ -21,7 +21,7 @@
 base::Status SetRevision(const Document& patch, Document* document) {
   auto revision = patch.FindMember("revision");
   if (revision == patch.MemberEnd() || !revision->value.IsInt64()) {
-    return Invalid("revision: is missing or no whole number");
+    return Invalid("revision: is missing or not an integer");
   }
   if (!document->HasMember("revision")) {
     document->AddMember("revision", 0, document->GetAllocator());
@@ -43,12 +43,12 @@
 base::Status Remove(const Document& patch, Document* document) {
   auto remove = patch.FindMember("remove");
   if (remove == patch.MemberEnd()) return {};
-  if (!remove->value.IsObject()) return Invalid("remove: is no object");
+  if (!remove->value.IsObject()) return Invalid("remove: is not an object");
   for (const auto& member : remove->value.GetObject()) {
-    if (!member.value.IsArray()) return Invalid("remove: holds something that is no list");
+    if (!member.value.IsArray()) return Invalid("remove: holds a member that is not an array");
     std::set<std::string> labels;
     for (const Value& label : member.value.GetArray()) {
-      if (!label.IsString()) return Invalid("remove: holds something that is no name");
+      if (!label.IsString()) return Invalid("remove: holds a label that is not a string");
       labels.insert(label.GetString());
     }
     auto list = document->FindMember(member.name);
@@ -58,7 +58,7 @@
   return {};
 }
 
-// Puts each item in the place of the one with its label, or at the end.
+// Replaces the item that has the same label, or appends the item if there is none.
 base::Status UpsertItems(const Value& items, Value* list, Allocator* allocator) {
   std::unordered_map<std::string, rapidjson::SizeType> positions;  // by label
   for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
@@ -81,18 +81,18 @@
 base::Status Upsert(const Document& patch, Document* document) {
   auto upsert = patch.FindMember("upsert");
   if (upsert == patch.MemberEnd()) return {};
-  if (!upsert->value.IsObject()) return Invalid("upsert: is no object");
+  if (!upsert->value.IsObject()) return Invalid("upsert: is not an object");
   Allocator& allocator = document->GetAllocator();
   for (const auto& member : upsert->value.GetObject()) {
-    if (!member.value.IsArray()) return Invalid("upsert: holds something that is no list");
+    if (!member.value.IsArray()) return Invalid("upsert: holds a member that is not an array");
     auto list = document->FindMember(member.name);
     if (list == document->MemberEnd()) {
       document->AddMember(Value(member.name, allocator), Value(rapidjson::kArrayType), allocator);
       list = document->FindMember(member.name);
     }
-    if (!list->value.IsArray()) return Invalid("upsert: names something that is no list");
-    base::Status put = UpsertItems(member.value, &list->value, &allocator);
-    if (!put) return put;
+    if (!list->value.IsArray()) return Invalid("upsert: names a member that is not an array");
+    base::Status upserted = UpsertItems(member.value, &list->value, &allocator);
+    if (!upserted) return upserted;
   }
   return {};
 }
@@ -102,7 +102,7 @@
 base::Result<std::string> ApplyPatch(std::string_view base, std::string_view patch) {
   Document document, changes;
   if (!ParseObject(base, &document) || !ParseObject(patch, &changes)) {
-    return Invalid("can't be read whole");
+    return Invalid("the document or the patch is not a JSON object, or is nested too deep");
   }
   for (auto step : {SetRevision, Remove, Upsert}) {
     base::Status done = step(changes, &document);
--- a/src/configuration/patch.h
+++ b/src/configuration/patch.h
@@ -7,9 +7,9 @@
 
 namespace elderkeel::configuration {
 
-// The document that a PATCH makes of `base`; both are JSON texts. What is removed goes before what
-// is put. Errors: kInvalidArgument, with the reason that the operator is answered. The result need
-// not be a valid configuration.
+// Returns the document that results from applying `patch` to `base`; both are JSON texts. Removals
+// are applied before upserts. The result is not checked to be a valid configuration. Error:
+// kInvalidArgument, with a reason that is sent to the operator.
 base::Result<std::string> ApplyPatch(std::string_view base, std::string_view patch);
 
 }  // namespace elderkeel::configuration
--- a/src/configuration/replicated_log.h
+++ b/src/configuration/replicated_log.h
@@ -10,27 +10,31 @@
 
 namespace elderkeel::configuration {
 
-// What the operator's interface needs of the log, and of what is known beside it.
+// What OperatorApi requires of the controller: the replicated log, and which zones and services
+// exist. Implemented by the controller; called on its event loop.
 class ReplicatedLog {
  public:
   virtual ~ReplicatedLog() = default;
-  // Leads, and has committed an entry of its own term.
+  // Returns whether this controller leads and has committed an entry in its term.
   virtual bool HasCommittedInTerm() const = 0;
   virtual bool is_leader() const = 0;
   virtual uint64_t term() const = 0;
-  // Address and port where the operator reaches the leader, if another leads.
+  // Returns the address and port of the leader's operator API if another controller leads; nullopt
+  // or empty if none is known.
   virtual std::optional<std::string> leader_control() const = 0;
-  // Confirms with a majority that this still leads; OnReadFinished(token) follows, once. False if
-  // it does not lead or has not committed an entry in its term: ask again.
+  // Starts to confirm with a quorum that this controller still leads. If it returns true,
+  // OperatorApi::OnReadFinished() is called once with `token`, which may happen before this
+  // returns. Returns false if this controller doesn't lead or has not committed an entry in its
+  // term: the caller retries later.
   virtual bool ConfirmRead(uint64_t token) = 0;
-  // The index of the entry; OnApplied(index) follows if it is committed. None if the log takes
-  // nothing now.
+  // Proposes an entry and returns its index; OperatorApi::OnApplied() is called with it if the
+  // entry is committed, after it was applied. Returns nullopt if the log accepts no proposals now.
   virtual std::optional<uint64_t> Propose(const Change& change) = 0;
   virtual std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) = 0;
   virtual std::optional<uint64_t> Propose(const rollout::RolloutOrder& order) = 0;
-  // Whether there is such a zone.
+  // Returns whether the zone exists.
   virtual bool HasZone(const std::string& zone) const = 0;
-  // Whether the newest configuration has such a service.
+  // Returns whether the newest configuration lists the service.
   virtual bool HasService(const std::string& service) const = 0;
 };
 
--- a/src/configuration/routing_table.cc
+++ b/src/configuration/routing_table.cc
@@ -13,12 +13,13 @@
 using rapidjson::Document;
 using rapidjson::Value;
 
-// What a configuration that leaves it out means.
+// Defaults for members that the configuration omits.
 constexpr int64_t kDefaultMaxConns = 64;
 constexpr int64_t kDefaultTimeoutMs = 1000;
 constexpr int64_t kDefaultHeaderBytes = 16384;
 constexpr int64_t kDefaultBodyBytes = 64 << 20;
 
+// Returns the key of a route in by_location_.
 std::string LocationOf(const Route& route) {
   std::string location = route.host;
   location += '\0';
@@ -44,7 +45,7 @@
   return limits;
 }
 
-// Calls `use` with each item of `patch`.`part`.`list`, if there are any.
+// Calls `use` with each item of the array `list` in the member `part` of `patch`, if there are any.
 template <class Use>
 void ForEachItem(const Document& patch, const char* part, const char* list, Use use) {
   auto lists = patch.FindMember(part);
@@ -62,7 +63,8 @@
   location += '\0';
   size_t prefix = location.size();
   location += path;
-  // A prefix ends with a slash, so only the cuts behind slashes can match; the longest first.
+  // A prefix ends with a slash, so only parts of the path that end with a slash can match. They are
+  // tried from the longest to the shortest.
   while (location.size() > prefix) {
     size_t slash = location.rfind('/');
     if (slash == std::string::npos || slash < prefix) return nullptr;
@@ -83,7 +85,8 @@
   return route.targets.back().service;
 }
 
-// Makes routes and services of their JSON, which is valid.
+// Adds routes and services to a table and removes them. REQUIRES: the JSON values passed are items
+// of a valid configuration.
 class RoutingTable::Builder {
  public:
   Builder(RoutingTable* table, base::Names* names, base::Names* regions)
@@ -181,15 +184,16 @@
               [&](const Value& label) { builder.RemoveService(label.GetString()); });
   ForEachItem(changes, "upsert", "service-list",
               [&](const Value& service) { builder.AddService(service); });
-  // All that leave their location do so before any takes one; of what is put twice the last counts.
-  std::unordered_map<std::string, const Value*> last;
+  // All changed routes release their old locations before any takes its new one, since two routes
+  // may swap locations. Of a route that is upserted twice the last value counts.
+  std::unordered_map<std::string, const Value*> final_routes;
   ForEachItem(changes, "remove", "route-list",
               [&](const Value& label) { builder.RemoveRoute(label.GetString()); });
   ForEachItem(changes, "upsert", "route-list", [&](const Value& route) {
     builder.RemoveRoute(route["label"].GetString());
-    last[route["label"].GetString()] = &route;
+    final_routes[route["label"].GetString()] = &route;
   });
-  for (const auto& [label, route] : last) builder.AddRoute(*route);
+  for (const auto& [label, route] : final_routes) builder.AddRoute(*route);
   return table;
 }
 
--- a/src/configuration/validation.cc
+++ b/src/configuration/validation.cc
@@ -14,6 +14,7 @@
 using rapidjson::Document;
 using rapidjson::Value;
 
+// The JSON schema of configurations.
 const Document& Schema() {
   static const Document kSchema = [] {
     Document document;
@@ -77,31 +78,32 @@
   std::string label = route["label"].GetString();
   RouteTargets targets = TargetsOf(route);
   if (targets.services.empty()) {
-    return Invalid("route " + label + ": needs target or weighted-targets");
+    return Invalid("route " + label + ": needs exactly one of target and weighted-targets");
   }
   for (const std::string& service : targets.services) {
     if (services.count(service)) continue;
     return Invalid(
         std::string("route ").append(label).append(": unknown service ").append(service));
   }
-  if (targets.weight == 0) return Invalid("route " + label + ": weights add up to 0");
+  if (targets.weight_sum == 0) return Invalid("route " + label + ": weights add up to 0");
   return {};
 }
 
-// How the items of a document go together. REQUIRES: it matches the schema.
+// Checks that the labels and locations in a document are unique and that the targets of its routes
+// exist. REQUIRES: the document matches the schema.
 base::Status CrossCheck(const Document& document) {
   std::set<std::string> services;
   for (const Value& service : document["service-list"].GetArray()) {
     std::string label = service["label"].GetString();
     if (!services.insert(label).second) {
-      return Invalid("service-list: label stands twice: " + label);
+      return Invalid("service-list: duplicate label: " + label);
     }
   }
   std::set<std::string> labels;
-  std::set<std::pair<std::string, std::string>> locations;  // host, prefix
+  std::set<std::pair<std::string, std::string>> locations;  // host in lower case, path prefix
   for (const Value& route : document["route-list"].GetArray()) {
     std::string label = route["label"].GetString();
-    if (!labels.insert(label).second) return Invalid("route-list: label stands twice: " + label);
+    if (!labels.insert(label).second) return Invalid("route-list: duplicate label: " + label);
     std::string host = ToLower(route["host"].GetString());
     if (!locations.insert({host, route["path-prefix"].GetString()}).second) {
       return Invalid("route " + label + ": another route has the same host and prefix");
@@ -114,14 +116,14 @@
 
 }  // namespace
 
-base::Status CheckReadable(std::string_view text) {
+base::Status CheckSyntax(std::string_view text) {
   Document document;
   return ParseObject(text, &document);
 }
 
 base::Result<int64_t> Validate(std::string_view text) {
   Document document;
-  if (!ParseObject(text, &document)) return Invalid("can't be read whole");
+  if (!ParseObject(text, &document)) return Invalid("not a JSON object, or nested too deep");
   std::string fault = base::SchemaFault(Schema(), document);
   if (!fault.empty()) return Invalid(fault);
   base::Status checked = CrossCheck(document);
@@ -143,7 +145,7 @@
   if (single) return {{route["target"].GetString()}, 1};
   for (const Value& target : route["weighted-targets"].GetArray()) {
     targets.services.emplace_back(target["target"].GetString());
-    targets.weight += target["weight"].GetInt64();
+    targets.weight_sum += target["weight"].GetInt64();
   }
   return targets;
 }
--- a/tests/configuration/parsed_configuration_test.cc
+++ b/tests/configuration/parsed_configuration_test.cc
@@ -14,15 +14,15 @@
 namespace elderkeel::configuration {
 namespace {
 
-// The configuration as it was when every change went through the whole document: what a change
-// gives, and why it is refused, must be the same on either way.
+// A reference implementation that validates the full document for every change. ConfigurationState
+// must produce the same documents and the same reasons for rejections.
 class FullConfiguration {
  public:
   base::Verdict Evaluate(const Change& change, std::string* text) const {
-    base::Status readable = CheckReadable(change.body);
-    if (!readable) return {400, readable.error().reason};
+    base::Status parsed = CheckSyntax(change.body);
+    if (!parsed) return {400, parsed.error().reason};
     if (change.if_match != revision_) {
-      return {412, "version " + std::to_string(revision_) + " is current"};
+      return {412, "If-Match: revision " + std::to_string(revision_) + " is current"};
     }
     if (change.patch) {
       auto patched =
@@ -36,7 +36,7 @@
     auto valid = Validate(*text);
     if (!valid) return {400, valid.error().reason};
     if (RevisionOf(*text) <= revision_) {
-      return {400, "revision: is not above " + std::to_string(revision_)};
+      return {400, "revision: must be greater than " + std::to_string(revision_)};
     }
     return {0, ""};
   }
@@ -52,10 +52,11 @@
   std::string text_;
 };
 
-// Writes changes of all kinds, good ones mostly; few names, so that they meet.
-class Writer {
+// Generates random changes of all kinds, most of them valid. It uses few labels, so that changes
+// affect the same items.
+class ChangeGenerator {
  public:
-  explicit Writer(uint64_t seed) : random_(seed) {}
+  explicit ChangeGenerator(uint64_t seed) : random_(seed) {}
 
   bool OneIn(uint64_t n) { return random_.Below(n) == 0; }
 
@@ -70,7 +71,8 @@
     if (OneIn(60)) return Pick({R"(r\u0000x)", R"(r\"q\\)", R"(\u0072\u0031)", "é"});
     return "r" + std::to_string(random_.Below(24));
   }
-  // Members that nobody knows are kept as they are; numbers and strings of every form.
+  // Members that the gateway doesn't interpret, which must be preserved: numbers and strings of
+  // many forms.
   std::string Unknown() {
     return Pick({R"(,"note":"kept")", R"(,"x":[1.0,-0.0,1e3,0.1])",
                  R"(,"x":{"y":[null,true,{"z":12345678901234567890123}]})",
@@ -101,12 +103,13 @@
     return R"({"label":")" + label + R"(","max-conns":)" + (OneIn(40) ? "0" : "8") + Unknown() +
            "}";
   }
-  std::string Items(bool routes, size_t most, bool apart) {
+  // Returns at most `most` items, with distinct labels if `distinct`.
+  std::string Items(bool routes, size_t most, bool distinct) {
     std::string items;
     size_t count = random_.Below(most + 1);
     for (size_t i = 0; i < count; ++i) {
       std::string label = routes ? Label() : Service();
-      if (apart) label = (routes ? "r" : "s") + std::to_string(i);
+      if (distinct) label = (routes ? "r" : "s") + std::to_string(i);
       items += (i ? "," : "") + (routes ? Route(label) : ServiceItem(label));
     }
     return items;
@@ -147,7 +150,8 @@
     };
     if (OneIn(4)) text += remove();
     if (!OneIn(4)) text += upsert();
-    if (OneIn(4)) text += remove();  // stands behind, and yet goes first; or stands twice
+    // Written after the upserts, but applied before them; or a duplicate member.
+    if (OneIn(4)) text += remove();
     return text + (OneIn(80) ? "" : "}");
   }
 
@@ -155,8 +159,8 @@
   base::Random random_;
 };
 
-// All that a table tells of the places that the writer writes, and of every service.
-std::string TableDescribes(const RoutingTable& table, const base::Names& names) {
+// Describes the routes of a table at all locations that ChangeGenerator uses, and all its services.
+std::string DescribeTable(const RoutingTable& table, const base::Names& names) {
   std::string text = std::to_string(table.revision());
   for (int place = 0; place < 60; ++place) {
     for (const char* host : {"h", "a.b"}) {
@@ -179,30 +183,34 @@
   return text;
 }
 
-TEST(ParsedConfiguration, GivesTheTextAndVerdictsOfTheFullParse) {
+// Guards against controllers and proxies with different documents: checking and applying a patch by
+// the index must give the same text, verdicts and routing table as parsing the full document.
+TEST(ParsedConfiguration, TextAndVerdictsEqualThoseOfTheFullParse) {
   int by_parsed_patch = 0, full_parse = 0;
   std::set<std::string> reasons;
   for (uint64_t seed = 1; seed <= 24; ++seed) {
-    Writer writer(seed);
+    ChangeGenerator generator(seed);
     FullConfiguration full;
     ConfigurationState state;
     base::Names names, regions;
     std::shared_ptr<const RoutingTable> table;
-    ParsedConfiguration follower;  // as a proxy's: takes what was accepted without a check
+    ParsedConfiguration follower;  // as in a proxy: applies accepted changes without a check
     for (int step = 0; step < 60; ++step) {
-      bool patch = full.revision() > 0 ? !writer.OneIn(25) : writer.OneIn(10);
-      int64_t revision = full.revision() + (writer.OneIn(40) ? 0 : 1);
-      int64_t match = full.revision() - (writer.OneIn(40) ? 1 : 0);
-      Change change{patch, match, patch ? writer.Patch(revision) : writer.Full(revision)};
-      if (!patch && writer.OneIn(6)) change.body.resize(change.body.size() / 2);
+      bool patch = full.revision() > 0 ? !generator.OneIn(25) : generator.OneIn(10);
+      int64_t revision = full.revision() + (generator.OneIn(40) ? 0 : 1);
+      int64_t match = full.revision() - (generator.OneIn(40) ? 1 : 0);
+      Change change{patch, match, patch ? generator.Patch(revision) : generator.Full(revision)};
+      if (!patch && generator.OneIn(6)) change.body.resize(change.body.size() / 2);
       std::string text;
       base::Verdict want = full.Evaluate(change, &text);
       bool by_patch = patch && state.document().CheckPatch(change.body).has_value();
       base::Verdict got = state.Evaluate(change);
       ASSERT_EQ(got.status, want.status) << change.body << "\n" << got.reason << want.reason;
       ASSERT_EQ(got.reason, want.reason) << change.body << "\n" << full.text();
-      // Elsewhere nobody judged it before it is applied.
-      if (writer.OneIn(2)) state = *transport::Decode<ConfigurationState>(transport::Encode(state));
+      // A controller that didn't propose the change applies it without having evaluated it.
+      if (generator.OneIn(2)) {
+        state = *transport::Decode<ConfigurationState>(transport::Encode(state));
+      }
       ASSERT_EQ(state.Apply(change), want.status == 0) << change.body;
       if (want.status != 0) {
         reasons.insert(want.reason.substr(0, want.reason.find(' ')));
@@ -215,14 +223,15 @@
       } else {
         follower = ParsedConfiguration(text);
       }
-      // A table made of the one before is as one made of the whole, and leaves that one as it was.
+      // A patched table equals one built from the full document, and the patched-from table is
+      // unchanged.
       auto built = RoutingTable::Build(text, &names, &regions);
       if (patch && table) {
-        std::string before = TableDescribes(*table, names);
+        std::string before = DescribeTable(*table, names);
         auto next = RoutingTable::Patch(*table, change.body, &names, &regions);
         ASSERT_TRUE(next);
-        ASSERT_EQ(TableDescribes(*next, names), TableDescribes(*built, names)) << change.body;
-        ASSERT_EQ(TableDescribes(*table, names), before) << change.body;
+        ASSERT_EQ(DescribeTable(*next, names), DescribeTable(*built, names)) << change.body;
+        ASSERT_EQ(DescribeTable(*table, names), before) << change.body;
         ASSERT_LE(next->changed().size(), 5u);
         table = next;
       } else {
@@ -238,14 +247,15 @@
       }
     }
   }
-  // Both ways were gone, and many kinds of refusals met.
+  // Both ways of checking were exercised, and many kinds of rejections occurred.
   EXPECT_GT(by_parsed_patch, 500);
   EXPECT_GT(full_parse, 20);
   EXPECT_GT(reasons.size(), 12u);
 }
 
-// What the first way that comes to mind gets wrong, each by itself.
-TEST(ParsedConfiguration, FoldsWhatEachPatchSays) {
+// Guards against a check of patches by the index that misses the interaction of their parts, such
+// as two routes that swap locations or a service that is removed along with its routes.
+TEST(ParsedConfiguration, ChecksTheCombinedEffectOfAPatch) {
   auto route = [](const std::string& label, const std::string& prefix, const std::string& service) {
     return R"({"label":")" + label + R"(","host":"h","path-prefix":")" + prefix +
            R"(","variant":"effectful","timeout-ms":5,"target":")" + service + "\"}";
@@ -258,56 +268,57 @@
     std::string patch;
     int status;
     const char* reason;  // part of it
-    bool fold;
+    bool by_index;       // whether CheckPatch() alone finds it valid
   } cases[] = {
-      {"two routes change places",
+      {"two routes swap locations",
        R"("upsert":{"route-list":[)" + route("a", "/b/", "s") + "," + route("b", "/a/", "s") + "]}",
        0, "", true},
-      {"takes another's place", R"("upsert":{"route-list":[)" + route("a", "/b/", "s") + "]}", 400,
-       "route b: another", false},
-      {"takes the place of one that goes",
+      {"takes another route's location",
+       R"("upsert":{"route-list":[)" + route("a", "/b/", "s") + "]}", 400, "route b: another",
+       false},
+      {"takes the location of a removed route",
        R"("upsert":{"route-list":[)" + route("a", "/b/", "s") +
            R"(]},"remove":{"route-list":["b"]})",
        0, "", true},
-      {"a host in capitals is the same place",
+      {"a host in upper case is the same location",
        R"("upsert":{"route-list":[{"label":"c","host":"H","path-prefix":"/a/","variant":"effectful","timeout-ms":5,"target":"s"}]})",
        400, "same host", false},
-      {"a service in use goes", R"("remove":{"service-list":["s"]})", 400,
+      {"removes a service in use", R"("remove":{"service-list":["s"]})", 400,
        "route a: unknown service s", false},
-      {"a service that nobody uses goes", R"("remove":{"service-list":["t"]})", 0, "", true},
-      {"a service goes with its routes",
+      {"removes an unused service", R"("remove":{"service-list":["t"]})", 0, "", true},
+      {"removes a service and all its uses",
        R"("upsert":{"route-list":[)" + route("a", "/a/", "t") +
            R"(]},"remove":{"route-list":["b"],"service-list":["s"]})",
        0, "", true},
-      {"a service goes and comes back",
+      {"removes and upserts the same service",
        R"("upsert":{"service-list":[{"label":"s"}]},"remove":{"service-list":["s"]})", 0, "", true},
-      {"a route names a service that comes with it",
+      {"upserts a route and its new service",
        R"("upsert":{"route-list":[)" + route("a", "/a/", "u") +
            R"(],"service-list":[{"label":"u"}]})",
        0, "", true},
-      {"a route names a service that goes",
+      {"upserts a route to a removed service",
        R"("upsert":{"route-list":[)" + route("a", "/a/", "t") +
            R"(]},"remove":{"service-list":["t"]})",
        400, "unknown service t", false},
-      {"put twice, the last counts",
+      {"of a route upserted twice the last counts",
        R"("upsert":{"route-list":[)" + route("a", "/c/", "x") + "," + route("a", "/d/", "s") + "]}",
        0, "", true},
-      {"breaks the form", R"("upsert":{"route-list":[)" + route("b", "/b", "s") + "]}", 400,
+      {"violates the schema", R"("upsert":{"route-list":[)" + route("b", "/b", "s") + "]}", 400,
        "route-list/1/path-prefix", false},
-      {"another list", R"("upsert":{"tenant-list":[{"label":"t"}]})", 0, "", false},
+      {"a list that is not indexed", R"("upsert":{"tenant-list":[{"label":"t"}]})", 0, "", false},
   };
   for (const Case& c : cases) {
     ConfigurationState state;
     ASSERT_TRUE(state.Apply({false, 0, base}));
     Change change{true, 1, R"({"revision":2,)" + c.patch + "}"};
-    EXPECT_EQ(state.document().CheckPatch(change.body).has_value(), c.fold) << c.what;
+    EXPECT_EQ(state.document().CheckPatch(change.body).has_value(), c.by_index) << c.what;
     base::Verdict verdict = state.Evaluate(change);
     EXPECT_EQ(verdict.status, c.status) << c.what << ": " << verdict.reason;
     EXPECT_NE(verdict.reason.find(c.reason), std::string::npos) << c.what << ": " << verdict.reason;
     if (c.status != 0) continue;
     ASSERT_TRUE(state.Apply(change)) << c.what;
     EXPECT_EQ(state.text(), *ApplyPatch(base, change.body)) << c.what;
-    // The checks go on from what was by_parsed_patch.
+    // The next patch is checked against the state after the first one.
     Change again{true, 2,
                  R"({"revision":3,"upsert":{"route-list":[)" + route("z", "/b/", "t") + "]}}"};
     auto valid = Validate(*ApplyPatch(state.text(), again.body));
@@ -316,15 +327,17 @@
   }
 }
 
-TEST(ParsedConfiguration, DistinguishesLabelsBehindANul) {
+// Guards against labels being compared as C strings, which end at the first NUL.
+TEST(ParsedConfiguration, LabelsThatDifferAfterANulAreDistinct) {
   ParsedConfiguration document(
       R"({"revision":1,"route-list":[],"service-list":[{"label":"s\u0000x"}]})");
   EXPECT_FALSE(document.HasService("s"));
   EXPECT_TRUE(document.HasService(std::string("s\0x", 3)));
 }
 
-// A verdict that was kept holds for the state it was found on, and for that very body.
-TEST(ParsedConfiguration, AKeptVerdictIsOfItsChangeAlone) {
+// Guards against a cached verdict being used for another change, or after another change has been
+// applied.
+TEST(ParsedConfiguration, ACachedVerdictHoldsOnlyForItsChangeAndState) {
   auto full = [](int64_t revision, const char* prefix) {
     return R"({"revision":)" + std::to_string(revision) +
            R"(,"route-list":[{"label":"a","host":"h","path-prefix":")" + prefix +
@@ -336,7 +349,8 @@
   EXPECT_EQ(state.Evaluate(bad).status, 400);
   EXPECT_FALSE(state.Apply(bad));
   EXPECT_EQ(state.Evaluate(good).status, 0);
-  EXPECT_TRUE(state.Apply({false, 0, full(7, "/")}));  // overtakes the one that was judged
+  // Another change is applied before the one that was evaluated.
+  EXPECT_TRUE(state.Apply({false, 0, full(7, "/")}));
   EXPECT_EQ(state.Evaluate(good).status, 412);
   EXPECT_FALSE(state.Apply(good));
   EXPECT_EQ(state.text(), full(7, "/"));
