--- a/src/zone_drain/drained_zones.h
+++ b/src/zone_drain/drained_zones.h
@@ -9,29 +9,31 @@
 
 namespace elderkeel::zone_drain {
 
-// An operator's order about one zone. Part of the log: the order of the fields is a format.
+// An operator's order to drain a zone or to end its drain. Stored in the log: the order of the
+// fields is a format.
 struct DrainOrder {
   std::string zone;
-  bool drain = true;  // false: the zone is taken back
-  template <class A>
-  void serialize(A& a) {
-    a(zone, drain);
+  bool drain = true;  // false: ends the drain
+  template <class Archive>
+  void serialize(Archive& archive) {
+    archive(zone, drain);
   }
 };
 
-// Which zones are drained by order, as a state machine above the log. The version rises with each
-// order that changes something, so that of two views the newer is known by it.
+// The set of zones that operators have ordered drained, as a deterministic state machine above the
+// log. Controllers apply the orders of the log; proxies receive copies. The version rises by one
+// with each order that changes the set, so of two copies the one with the higher version is newer.
 class DrainedZones {
  public:
-  // True if it changed something.
+  // Applies an order; returns whether it changed the set.
   bool Apply(const DrainOrder& order) {
-    auto at = std::lower_bound(zones_.begin(), zones_.end(), order.zone);
-    bool there = at != zones_.end() && *at == order.zone;
-    if (there == order.drain) return false;
+    auto position = std::lower_bound(zones_.begin(), zones_.end(), order.zone);
+    bool is_drained = position != zones_.end() && *position == order.zone;
+    if (is_drained == order.drain) return false;
     if (order.drain) {
-      zones_.insert(at, order.zone);
+      zones_.insert(position, order.zone);
     } else {
-      zones_.erase(at);
+      zones_.erase(position);
     }
     ++version_;
     return true;
@@ -42,9 +44,9 @@
   uint64_t version() const { return version_; }
   const std::vector<std::string>& zones() const { return zones_; }
 
-  template <class A>
-  void serialize(A& a) {
-    a(version_, zones_);
+  template <class Archive>
+  void serialize(Archive& archive) {
+    archive(version_, zones_);
   }
 
  private:
