--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -13,8 +13,8 @@
 using membership::Membership;
 using membership::Program;
 
-constexpr base::Millis kTickMs = 50;
-constexpr size_t kDatagramBytes = 1300;  // that one datagram carries without being split on its way
+constexpr base::Millis kTickIntervalMs = 50;  // ticks are at multiples of this
+constexpr size_t kMaxDatagramBytes = 1300;    // more could be fragmented on the way
 
 uint16_t PortOf(const base::Settings& settings, Program program) {
   return program == Program::kController ? settings.ControllerPort() : settings.ProxyPort();
@@ -47,8 +47,8 @@
   return seeds;
 }
 
-// A node is out of date for half of the time that the platform allows at most. The sum that this
-// follows from stands in docs/dissemination.md.
+// `max_age` is set so that a node's state is out of date for at most half of the time that the
+// platform allows; docs/dissemination.md adds up the delays that lead to that bound.
 Disseminator::Options DisseminatorOptions(const base::Settings& settings, Program program) {
   Disseminator::Options options;
   base::Millis bound = settings.PropagationMs();
@@ -94,13 +94,14 @@
   membership_.Tick(now);
   disseminator_.Tick(now);
   next_tick_at_ = 0;
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::ScheduleTick() {
   base::Millis now = base::SteadyMillis();
   base::Millis due = std::min(membership_.DueAt(), disseminator_.DueAt());
-  base::Millis wait = base::UntilMultiple(now, std::max<base::Millis>(due - now, 1), kTickMs);
+  base::Millis wait =
+      base::UntilMultiple(now, std::max<base::Millis>(due - now, 1), kTickIntervalMs);
   if (next_tick_at_ != 0 && next_tick_at_ <= now + wait) return;
   next_tick_at_ = now + wait;
   tick_timer_.Start(loop_, wait, [this] { Tick(); });
@@ -108,43 +109,43 @@
 
 void ClusterNode::Leave() {
   membership_.Leave(base::SteadyMillis());
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::Commit(const configuration::ConfigurationState& state) {
   disseminator_.Commit(base::SteadyMillis(), state);
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::Commit(const zone_drain::DrainedZones& drained_zones) {
   disseminator_.Commit(drained_zones);
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::Commit(const rollout::Rollouts& rollouts) {
   disseminator_.Commit(rollouts);
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::OnRolloutVersion(const base::Address& from, uint64_t version) {
   disseminator_.OnRolloutVersion(base::SteadyMillis(), from, version);
-  Pump();
+  CarryOutEffects();
 }
 
 bool ClusterNode::Publish(base::Millis asked_at, discovery::EndpointSnapshot endpoints) {
-  bool taken = disseminator_.Publish(base::SteadyMillis(), asked_at, std::move(endpoints));
-  Pump();
-  return taken;
+  bool accepted = disseminator_.Publish(base::SteadyMillis(), asked_at, std::move(endpoints));
+  CarryOutEffects();
+  return accepted;
 }
 
 void ClusterNode::ConfirmEndpoints(base::Millis asked_at, uint64_t epoch) {
   disseminator_.Confirm(base::SteadyMillis(), asked_at, epoch);
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::VouchForLog(base::Millis as_of) {
   disseminator_.VouchForLog(as_of);
-  Pump();
+  CarryOutEffects();
 }
 
 void ClusterNode::VouchForEndpoints() { disseminator_.VouchForEndpoints(base::SteadyMillis()); }
@@ -158,7 +159,7 @@
 
 bool ClusterNode::AdoptOwnReading(discovery::Reading reading) {
   bool adopted = disseminator_.AdoptOwnReading(reading.asked_at, std::move(reading.servers));
-  Pump();
+  CarryOutEffects();
   return adopted;
 }
 
@@ -170,17 +171,17 @@
 
 void ClusterNode::SetReady(bool ready) {
   membership_.SetReady(ready);
-  Pump();
+  CarryOutEffects();
 }
 
 std::vector<base::Address> ClusterNode::Controllers() const {
-  std::vector<base::Address> controllers, far;
+  std::vector<base::Address> controllers, in_other_zones;
   for (const membership::Node* node : membership_.ReachableOthers()) {
     if (node->program != Program::kController) continue;
-    (node->zone == settings_.zone ? controllers : far).push_back(node->address());
+    (node->zone == settings_.zone ? controllers : in_other_zones).push_back(node->address());
   }
-  controllers.insert(controllers.end(), far.begin(), far.end());
-  // Those without a disk have no part in the log where others have one.
+  controllers.insert(controllers.end(), in_other_zones.begin(), in_other_zones.end());
+  // Where some controllers have a disk, those without one do not take part in the log.
   std::stable_partition(controllers.begin(), controllers.end(),
                         [this](const base::Address& address) {
                           const membership::Node* node = membership_.Find(address);
@@ -194,18 +195,20 @@
   return controllers;
 }
 
-// --- received ---
+// --- receiving ---
 
-template <class Message, class Use>
-void ClusterNode::Decoded(const base::Address& from, std::string_view payload, Use use) {
+template <class Message, class Handler>
+void ClusterNode::DecodeAndHandle(const base::Address& from, std::string_view payload,
+                                  Handler handler) {
   if (auto message = transport::Decode<Message>(payload)) {
-    use(*message);
+    handler(*message);
     return;
   }
-  // A frame whose checksum holds and yet can't be decoded comes from another version of the
-  // program.
-  base::Warn("message.dropped", base::Error{base::ErrorCode::kProtocolError, "dissemination.read",
-                                            from.ToString(), "can't be read"});
+  // The frame's checksum is correct, so the payload is not damaged: the peer runs another version
+  // of the program.
+  base::Warn("message.dropped",
+             base::Error{base::ErrorCode::kProtocolError, "dissemination.read", from.ToString(),
+                         "the message can't be decoded; the peer may run an incompatible version"});
 }
 
 void ClusterNode::OnMessage(const base::Address& from, transport::Kind kind,
@@ -214,28 +217,28 @@
   bool handled = OnMembershipMessage(now, from, kind, payload) ||
                  OnDisseminationMessage(now, from, kind, payload);
   if (!handled && callbacks_.message) callbacks_.message(from, kind, payload);
-  Pump();
+  CarryOutEffects();
 }
 
 bool ClusterNode::OnMembershipMessage(base::Millis now, const base::Address& from,
                                       transport::Kind kind, std::string_view payload) {
   switch (kind) {
     case transport::Kind::kHeartbeat:
-      Decoded<membership::Heartbeat>(
+      DecodeAndHandle<membership::Heartbeat>(
           from, payload, [&](const auto& message) { membership_.OnHeartbeat(now, from, message); });
       return true;
     case transport::Kind::kMembershipUpdate:
-      Decoded<membership::MembershipUpdate>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<membership::MembershipUpdate>(from, payload, [&](const auto& message) {
         membership_.OnMembershipUpdate(now, from, message);
       });
       return true;
     case transport::Kind::kPartDigests:
-      Decoded<membership::PartDigests>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<membership::PartDigests>(from, payload, [&](const auto& message) {
         membership_.OnPartDigests(now, from, message);
       });
       return true;
     case transport::Kind::kSummary:
-      Decoded<membership::MembershipSummary>(
+      DecodeAndHandle<membership::MembershipSummary>(
           from, payload, [&](const auto& message) { membership_.OnSummary(now, from, message); });
       return true;
     default:
@@ -247,40 +250,41 @@
                                          transport::Kind kind, std::string_view payload) {
   switch (kind) {
     case transport::Kind::kDigest:
-      Decoded<Digest>(from, payload, [&](const auto& message) { OnDigest(now, from, message); });
+      DecodeAndHandle<Digest>(from, payload,
+                              [&](const auto& message) { OnDigest(now, from, message); });
       return true;
     case transport::Kind::kPullRequest:
-      Decoded<dissemination::PullRequest>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::PullRequest>(from, payload, [&](const auto& message) {
         disseminator_.OnPullRequest(now, from, message);
       });
       return true;
     case transport::Kind::kSyncRequest:
-      Decoded<dissemination::SyncRequest>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::SyncRequest>(from, payload, [&](const auto& message) {
         disseminator_.OnSyncRequest(now, from, message);
       });
       return true;
     case transport::Kind::kSyncReply:
-      Decoded<dissemination::SyncReply>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::SyncReply>(from, payload, [&](const auto& message) {
         disseminator_.OnSyncReply(now, from, message);
       });
       return true;
     case transport::Kind::kConfigurationUpdate:
-      Decoded<dissemination::ConfigurationUpdate>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::ConfigurationUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnConfigurationUpdate(now, from, message);
       });
       return true;
     case transport::Kind::kEndpointUpdate:
-      Decoded<dissemination::EndpointUpdate>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::EndpointUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnEndpointUpdate(now, from, message);
       });
       return true;
     case transport::Kind::kZoneDrainUpdate:
-      Decoded<dissemination::ZoneDrainUpdate>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::ZoneDrainUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnZoneDrainUpdate(now, from, message);
       });
       return true;
     case transport::Kind::kRolloutUpdate:
-      Decoded<dissemination::RolloutUpdate>(from, payload, [&](const auto& message) {
+      DecodeAndHandle<dissemination::RolloutUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnRolloutUpdate(now, from, message);
       });
       return true;
@@ -290,7 +294,8 @@
 }
 
 void ClusterNode::OnDigest(base::Millis now, const base::Address& from, const Digest& digest) {
-  // Averaging takes two: what goes back is what was here before the other's report was merged.
+  // Both sides average their reports from before the exchange, so the report to send back is taken
+  // before the peer's is merged.
   if (digest.answer && callbacks_.load_report) reply_report_ = {from, callbacks_.load_report()};
   if (callbacks_.load_report_received && !digest.load.empty()) {
     callbacks_.load_report_received(digest.load);
@@ -298,12 +303,12 @@
   disseminator_.OnDigest(now, from, digest);
 }
 
-// --- sent ---
+// --- sending ---
 
 void ClusterNode::SendSmall(const base::Address& to, transport::Kind kind,
                             const std::string& bytes) {
   bool sent =
-      bytes.size() <= kDatagramBytes && mesh_.SendDatagram(to, kind, std::string_view(bytes));
+      bytes.size() <= kMaxDatagramBytes && mesh_.SendDatagram(to, kind, std::string_view(bytes));
   if (!sent) mesh_.Send(to, kind, std::string_view(bytes));
 }
 
@@ -331,7 +336,8 @@
 
 void ClusterNode::SendMembershipUpdate(const base::Address& to,
                                        const membership::MembershipUpdate& update) {
-  // What a process says of itself, a refutation above all, must not be lost on a full link.
+  // This process's own record with a raised incarnation may refute a suspicion. It is sent over a
+  // connection: a datagram can be lost on a congested link, and the process would be declared dead.
   const membership::Node& self = membership_.self();
   bool own = std::any_of(update.nodes.begin(), update.nodes.end(),
                          [&self](const membership::Node& node) { return node.id == self.id; });
@@ -359,7 +365,8 @@
 void ClusterNode::SendUpdates(Disseminator::Effects* effects) {
   for (auto& [to, digest] : effects->digests) SendDigest(to, std::move(digest));
   for (const auto& [to, pull] : effects->pulls) mesh_.Send(to, transport::Kind::kPullRequest, pull);
-  // Versions before endpoints: a node that knows of servers must know which it may send to.
+  // Roll-outs go before endpoints: a node that has the servers without the roll-outs could send
+  // requests to versions that may not receive them.
   for (const auto& [to, update] : effects->rollouts) {
     SendUpdate(to, transport::Kind::kRolloutUpdate, update);
   }
@@ -409,9 +416,10 @@
   if (callbacks_.node_changed) callbacks_.node_changed(node);
 }
 
-void ClusterNode::Pump() {
-  if (pumping_) return;  // callbacks may call in; the outer loop takes what they caused
-  pumping_ = true;
+void ClusterNode::CarryOutEffects() {
+  // Callbacks may call this object again; the loop below carries out the effects of such calls.
+  if (carrying_out_effects_) return;
+  carrying_out_effects_ = true;
   base::Millis now = base::SteadyMillis();
   for (;;) {
     Membership::Effects membership = membership_.TakeEffects();
@@ -422,7 +430,7 @@
     SendUpdates(&updates);
     ReportAdopted(updates);
   }
-  pumping_ = false;
+  carrying_out_effects_ = false;
   ScheduleTick();
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -18,25 +18,26 @@
 
 namespace elderkeel::cluster {
 
-// A process as a node of the cluster: what the controller and the proxy have in common. It owns the
-// mesh, the membership and the dissemination of state, feeds them messages and time, and carries
-// out their effects. Membership and disseminator are pure state machines; this is where they meet
-// sockets and the clock.
+// This process as a node of the cluster; both the controller and the proxy have one. It owns the
+// mesh, the membership and the disseminator. The latter two are pure state machines: this class
+// passes them received messages and the current time and carries out the effects that they return,
+// which are messages to send and changes to report.
 //
-// Lives on the event loop's thread. Callbacks are called there, and may call back.
+// Runs on the event loop's thread. Callbacks are called there and may call this object again.
 class ClusterNode {
  public:
   struct Callbacks {
-    // Something newer is held by the disseminator.
+    // The disseminator adopted newer state of this kind.
     std::function<void()> configuration_adopted;
     std::function<void()> endpoints_adopted;
     std::function<void()> zone_drains_adopted;
     std::function<void()> rollouts_adopted;
     std::function<void(const membership::Node&)> node_changed;
-    // The load report that digests carry, and one that a peer's digest carried.
+    // Returns the load report that outgoing digests carry. Not set on controllers.
     std::function<load::LoadReport()> load_report;
+    // A peer's digest carried this load report.
     std::function<void(const load::LoadReport&)> load_report_received;
-    // A message of another module.
+    // A message that neither the membership nor the disseminator handles.
     std::function<void(const base::Address&, transport::Kind, std::string_view)> message;
   };
 
@@ -46,40 +47,55 @@
   ClusterNode(const ClusterNode&) = delete;
   ClusterNode& operator=(const ClusterNode&) = delete;
 
+  // Listens on this node's address and starts to tick. Error: the address can't be listened on.
   base::Status Start();
-  // Calls `changed` with new settings whenever the file holds valid ones; their log level is
-  // applied here.
+  // Watches the settings file at `path`: calls `changed` with the new settings whenever the file
+  // changes to valid ones. Sets the log level first.
   void WatchSettings(const std::string& path, lifecycle::SettingsWatcher::Changed changed);
-  // Tells the others that this process stops.
+  // Announces to the other nodes that this process is stopping.
   void Leave();
 
   transport::Mesh& mesh() { return mesh_; }
   const membership::Membership& membership() const { return membership_; }
   const dissemination::Disseminator& disseminator() const { return disseminator_; }
 
-  // Each of these feeds the disseminator; what that causes is sent at once.
+  // Each of these passes its arguments to the disseminator and sends the resulting messages at
+  // once; see the Disseminator's function of that name.
+  //
+  // On a controller: the log's state after committed entries were applied.
   void Commit(const configuration::ConfigurationState& state);
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
+  // The node `from` has this version of the roll-outs; if it is newer than this node's, the
+  // roll-outs are requested from `from`.
   void OnRolloutVersion(const base::Address& from, uint64_t version);
-  // False if endpoints of a later reader are here, or such as were asked for later.
+  // Publishes a list that this node read from the platform as the catalog reader. Returns false if
+  // this node holds a later reader's list, or one that was requested later than `asked_at`.
   bool Publish(base::Millis asked_at, discovery::EndpointSnapshot endpoints);
-  // The reader of `epoch` found the endpoints unchanged.
+  // The catalog reader of `epoch` requested the list at `asked_at` and found it unchanged.
   void ConfirmEndpoints(base::Millis asked_at, uint64_t epoch);
+  // A majority confirmed that the log's state on this node was the newest committed at `as_of`.
   void VouchForLog(base::Millis as_of);
+  // On the catalog reader: the list that it published is the newest one now.
   void VouchForEndpoints();
+  // The addresses of the leader and the catalog reader, which can confirm that state is current; no
+  // address if unknown or this node itself.
   void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
+  // The adopted configuration can't be used: requests the complete document again.
   void RejectConfiguration();
-  // False if what is here was read later.
+  // Adopts a list that this node read from the platform for itself alone. Returns false if the list
+  // that it holds was requested later.
   bool AdoptOwnReading(discovery::Reading reading);
 
-  // Asks a node what it has; if it has more than this one, that is then asked for.
+  // Requests a digest from a node; state that is newer there is then requested as well.
   void RequestDigest(const base::Address& to);
-  // Whether this proxy may be given clients.
+  // Announces whether this proxy is ready to receive client traffic.
   void SetReady(bool ready);
-  // By datagram if it fits one, since that needs no connection to a node that may be gone.
+  // Sends an encoded message: as a datagram if it fits into one, which needs no connection to a
+  // node that may have failed, otherwise over a connection.
   void SendSmall(const base::Address& to, transport::Kind kind, const std::string& bytes);
-  // Controllers that are known, those of the own zone first, those without a disk last; then seeds.
+  // The controllers to contact, in order: the reachable ones with a disk, then those without,
+  // within each those of this node's zone first; then the seeds that are not among them.
   std::vector<base::Address> Controllers() const;
 
  private:
@@ -88,16 +104,16 @@
                            std::string_view payload);
   bool OnDisseminationMessage(base::Millis now, const base::Address& from, transport::Kind kind,
                               std::string_view payload);
-  // Decodes a message and hands it to `use`; one that can't be decoded is logged and dropped.
-  template <class Message, class Use>
-  void Decoded(const base::Address& from, std::string_view payload, Use use);
+  // Decodes a message and passes it to `handler`; logs and drops one that can't be decoded.
+  template <class Message, class Handler>
+  void DecodeAndHandle(const base::Address& from, std::string_view payload, Handler handler);
   void OnDigest(base::Millis now, const base::Address& from, const dissemination::Digest& digest);
 
   void Tick();
-  // Ticks when something is due next, not more often than needed: an idle node sleeps.
+  // Starts the timer for the next moment at which something is due, so that an idle node sleeps.
   void ScheduleTick();
-  // Carries out effects until there are none.
-  void Pump();
+  // Carries out the effects of the membership and the disseminator until there are none left.
+  void CarryOutEffects();
   void OnNodeChanged(base::Millis now, const membership::Node& node);
   void SendMembership(const membership::Membership::Effects& effects);
   void SendMembershipUpdate(const base::Address& to, const membership::MembershipUpdate& update);
@@ -118,10 +134,10 @@
   dissemination::Disseminator disseminator_;
   std::unique_ptr<lifecycle::SettingsWatcher> settings_watcher_;
   base::Timer tick_timer_;
-  base::Millis next_tick_at_ = 0;  // 0 for not scheduled
-  // The load report that goes with the answer to a digest, and to whom.
+  base::Millis next_tick_at_ = 0;  // 0 if none is scheduled
+  // The load report to send with the answer to a peer's digest, and the peer's address.
   std::pair<base::Address, load::LoadReport> reply_report_;
-  bool pumping_ = false;
+  bool carrying_out_effects_ = false;
 };
 
 }  // namespace elderkeel::cluster
