--- a/src/controller/catalog_poller.cc
+++ b/src/controller/catalog_poller.cc
@@ -7,16 +7,18 @@
 
 namespace elderkeel::controller {
 namespace {
-constexpr base::Millis kOwnerSilenceMs = 1000;      // after which the leader names another owner
-constexpr base::Millis kPlatformPatienceMs = 3000;  // without a reading, then the reader resigns
-constexpr base::Millis kResignEveryMs = 5000;
-constexpr base::Millis kClaimEveryMs = 200;
+// The leader assigns another owner if it has received nothing from the current one for so long.
+constexpr base::Millis kOwnerTimeoutMs = 1000;
+// The reader resigns if no reading has succeeded for so long.
+constexpr base::Millis kMaxPlatformOutageMs = 3000;
+constexpr base::Millis kResignIntervalMs = 5000;
+constexpr base::Millis kClaimIntervalMs = 200;
 }  // namespace
 
 CatalogPoller::CatalogPoller(Context* context)
     : context_(context),
       platform_(context->loop, context->settings.platform),
-      assigner_(kOwnerSilenceMs) {}
+      assigner_(kOwnerTimeoutMs) {}
 
 bool CatalogPoller::IsReader() const {
   uint64_t owner = context_->state.catalog_reader.owner;
@@ -33,9 +35,9 @@
   const consensus::RaftNode& raft = context_->replica->raft();
   std::vector<singleton::Candidate> candidates;
   for (const consensus::Member& voter : raft.voters()) {
-    base::Millis last = raft.LastContact(voter.id);
+    base::Millis last_contact = raft.LastContact(voter.id);
     bool self = voter.id == raft.self().id;
-    candidates.push_back({voter.id, last < 0 ? INT64_MAX : now - last, self});
+    candidates.push_back({voter.id, last_contact < 0 ? INT64_MAX : now - last_contact, self});
   }
   return candidates;
 }
@@ -64,7 +66,8 @@
   Tick(now);
 }
 
-// The leader knows best who is alive; a reader that is not the leader leaves the choice to it.
+// The leader picks the successor, since it receives from all voters and so has the best view of
+// which of them are alive.
 void CatalogPoller::Resign(base::Millis now, const char* reason) {
   resigned_at_ = now;
   singleton::Resignation resignation;
@@ -82,7 +85,7 @@
 }
 
 void CatalogPoller::Tick(base::Millis now) {
-  if (context_->stopping || platform_.busy() || context_->IsIdle()) return;
+  if (context_->stopping || platform_.busy() || context_->IsExcludedFromLog()) return;
   if (!context_->node->disseminator().has_endpoints() && now >= next_read_at_) {
     ReadWithoutEpoch(now);
     return;
@@ -90,7 +93,7 @@
   if (!IsReader()) return;
   const singleton::Assignment& assignment = context_->state.catalog_reader;
   if (assignment.boot_id != context_->boot_id) {
-    Claim(now);
+    ClaimRole(now);
     return;
   }
   if (epoch_ != assignment.epoch) {
@@ -98,19 +101,19 @@
     sequence_ = 0;
     last_success_at_ = now;
   }
-  bool unreadable = now - last_success_at_ > kPlatformPatienceMs;
-  bool others = context_->replica->raft().voters().size() > 1;
-  if (unreadable && others && now - resigned_at_ > kResignEveryMs) {
-    Resign(now, "the platform can't be read");
+  bool unreadable = now - last_success_at_ > kMaxPlatformOutageMs;
+  bool has_other_voters = context_->replica->raft().voters().size() > 1;
+  if (unreadable && has_other_voters && now - resigned_at_ > kResignIntervalMs) {
+    Resign(now, "readings of the platform's server list keep failing");
   }
   if (now < next_read_at_) return;
   next_read_at_ = now + context_->settings.PollMs();
   platform_.Read([this](auto reading) { OnRead(std::move(reading)); });
 }
 
-// Nobody has sent this node any endpoints, as after a loss of the whole fleet. Its zone need not
-// wait for a reader to be assigned: a reading without an epoch gives way to the first one that has
-// one.
+// Reads the list while this node has no endpoints at all, as after a loss of the entire fleet, so
+// that its zone does not have to wait until a reader is assigned. The reading is published under
+// epoch 0, and the first list of an assigned reader replaces it.
 void CatalogPoller::ReadWithoutEpoch(base::Millis now) {
   next_read_at_ = now + context_->settings.PollMs();
   platform_.Read([this](base::Result<discovery::Reading> reading) {
@@ -124,9 +127,10 @@
   });
 }
 
-// The role was assigned to an earlier incarnation of this process, whose numbering is lost.
-void CatalogPoller::Claim(base::Millis now) {
-  if (now - claimed_at_ < kClaimEveryMs) return;
+// The role was assigned to an earlier incarnation of this process. The sequence numbers that it
+// used are lost, so this incarnation requests an epoch of its own.
+void CatalogPoller::ClaimRole(base::Millis now) {
+  if (now - claimed_at_ < kClaimIntervalMs) return;
   claimed_at_ = now;
   SendToLeader(
       now, {context_->state.catalog_reader.epoch, context_->replica->self().id, context_->boot_id});
@@ -135,7 +139,7 @@
 void CatalogPoller::OnRead(base::Result<discovery::Reading> reading) {
   if (!reading) {
     base::Warn("catalog.read_failed", reading.error());
-    return;  // what was last read stays; nobody is removed
+    return;  // the list as last read stays in force: a failed reading removes no server
   }
   last_success_at_ = base::SteadyMillis();
   if (!IsReader() || epoch_ != context_->state.catalog_reader.epoch) return;
@@ -145,9 +149,9 @@
   }
   discovery::EndpointSnapshot endpoints{epoch_, sequence_ + 1, std::move(reading->servers)};
   if (!context_->node->Publish(reading->asked_at, endpoints)) {
-    // A later reader's list is here, or one that was asked for after this one.
-    bool replaced = context_->node->disseminator().endpoints().epoch > epoch_;
-    base::Info(replaced ? "catalog.superseded" : "catalog.reading_outdated",
+    // This node holds a later reader's list, or one that was requested after this one.
+    bool superseded = context_->node->disseminator().endpoints().epoch > epoch_;
+    base::Info(superseded ? "catalog.superseded" : "catalog.reading_outdated",
                {{"epoch", epoch_}, {"age_ms", last_success_at_ - reading->asked_at}});
     return;
   }
--- a/src/controller/confirmation_service.cc
+++ b/src/controller/confirmation_service.cc
@@ -2,22 +2,23 @@
 
 namespace elderkeel::controller {
 namespace {
-constexpr size_t kMaxPending = 1024;
+constexpr size_t kMaxPendingConfirms = 1024;
 }  // namespace
 
 void ConfirmationService::OnConfirm(const base::Address& from,
                                     const dissemination::Confirm& confirm) {
-  if (context_->HasCommittedInTerm() && pending_.size() < kMaxPending) {
+  if (context_->HasCommittedInTerm() && pending_.size() < kMaxPendingConfirms) {
     uint64_t token = context_->NextToken();
     pending_[token] = {from, confirm.nonce};
     if (context_->replica->ConfirmRead(token)) return;
     pending_.erase(token);
   }
-  SendElsewhere(from, confirm.nonce);
+  SendRedirect(from, confirm.nonce);
 }
 
-// Names the leader, or a controller that may know it.
-void ConfirmationService::SendElsewhere(const base::Address& from, uint64_t nonce) {
+// Replies with the leader's address or, without contact to a leader, that of the nearest controller
+// with a disk, which may have contact. A leader that can't confirm reads names no other controller.
+void ConfirmationService::SendRedirect(const base::Address& from, uint64_t nonce) {
   dissemination::ConfirmReply reply;
   reply.nonce = nonce;
   const consensus::RaftNode& raft = context_->replica->raft();
--- a/src/controller/confirmation_service.h
+++ b/src/controller/confirmation_service.h
@@ -8,8 +8,9 @@
 
 namespace elderkeel::controller {
 
-// Answers proxies that start and ask whether what they hold is current: by a read that a majority
-// confirms, or by the name of the controller to ask instead.
+// Answers starting proxies that ask whether their state is current. The leader replies with the
+// newest versions after a read that a majority confirmed; another controller replies with the
+// address of the controller to ask instead. Controller passes it the requests and finished reads.
 class ConfirmationService {
  public:
   // `context` outlives this object.
@@ -17,6 +18,7 @@
 
   // REQUIRES: the replica is running.
   void OnConfirm(const base::Address& from, const dissemination::Confirm& confirm);
+  // A read of the log ended; ignores tokens of other parts.
   void OnReadFinished(uint64_t token, bool confirmed);
 
  private:
@@ -24,10 +26,10 @@
     base::Address from;
     uint64_t nonce = 0;
   };
-  void SendElsewhere(const base::Address& from, uint64_t nonce);
+  void SendRedirect(const base::Address& from, uint64_t nonce);
 
   Context* context_;
-  std::map<uint64_t, PendingConfirm> pending_;  // by read token
+  std::map<uint64_t, PendingConfirm> pending_;  // by the token of the read
 };
 
 }  // namespace elderkeel::controller
--- a/src/controller/control_state.cc
+++ b/src/controller/control_state.cc
@@ -5,14 +5,14 @@
 namespace elderkeel::controller {
 namespace {
 
-// Decodes a command's payload and applies it to `state`; true if it changed something.
+// Decodes a command's payload and applies it to `state`; returns whether that changed it.
 template <class Payload, class State>
 bool ApplyPayload(const std::string& payload, State* state) {
   auto decoded = transport::Decode<Payload>(payload);
   return decoded && state->Apply(*decoded);
 }
 
-// Snapshots of earlier versions end before the fields that came later.
+// Snapshots that earlier versions wrote end before the fields that were added later.
 struct BeforeRollouts {
   ControlState state;
   void serialize(cereal::BinaryInputArchive& archive) {
@@ -52,8 +52,8 @@
 
 std::optional<ControlState> ControlState::Decode(const std::string& bytes) {
   if (auto state = transport::Decode<ControlState>(bytes)) return state;
-  if (auto before = transport::Decode<BeforeRollouts>(bytes)) return std::move(before->state);
-  if (auto before = transport::Decode<BeforeZoneDrains>(bytes)) return std::move(before->state);
+  if (auto earlier = transport::Decode<BeforeRollouts>(bytes)) return std::move(earlier->state);
+  if (auto earlier = transport::Decode<BeforeZoneDrains>(bytes)) return std::move(earlier->state);
   return std::nullopt;
 }
 
--- a/src/controller/control_state.h
+++ b/src/controller/control_state.h
@@ -13,39 +13,43 @@
 
 namespace elderkeel::controller {
 
-// What an entry of the log changes. Stored and sent as cereal writes it; the numbers are a format.
+// A command in an entry of the log. Stored and sent in cereal's binary form, so the numbers of the
+// enumerators are a format.
 struct Command {
   enum class Kind : uint8_t { kConfiguration, kCatalogReader, kZoneDrain, kRollout };
   Kind kind = Kind::kConfiguration;
-  std::string payload;  // a Change, an Assignment, a DrainOrder or a Step, as `kind` says
+  std::string payload;  // an encoded Change, Assignment, DrainOrder or Step, in the order of Kind
   template <class Archive>
   void serialize(Archive& archive) {
     archive(kind, payload);
   }
 };
 
+// Returns the encoded command for an entry of the log.
 template <class Payload>
 std::string MakeCommand(Command::Kind kind, const Payload& payload) {
   return transport::Encode(Command{kind, transport::Encode(payload)});
 }
 
-// All that the controllers agree on, as a state machine above the log: the same entries give the
-// same state on every controller.
+// All replicated state of the controllers, as a deterministic state machine above the log: the same
+// entries lead to the same state on every controller.
 struct ControlState {
   configuration::ConfigurationState configuration;
   singleton::Assignment catalog_reader;
   zone_drain::DrainedZones drained_zones;
   rollout::Rollouts rollouts;
 
-  // What the command in `data` changed; kNone if nothing, or if it can't be decoded.
+  // The part of the state that a command changed; kNone if it changed nothing or can't be decoded.
   enum class Effect : uint8_t { kNone, kConfiguration, kCatalogReader, kZoneDrain, kRollout };
+  // Applies the encoded command in `data`.
   Effect Apply(const std::string& data);
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(configuration, catalog_reader, drained_zones, rollouts);
   }
-  // From a snapshot, also of versions before there were roll-outs or drained zones.
+  // Decodes the state in a snapshot, also one of an earlier version, without roll-outs or drained
+  // zones. None if it can't be decoded.
   static std::optional<ControlState> Decode(const std::string& bytes);
 };
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -12,24 +12,26 @@
 namespace elderkeel::controller {
 namespace {
 
-constexpr base::Millis kTickMs = 50;
-constexpr base::Millis kStartReplicaEveryMs = 20;
-constexpr base::Millis kJoinEveryMs = 400;
-// For the entry that names another catalog reader to go out before leadership does.
-constexpr base::Millis kHandOverMs = 150;
-// For what was handed over to be taken up elsewhere.
-constexpr base::Millis kMinStopMs = 800;
+constexpr base::Millis kTickIntervalMs = 50;
+constexpr base::Millis kReplicaStartIntervalMs = 20;
+constexpr base::Millis kJoinIntervalMs = 400;
+// Before leadership is transferred, so that the entry that assigns another catalog reader is sent.
+constexpr base::Millis kRoleHandOverMs = 150;
+// After leadership was transferred, so that another controller can take over.
+constexpr base::Millis kLeadershipHandOverMs = 800;
 constexpr size_t kMaxControlBodyBytes = 16u << 20;
 constexpr size_t kMaxControlConnections = 256;
 constexpr const char* kRetryAfterS = "0.3";
-constexpr const char* kEnding = "this controller ends";
+constexpr const char* kShuttingDown = "this controller is shutting down";
 
+// The id of an initial voter, which every controller derives from its address; never 0, which
+// stands for no member.
 consensus::MemberId FounderId(const base::Address& address) {
   return base::Hash(address.ToString(), 7) | 1;
 }
 
-// What the initial voters agree on without a message: a hash of the seeds, in the same order
-// everywhere.
+// The id of the cluster. The initial voters derive the same id without exchanging a message: it is
+// a hash of the sorted addresses of the seeds.
 uint64_t ClusterId(const std::vector<base::Address>& seeds) {
   std::vector<std::string> names;
   names.reserve(seeds.size());
@@ -40,11 +42,11 @@
   return base::Hash(all) | 1;
 }
 
-// The part of a request's target behind `mark`; empty if it has none.
-std::string_view TargetBehind(const http::Message& request, std::string_view mark) {
+// The part of a request's target after `separator`; empty if the target does not contain it.
+std::string_view TargetAfter(const http::Message& request, std::string_view separator) {
   std::string_view target = request.target;
-  size_t found = target.find(mark);
-  return found == std::string_view::npos ? "" : target.substr(found + mark.size());
+  size_t found = target.find(separator);
+  return found == std::string_view::npos ? "" : target.substr(found + separator.size());
 }
 
 http::Message Redirect(const char* reason, const std::string& address, const std::string& target) {
@@ -77,7 +79,7 @@
   if (!started) return started;
   rollouts_ = std::make_unique<RolloutManager>(&context_);
   StartReplica();
-  start_timer_.Repeat(loop_, kStartReplicaEveryMs, [this] {
+  start_timer_.Repeat(loop_, kReplicaStartIntervalMs, [this] {
     if (StartReplica()) start_timer_.Cancel();
   });
   started = StartDirectory();
@@ -89,7 +91,7 @@
     context_.settings.seeds = settings.seeds;
   });
   loop_->OnSignal(SIGTERM, [this] { Terminate(); });
-  tick_timer_.Repeat(loop_, kTickMs, [this] { Tick(); });
+  tick_timer_.Repeat(loop_, kTickIntervalMs, [this] { Tick(); });
   base::Info("controller.started", {{"node", context_.settings.node_name},
                                     {"control", context_.settings.control.ToString()},
                                     {"version", ELDERKEEL_VERSION}});
@@ -102,8 +104,8 @@
                              std::string_view payload) { OnMessage(from, kind, payload); };
   callbacks.node_changed = [this](const membership::Node& node) {
     if (context_.replica) context_.replica->SetZone(node.ip, node.zone);
-    context_.Note("node." + std::string(membership::StateName(node.state)),
-                  node.address().ToString());
+    context_.RecordEvent("node." + std::string(membership::StateName(node.state)),
+                         node.address().ToString());
   };
   context_.node = std::make_unique<cluster::ClusterNode>(
       loop_, context_.settings, membership::Program::kController, std::move(callbacks));
@@ -125,7 +127,7 @@
   };
   callbacks.role_changed = [this] { OnRoleChanged(); };
   callbacks.store_changed = [this](const std::string& event, const std::string& reason) {
-    context_.Note(event, reason);
+    context_.RecordEvent(event, reason);
   };
   context_.replica = std::make_unique<consensus::Replica>(loop_, std::move(callbacks));
 }
@@ -211,10 +213,10 @@
   return options;
 }
 
-// The initial voters are those of the seeds that have a disk, or all if none has: a vote that a
-// loss of power forgets is no vote. All seeds are up at the first start, and whether a machine has
-// a disk does not change, so every one of them comes to the same list. None while a seed is not
-// known yet.
+// The initial voters are the seeds that have a disk, or all seeds if none has one: a voter that
+// forgets its vote in a power loss could vote twice in one term. All seeds are up at the first
+// start of the cluster, and whether a machine has a disk does not change, so every seed computes
+// the same list. Returns none while membership has not discovered every seed.
 std::optional<std::vector<base::Address>> Controller::InitialVoters() const {
   const base::Settings& settings = context_.settings;
   std::vector<base::Address> durable;
@@ -227,15 +229,17 @@
   return durable.empty() ? settings.seeds : durable;
 }
 
-// True if the replica has started. Any process but an initial voter joins.
+// Starts the replica unless that must wait for InitialVoters(); returns whether it has started. A
+// process that is not an initial voter joins the log through RequestMembership().
 bool Controller::StartReplica() {
   if (context_.replica->started()) return true;
   const base::Settings& settings = context_.settings;
   bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(), settings.control) !=
                  settings.seeds.end();
-  bool founds = settings.bootstrap && is_seed && !consensus::Replica::HasStore(settings.data_dir);
+  bool bootstraps =
+      settings.bootstrap && is_seed && !consensus::Replica::HasStore(settings.data_dir);
   std::vector<base::Address> founders;
-  if (founds) {
+  if (bootstraps) {
     auto voters = InitialVoters();
     if (!voters) return false;
     founders = std::move(*voters);
@@ -284,13 +288,14 @@
       base::Info("configuration.committed", {{"revision", state.configuration.revision()},
                                              {"index", entry.index},
                                              {"term", entry.term}});
-      context_.Note("configuration.committed", std::to_string(state.configuration.revision()));
+      context_.RecordEvent("configuration.committed",
+                           std::to_string(state.configuration.revision()));
       break;
     case ControlState::Effect::kCatalogReader:
       base::Info("catalog_reader.assigned", {{"owner", state.catalog_reader.owner},
                                              {"epoch", state.catalog_reader.epoch},
                                              {"self", catalog_poller_.IsReader()}});
-      context_.Note("catalog_reader.assigned", std::to_string(state.catalog_reader.owner));
+      context_.RecordEvent("catalog_reader.assigned", std::to_string(state.catalog_reader.owner));
       catalog_poller_.OnAssigned(now);
       break;
     case ControlState::Effect::kZoneDrain:
@@ -310,7 +315,7 @@
   std::string zones;
   for (const std::string& zone : drained.zones()) zones += (zones.empty() ? "" : ",") + zone;
   base::Info("zone_drain.changed", {{"version", drained.version()}, {"zones", zones}});
-  context_.Note("zone_drain.changed", zones.empty() ? "no zone" : zones);
+  context_.RecordEvent("zone_drain.changed", zones.empty() ? "no zone" : zones);
 }
 
 void Controller::OnSnapshotInstalled(const consensus::Snapshot& snapshot) {
@@ -348,24 +353,26 @@
   base::Info("role.changed", {{"role", role},
                               {"term", raft.term()},
                               {"leader", leader ? leader->address().ToString() : "none"}});
-  context_.Note("role." + std::string(role), std::to_string(raft.term()));
+  context_.RecordEvent("role." + std::string(role), std::to_string(raft.term()));
   if (!raft.is_leader()) catalog_poller_.OnLeadershipLost();
   operator_api_->OnRoleChanged();
 }
 
-// A controller that no leader speaks to asks to be taken in, wherever it can.
+// Asks all known controllers to admit this one to the log, while it is not in contact with a
+// leader.
 void Controller::RequestMembership(base::Millis now) {
-  if (context_.stopping || is_leader() || now < next_join_at_ || context_.IsIdle()) return;
+  if (context_.stopping || is_leader() || now < next_join_at_ || context_.IsExcludedFromLog())
+    return;
   if (!context_.replica->store_error().empty()) return;
   if (context_.IsInContactWithLeader(now)) return;
-  next_join_at_ = now + kJoinEveryMs;
+  next_join_at_ = now + kJoinIntervalMs;
   for (const base::Address& address : context_.node->Controllers()) {
     context_.node->mesh().Send(address, transport::Kind::kJoin, context_.replica->self());
   }
 }
 
 void Controller::OnJoin(const base::Address& from, const consensus::Member& member) {
-  // A log on disks takes in nobody who has none.
+  // Where the log is stored on disks, a controller without one is not admitted.
   const membership::Node* node = context_.node->membership().Find(member.address());
   if (!context_.settings.data_dir.empty() && (!node || !node->durable)) return;
   if (is_leader()) {
@@ -378,11 +385,11 @@
   }
 }
 
-// --- calls over HTTP ---
+// --- requests over HTTP ---
 
 void Controller::OnRequest(Ticket ticket, http::Message&& request) {
   if (rejecting_) {
-    control_server_->Answer(ticket, Unavailable(kEnding));
+    control_server_->Answer(ticket, Unavailable(kShuttingDown));
     return;
   }
   std::string_view path = request.Path();
@@ -400,41 +407,47 @@
 }
 
 void Controller::OnOperatorRequest(Ticket ticket, const http::Message& request) {
-  if (context_.IsIdle() || !context_.replica->store_error().empty()) {
+  if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
     RedirectToDurable(ticket, request.target);
   } else if (!context_.replica->running()) {
-    control_server_->Answer(ticket, http::OwnAnswer(503, "this controller has only just started"));
+    control_server_->Answer(
+        ticket,
+        http::OwnAnswer(
+            503, "this controller is still starting: its replica of the log is not running"));
   } else {
     operator_api_->OnRequest(base::SteadyMillis(), ticket, request);
   }
 }
 
 void Controller::RedirectToDurable(Ticket ticket, const std::string& target) {
-  const char* reason = "this controller has no part in the log";
+  const char* reason =
+      "this controller takes no part in the log: it has no disk, or its store is not open";
   auto durable = context_.node->membership().NearestDurable(false);
   if (!durable) {
     control_server_->Answer(ticket, Unavailable(reason));
     return;
   }
-  // All controllers take the operator at the same port.
+  // All controllers use the same control port.
   base::Address control{durable->ip, context_.settings.control.port};
   control_server_->Answer(ticket, Redirect(reason, control.ToString(), target));
 }
 
-// The leader has the votes; another controller redirects to it, or without one answers by its own
-// log.
+// Only the leader holds the votes. Another controller redirects to it or, if it has no contact with
+// a leader, answers from its own copy of the log's state.
 void Controller::OnRolloutReportRequest(Ticket ticket, const http::Message& request) {
   if (request.method != "GET") {
     control_server_->Answer(ticket, http::OwnAnswer(405, "GET only"));
     return;
   }
-  if (context_.IsIdle() || !context_.replica->store_error().empty()) {
+  if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
     RedirectToDurable(ticket, request.target);
     return;
   }
   auto leader = context_.replica->running() ? leader_control() : std::nullopt;
   if (!is_leader() && leader) {
-    control_server_->Answer(ticket, Redirect("the leader is elsewhere", *leader, request.target));
+    control_server_->Answer(
+        ticket, Redirect("this controller is not the leader: see the Location header", *leader,
+                         request.target));
     return;
   }
   base::Millis now = base::SteadyMillis();
@@ -442,11 +455,13 @@
   answer.status = 200;
   answer.headers.push_back({"Content-Type", "application/json"});
   answer.body =
-      WriteRollouts(context_, rollouts_->coordinator(), TargetBehind(request, "?service="), now);
+      WriteRollouts(context_, rollouts_->coordinator(), TargetAfter(request, "?service="), now);
   if (answer.body.empty()) {
     answer = is_leader() && context_.IsInContactWithLeader(now)
                  ? http::OwnAnswer(404, "no roll-out of this service was ordered")
-                 : Unavailable("no leader is known, and here none was ordered");
+                 : Unavailable(
+                       "no leader with a quorum is known, and this controller's log has no "
+                       "roll-out of this service");
   }
   control_server_->Answer(ticket, answer);
 }
@@ -462,7 +477,7 @@
 }
 
 void Controller::OnDiagnosisRequest(Ticket ticket, const http::Message& request) {
-  std::string_view query = TargetBehind(request, "?");
+  std::string_view query = TargetAfter(request, "?");
   auto question = request.Path() == "/elderkeel/failures"
                       ? diagnosis::Question::ParseFailures(query)
                       : diagnosis::Question::Parse(query);
@@ -531,42 +546,43 @@
   voucher_.Tick(now);
 }
 
-// --- the end ---
+// --- shutdown ---
 
 void Controller::Terminate() {
   if (context_.stopping) return;
   base::Millis now = base::SteadyMillis();
   base::Info("controller.stopping");
   bool is_reader = catalog_poller_.IsReader();
-  if (is_reader) catalog_poller_.Resign(now, "leaving");
+  if (is_reader) catalog_poller_.Resign(now, "this controller is shutting down");
   context_.stopping = true;
   if (directory_server_) directory_server_->SetLeaving(true);
-  stop_timer_.Start(loop_, is_reader && is_leader() ? kHandOverMs : 0, [this, now] {
+  stop_timer_.Start(loop_, is_reader && is_leader() ? kRoleHandOverMs : 0, [this, now] {
     if (context_.replica->running()) {
       context_.replica->Leave();
       context_.replica->TransferLeadership();
     }
     context_.node->Leave();
     control_server_->SetLeaving(true);
-    base::Millis wait = std::min(kMinStopMs, context_.settings.GraceMs() / 2);
+    base::Millis wait = std::min(kLeadershipHandOverMs, context_.settings.GraceMs() / 2);
     stop_timer_.Start(loop_, wait, [this, now] { StopWhenDeparted(now); });
   });
 }
 
-// Ends once what this member holds is elsewhere and all calls have their answers. At the end of the
-// grace time it ends all the same: the platform would kill it, and its disk may well come back.
+// Stops the event loop once this member may leave the log and all requests are answered. It stops
+// without that shortly before the end of the grace time, since the platform would kill the process
+// then; its disk, with what this member has stored, may well come back.
 void Controller::StopWhenDeparted(base::Millis since) {
   lifecycle::ShutdownSchedule schedule(context_.settings.GraceMs(), 0);
   base::Millis waited = base::SteadyMillis() - since;
-  bool departed =
-      !context_.replica->running() || context_.IsIdle() || context_.replica->raft().may_stop();
+  bool departed = !context_.replica->running() || context_.IsExcludedFromLog() ||
+                  context_.replica->raft().may_stop();
   rejecting_ = departed || waited >= schedule.last_sixth;
-  if (waited >= schedule.give_up_at) control_server_->AnswerAll(Unavailable(kEnding));
+  if (waited >= schedule.give_up_at) control_server_->AnswerAll(Unavailable(kShuttingDown));
   bool answered =
       control_server_->busy() == 0 && (!directory_server_ || directory_server_->busy() == 0);
   bool may_stop = (departed || waited >= schedule.give_up_at) && answered;
   if (!may_stop && waited < schedule.exit_at) {
-    stop_timer_.Start(loop_, std::min(kTickMs, schedule.exit_at - waited),
+    stop_timer_.Start(loop_, std::min(kTickIntervalMs, schedule.exit_at - waited),
                       [this, since] { StopWhenDeparted(since); });
     return;
   }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -19,14 +19,18 @@
 
 namespace elderkeel::controller {
 
-// The control plane's process: a member of the log, the operator's interface, and the parts that
-// act on the log's state. It builds the parts, hands them messages and time, and ends in order.
+// The process of the control plane: a member of the replicated log, the operator's interface, and
+// the parts that act on the log's state. It builds these parts, passes them received messages, HTTP
+// requests and the current time, and runs the orderly shutdown. main() starts it; it runs on the
+// event loop's thread.
 class Controller : public configuration::ReplicatedLog {
  public:
   Controller(base::Loop* loop, base::Settings settings, std::string settings_path);
 
+  // Starts the node, the replica and the listeners. Error: an address can't be listened on.
   base::Status Start();
-  // Begins an orderly end, as on SIGTERM; the event loop stops when it is done.
+  // Begins an orderly shutdown, as on SIGTERM: gives up the catalog reader's role, leadership and
+  // the vote. The event loop stops at its end.
   void Terminate();
 
  private:
@@ -44,7 +48,7 @@
   bool HasZone(const std::string& zone) const override;
   bool HasService(const std::string& service) const override;
 
-  // Of Start().
+  // Steps of Start().
   void MakeNode();
   void MakeReplica();
   void MakeOperatorApi();
@@ -63,7 +67,7 @@
   void RequestMembership(base::Millis now);
   void OnJoin(const base::Address& from, const consensus::Member& member);
 
-  // Calls over HTTP.
+  // Requests over HTTP.
   void OnRequest(Ticket ticket, http::Message&& request);
   void OnOperatorRequest(Ticket ticket, const http::Message& request);
   void OnRolloutReportRequest(Ticket ticket, const http::Message& request);
@@ -91,7 +95,7 @@
   base::Timer start_timer_;
   base::Timer stop_timer_;
   base::Millis next_join_at_ = 0;
-  bool rejecting_ = false;  // calls that come, since the process ends
+  bool rejecting_ = false;  // answers new requests with 503, since the process is about to exit
 };
 
 }  // namespace elderkeel::controller
--- a/src/controller/diagnosis_service.cc
+++ b/src/controller/diagnosis_service.cc
@@ -4,27 +4,31 @@
 
 namespace elderkeel::controller {
 namespace {
-constexpr size_t kMaxPending = 16;
-constexpr base::Millis kTimeoutMs = 1500;
+constexpr size_t kMaxPendingInquiries = 16;
+constexpr base::Millis kInquiryTimeoutMs = 1500;
 }  // namespace
 
 void DiagnosisService::Ask(Ticket ticket, const diagnosis::Question& question) {
   if (!context_->replica->started()) {
-    answer_(ticket, http::OwnAnswer(503, "this controller has only just started"));
+    answer_(ticket,
+            http::OwnAnswer(
+                503, "this controller is still starting: it has not discovered all seeds yet"));
     return;
   }
-  if (pending_.size() >= kMaxPending) {
-    answer_(ticket, http::OwnAnswer(503, "too many questions at once"));
+  if (pending_.size() >= kMaxPendingInquiries) {
+    answer_(ticket,
+            http::OwnAnswer(
+                503, "too many status and diagnosis requests are in progress; retry shortly"));
     return;
   }
   base::Millis now = base::SteadyMillis();
   pending_.push_back({ticket, diagnosis::Inquiry(context_->NextToken(), question,
-                                                 TargetsOf(question), now + kTimeoutMs)});
+                                                 TargetsOf(question), now + kInquiryTimeoutMs)});
   Tick(now);
 }
 
-// The dead are asked too, after the others: a suspicion may be wrong, and if they are silent the
-// answer says so.
+// Includes the proxies that membership reports as dead, after the reachable ones: that may be
+// wrong, and the answer names those that do not reply.
 std::vector<diagnosis::Target> DiagnosisService::TargetsOf(
     const diagnosis::Question& question) const {
   std::vector<diagnosis::Target> targets;
--- a/src/controller/diagnosis_service.h
+++ b/src/controller/diagnosis_service.h
@@ -10,22 +10,24 @@
 
 namespace elderkeel::controller {
 
-// Puts a caller's question to all proxies that are known and answers with what they reply. It needs
-// no majority: whoever does not reply is named in the answer.
+// Sends a caller's question to all known proxies and answers with their replies. It needs no
+// majority: the answer names the proxies that did not reply.
 class DiagnosisService {
  public:
   using Ticket = http::HttpServer::Ticket;
   using Answer = std::function<void(Ticket, const http::Message&)>;
-  // Writes the answer to a question about the nodes' state.
+  // Returns the JSON that answers a question about the nodes' state.
   using WriteStatus = std::function<std::string(const diagnosis::Inquiry&)>;
 
   // `context` outlives this object.
   DiagnosisService(Context* context, WriteStatus write_status, Answer answer)
       : context_(context), write_status_(std::move(write_status)), answer_(std::move(answer)) {}
 
+  // Starts an inquiry; its answer follows once all proxies have replied or its time is over.
+  // Answers 503 if the replica has not started or too many inquiries are in progress.
   void Ask(Ticket ticket, const diagnosis::Question& question);
   void OnReply(const base::Address& from, const diagnosis::Reply& reply);
-  // Sends the queries that are due, and answers what is complete or late.
+  // Sends the queries that are due and answers the inquiries that are complete or timed out.
   void Tick(base::Millis now);
 
  private:
--- a/src/controller/freshness_voucher.cc
+++ b/src/controller/freshness_voucher.cc
@@ -5,16 +5,18 @@
 namespace elderkeel::controller {
 namespace {
 constexpr base::Millis kReadTimeoutMs = 1000;
-constexpr base::Millis kMaxAssignmentAgeMs = 1000;  // of the state that names the reader
+// The reader confirms its list only if the log's state here was confirmed as the newest at most so
+// long ago: older state may name a reader that has been replaced.
+constexpr base::Millis kMaxAssignmentAgeMs = 1000;
 }  // namespace
 
-void FreshnessVoucher::NameVouchers() {
+void FreshnessVoucher::UpdateVouchers() {
   const consensus::RaftNode& raft = context_->replica->raft();
   std::optional<base::Address> leader, reader;
   if (auto member = raft.leader(); member && !raft.is_leader()) leader = member->address();
   for (const consensus::Member& voter : raft.voters()) {
-    bool owner = voter.id == context_->state.catalog_reader.owner;
-    if (owner && !poller_->IsReader()) reader = voter.address();
+    bool is_owner = voter.id == context_->state.catalog_reader.owner;
+    if (is_owner && !poller_->IsReader()) reader = voter.address();
   }
   context_->node->SetVouchers(leader, reader);
 }
@@ -29,7 +31,7 @@
 }
 
 void FreshnessVoucher::Tick(base::Millis now) {
-  NameVouchers();
+  UpdateVouchers();
   ConfirmLeadership(now);
   base::Millis log_age = context_->node->disseminator().log_age(now);
   bool assignment_current = log_age >= 0 && log_age <= kMaxAssignmentAgeMs;
--- a/src/controller/json_writer.h
+++ b/src/controller/json_writer.h
@@ -8,7 +8,8 @@
 
 namespace elderkeel::controller {
 
-// Writes a JSON document member by member, in the order of the calls.
+// Writes a JSON document member by member, in the order of the calls. The caller closes each object
+// and array that it begins; text() then returns the document.
 class JsonWriter {
  public:
   void BeginObject() { writer_.StartObject(); }
@@ -27,7 +28,7 @@
     writer_.Key(key);
     writer_.String(value.c_str());
   }
-  // Null for an empty text.
+  // Writes null if `value` is empty.
   void TextOrNull(const char* key, const std::string& value) {
     writer_.Key(key);
     if (value.empty()) {
@@ -45,6 +46,7 @@
     writer_.Key(key);
     writer_.Bool(value);
   }
+  // An item of the array that was begun last.
   void TextItem(const std::string& value) { writer_.String(value.c_str()); }
 
   std::string text() const { return {buffer_.GetString(), buffer_.GetSize()}; }
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -14,17 +14,18 @@
 namespace controller = elderkeel::controller;
 namespace diagnosis = elderkeel::diagnosis;
 
-// What the command line gives to the commands that ask a controller.
-struct InquiryOptions {
+// The command-line options of the commands that query a controller.
+struct QueryOptions {
   std::string settings;
   std::string control;
   bool json = false;
-  std::string attempt, server, revision;  // diagnose: one of them
+  std::string attempt, server, revision;  // diagnose: exactly one of them
   std::string service;                    // rollout
   std::string route, zone;                // failures
-  int64_t last_s = 0;                     // failures; 0 for all
+  int64_t last_s = 0;                     // failures: of the last so many seconds; 0 for all
 };
 
+// Validates a configuration file; returns the exit code.
 int CheckConfiguration(const std::string& path) {
   auto text = base::ReadFile(path);
   if (!text) return base::Complain(path, text.error());
@@ -34,14 +35,15 @@
   return 0;
 }
 
-// Whom to ask: the address given on the command line, or else that of the settings.
+// The address of the controller to query: `given` on the command line, or else listeners.control of
+// the settings file. Errors: the address or the settings file is invalid.
 base::Result<base::Address> ControlAddress(const std::string& given, const std::string& settings) {
   if (!given.empty()) return base::ParseAddress(given);
   return base::LoadSettings(settings).map(
       [](const base::Settings& loaded) { return loaded.control; });
 }
 
-std::string FailuresQuery(const InquiryOptions& options) {
+std::string FailuresQuery(const QueryOptions& options) {
   std::string query;
   auto add = [&query](const char* key, const std::string& value) {
     if (!value.empty()) query += (query.empty() ? "" : "&") + std::string(key) + "=" + value;
@@ -52,59 +54,64 @@
   return query;
 }
 
-std::string DiagnosisQuery(const InquiryOptions& options) {
+std::string DiagnosisQuery(const QueryOptions& options) {
   if (!options.attempt.empty()) return "attempt=" + options.attempt;
   if (!options.server.empty()) return "server=" + options.server;
   return "revision=" + options.revision;
 }
 
-// The commands that ask a controller, and their options.
-struct InquiryCommands {
+// The commands that query a controller.
+struct QueryCommands {
   CLI::App* status;
   CLI::App* diagnose;
   CLI::App* rollout;
   CLI::App* failures;
 };
 
-CLI::App* AddInquiry(CLI::App* app, const char* name, const char* description,
-                     InquiryOptions* options) {
+CLI::App* AddQueryCommand(CLI::App* app, const char* name, const char* description,
+                          QueryOptions* options) {
   CLI::App* command = app->add_subcommand(name, description);
   command->add_option(
       "--control", options->control,
       "Address and port of a controller (default: listeners.control of the settings)");
-  command->add_option("--settings", options->settings, "Settings file to take the address from");
-  command->add_flag("--json", options->json, "Show the answer as JSON");
+  command->add_option("--settings", options->settings,
+                      "Settings file that names the controller's address");
+  command->add_flag("--json", options->json, "Print the answer as JSON");
   return command;
 }
 
-InquiryCommands AddInquiries(CLI::App* app, InquiryOptions* options) {
-  InquiryCommands commands{};
-  commands.status = AddInquiry(app, "status", "Show the fleet as a controller sees it", options);
-  commands.diagnose =
-      AddInquiry(app, "diagnose", "Ask the records of all proxies what happened", options);
+QueryCommands AddQueryCommands(CLI::App* app, QueryOptions* options) {
+  QueryCommands commands{};
+  commands.status = AddQueryCommand(
+      app, "status", "Show the state of the fleet in the view of one controller", options);
+  commands.diagnose = AddQueryCommand(
+      app, "diagnose", "Search the records of all proxies for a request, server or revision",
+      options);
   auto* about = commands.diagnose->add_option_group("about");
-  about->add_option("--attempt", options->attempt, "A request, by its attempt id");
-  about->add_option("--server", options->server, "A server, by its id");
-  about->add_option("--revision", options->revision, "A version of the configuration");
+  about->add_option("--attempt", options->attempt, "The attempt id of a request");
+  about->add_option("--server", options->server, "The id of a server");
+  about->add_option("--revision", options->revision, "A revision of the configuration");
   about->require_option(1);
-  commands.rollout = AddInquiry(
-      app, "rollout", "Show the roll-outs of versions, their votes and evidence", options);
-  commands.rollout->add_option("service", options->service, "Only this service's");
-  commands.failures = AddInquiry(
+  commands.rollout = AddQueryCommand(
+      app, "rollout", "Show the roll-outs of service versions with their votes and counters",
+      options);
+  commands.rollout->add_option("service", options->service, "Only the roll-out of this service");
+  commands.failures = AddQueryCommand(
       app, "failures", "Show which requests failed, from the records of all proxies", options);
-  commands.failures->add_option("--route", options->route, "Only those of this route");
+  commands.failures->add_option("--route", options->route, "Only requests on this route");
   commands.failures->add_option("--zone", options->zone,
-                                "Only those that proxies of this zone took");
-  commands.failures->add_option("--last", options->last_s, "Only those of the last so many seconds")
+                                "Only requests received by proxies in this zone");
+  commands.failures
+      ->add_option("--last", options->last_s, "Only requests of the last so many seconds")
       ->check(CLI::PositiveNumber);
   return commands;
 }
 
-// The exit code.
-int Ask(const InquiryCommands& commands, const InquiryOptions& options) {
+// Runs the query command that was given; returns the exit code.
+int RunQuery(const QueryCommands& commands, const QueryOptions& options) {
   base::Result<base::Address> address = ControlAddress(options.control, options.settings);
   if (!address) {
-    std::cerr << "no controller to ask: " << address.error().reason << "\n";
+    std::cerr << "can't determine the address of a controller: " << address.error().reason << "\n";
     return diagnosis::kUsage;
   }
   if (commands.status->parsed()) return diagnosis::ShowStatus(*address, options.json);
@@ -123,7 +130,7 @@
   CLI::App app{"elderkeel's control plane: configuration, servers and nodes"};
   app.set_version_flag("--version", "elderkeel controller " ELDERKEEL_VERSION);
   app.require_subcommand(1);
-  InquiryOptions options;
+  QueryOptions options;
   options.settings = base::SettingsPath();
   std::string configuration;
 
@@ -132,11 +139,11 @@
   CLI::App* check = app.add_subcommand("check", "Check a settings file or a configuration");
   check->add_option("--settings", options.settings, "Settings file to check");
   auto* check_configuration =
-      check->add_option("--configuration", configuration, "Configuration (JSON) to check");
-  InquiryCommands inquiries = AddInquiries(&app, &options);
+      check->add_option("--configuration", configuration, "Configuration file (JSON) to check");
+  QueryCommands query_commands = AddQueryCommands(&app, &options);
   app.footer(
-      "Exit codes: 0 well; 1 answered, but degraded or incomplete; 2 wrong use or invalid file;\n"
-      "3 no controller answered.");
+      "Exit codes: 0 success; 1 degraded or incomplete answer, or failure to start;\n"
+      "2 usage error or invalid file; 3 no controller answered.");
 
   try {
     app.parse(argc, argv);
@@ -145,7 +152,7 @@
     return code == 0 ? 0 : 2;
   }
   if (run->parsed()) return base::RunProcess<controller::Controller>(options.settings);
-  if (!check->parsed()) return Ask(inquiries, options);
+  if (!check->parsed()) return RunQuery(query_commands, options);
   if (check_configuration->count()) return CheckConfiguration(configuration);
   return base::CheckSettingsFile(options.settings);
 }
--- a/src/controller/rollout_manager.cc
+++ b/src/controller/rollout_manager.cc
@@ -6,7 +6,7 @@
 namespace elderkeel::controller {
 namespace {
 
-constexpr base::Millis kDetectVersionsEveryMs = 500;
+constexpr base::Millis kVersionDetectionIntervalMs = 500;
 
 rollout::Observer::Options ObserverOptions(const Context& context) {
   rollout::Observer::Options options;
@@ -33,7 +33,8 @@
   return context_->replica->Propose(MakeCommand(Command::Kind::kRollout, step));
 }
 
-// Controllers that have a part in the log observe, since they hear the leader.
+// Controllers with a disk are preferred: they take part in the log, so they are in contact with the
+// leader. Without any, all controllers that are alive are candidates.
 std::vector<rollout::Candidate> RolloutManager::ObserverCandidates() const {
   std::vector<rollout::Candidate> durable, all;
   for (const auto& [id, node] : context_->node->membership().nodes()) {
@@ -65,11 +66,11 @@
                                  {"stage", stage},
                                  {"reason", rollout.reason},
                                  {"elapsed_ms", rollout.elapsed_ms}});
-    context_->Note("rollout." + std::string(stage), service + " " + rollout.order.version);
+    context_->RecordEvent("rollout." + std::string(stage), service + " " + rollout.order.version);
   }
 }
 
-// Observers know routes by their keys alone; who reads the reason knows them by their labels.
+// Observers identify routes by their keys only; replaces these by the labels that operators use.
 std::string RolloutManager::WithRouteLabels(std::string reason) const {
   for (const std::string& label : context_->state.configuration.document().RouteLabels()) {
     std::string key = "route " + std::to_string(rollout::RouteKey(label)) + ":";
@@ -93,8 +94,8 @@
 
 void RolloutManager::ProposeDetectedVersions(base::Millis now) {
   const discovery::EndpointSnapshot& endpoints = context_->node->disseminator().endpoints();
-  if (endpoints.epoch == 0 || now < detect_at_) return;
-  detect_at_ = now + kDetectVersionsEveryMs;
+  if (endpoints.epoch == 0 || now < next_detection_at_) return;
+  next_detection_at_ = now + kVersionDetectionIntervalMs;
   rollout::Step step;
   step.found = rollout::DetectVersions(context_->state.rollouts, endpoints);
   if (step.found.empty()) return;
--- a/src/controller/rollout_manager.h
+++ b/src/controller/rollout_manager.h
@@ -13,21 +13,24 @@
 
 namespace elderkeel::controller {
 
-// A controller's part in roll-outs: as the leader it proposes their next steps, as an observer it
-// counts what proxies report and votes.
+// A controller's part in roll-outs: as the leader it proposes their next steps; as an observer it
+// sums up the reports of proxies and votes on the new version. Controller calls it on each tick,
+// when the log's state changes and when messages arrive.
 class RolloutManager {
  public:
   // `context` outlives this object, and its node has started.
   explicit RolloutManager(Context* context);
 
-  // The state of the roll-outs changed, by the log or by a snapshot.
+  // The state of the roll-outs changed, by entries of the log or by a snapshot.
   void OnStateChanged(base::Millis now);
-  // Proposes an order; the index of its entry.
+  // Proposes an order. Returns the index of its entry; none if the log accepts no entry now.
   std::optional<uint64_t> Propose(const rollout::RolloutOrder& order);
-  // The leader's part.
+  // For the leader: proposes the steps that are due.
   void Review(base::Millis now);
-  // The observer's part: sends the votes that are due.
+  // For an observer: sends the votes that are due to the leader.
   void SendVotes(base::Millis now);
+  // For an observer: takes a proxy's report and renews the proxy's lease if the report asks for
+  // that and this controller is in contact with a leader.
   void OnProxyReport(const base::Address& from, const rollout::ProxyReport& report);
   void OnVote(base::Millis now, const rollout::Vote& vote) { coordinator_.OnVote(now, vote); }
 
@@ -43,7 +46,7 @@
   rollout::RolloutCoordinator coordinator_;
   rollout::Observer observer_;
   std::map<std::string, std::string> logged_stages_;  // by service
-  base::Millis detect_at_ = 0;  // when versions are looked for next in the list of servers
+  base::Millis next_detection_at_ = 0;  // when versions are next detected in the list of servers
 };
 
 }  // namespace elderkeel::controller
--- a/src/controller/status_writer.cc
+++ b/src/controller/status_writer.cc
@@ -19,16 +19,16 @@
     json->Text("address", voter.address().ToString());
     json->Text("control", voter.control);
     if (raft.is_leader()) {
-      base::Millis last = raft.LastContact(voter.id);
-      json->Number("silent-ms", last < 0 ? -1 : now - last);
+      base::Millis last_contact = raft.LastContact(voter.id);
+      json->Number("silent-ms", last_contact < 0 ? -1 : now - last_contact);
     }
     json->EndObject();
   }
   json->EndArray();
 }
 
-// What the replica of the log knows. REQUIRES: it is running.
-void WriteLog(const Context& context, base::Millis now, JsonWriter* json) {
+// The state of the replica of the log. REQUIRES: the replica is running.
+void WriteReplica(const Context& context, base::Millis now, JsonWriter* json) {
   const consensus::RaftNode& raft = context.replica->raft();
   json->Text("role", consensus::RoleName(raft.role()));
   json->Number("term", raft.term());
@@ -38,7 +38,9 @@
   bool in_contact = context.IsInContactWithLeader(now);
   json->Flag("settled", in_contact);
   if (!in_contact) {
-    json->Text("unknown", "no majority is heard: what follows is this controller's own view");
+    json->Text(
+        "unknown",
+        "no contact with a quorum: this is the controller's own view and may be out of date");
   }
   WriteVoters(raft, now, json);
 }
@@ -100,7 +102,7 @@
   json->Text("state", membership::StateName(node.state));
   if (is_proxy) {
     const diagnosis::Reply* reply = replies.Of(node.address().ToString());
-    // What a silent node serves by is not known, whatever was received before.
+    // The state of a proxy that did not reply is unknown: what it reported earlier may be outdated.
     std::string line = reply && !reply->lines.empty() ? reply->lines[0] : "";
     json->Text("revision", line.empty() ? "unknown" : diagnosis::ValueOf(line, "revision"));
     json->Text("ready", line.empty() ? "unknown" : diagnosis::ValueOf(line, "ready"));
@@ -221,7 +223,7 @@
   json.BeginObject();
   json.Text("node", context.settings.node_name);
   WriteStore(*context.replica, &json);
-  if (context.replica->running()) WriteLog(context, now, &json);
+  if (context.replica->running()) WriteReplica(context, now, &json);
   json.Number("revision", context.state.configuration.revision());
   WriteDrainedZones(disseminator.drained_zones(), &json);
   WriteRolloutSummaries(context.state.rollouts, &json);
@@ -239,7 +241,9 @@
                           std::string_view service, base::Millis now) {
   const rollout::Rollouts& rollouts = context.state.rollouts;
   if (!service.empty() && !rollouts.Of(std::string(service))) return "";
-  auto is_asked = [service](const std::string& name) { return service.empty() || name == service; };
+  auto is_requested = [service](const std::string& name) {
+    return service.empty() || name == service;
+  };
   JsonWriter json;
   json.BeginObject();
   json.Text("node", context.settings.node_name);
@@ -247,13 +251,13 @@
   json.Flag("by-order", context.settings.VersionsByOrder());
   json.BeginObject("in-force");
   for (const auto& [name, version] : rollouts.in_force()) {
-    if (is_asked(name)) json.Text(name.c_str(), version);
+    if (is_requested(name)) json.Text(name.c_str(), version);
   }
   json.EndObject();
   json.BeginArray("rollouts");
   RolloutWriter writer(context, coordinator, now, &json);
   for (const auto& [name, rollout] : rollouts.rollouts()) {
-    if (is_asked(name)) writer.Write(name, rollout);
+    if (is_requested(name)) writer.Write(name, rollout);
   }
   json.EndArray();
   json.EndObject();
--- a/src/controller/status_writer.h
+++ b/src/controller/status_writer.h
@@ -7,14 +7,15 @@
 #include "diagnosis/diagnosis.h"
 #include "rollout/coordinator.h"
 
-// The JSON that a controller answers questions about itself and the fleet with. docs/operate.md
-// says what the members mean.
+// The JSON documents in which a controller reports its own state and that of the fleet.
+// docs/operate.md describes their members.
 namespace elderkeel::controller {
 
-// The fleet as this controller knows it; `nodes` holds what the proxies replied.
+// The state of this controller and its view of the fleet. `nodes` holds the proxies' replies.
 std::string WriteStatus(const Context& context, const diagnosis::Inquiry& nodes, base::Millis now);
 
-// The roll-outs, or one service's: their state, votes and evidence. Empty if that service has none.
+// The state, votes and counters of all roll-outs, or only of `service` if that is not empty.
+// Returns an empty string if that service has no roll-out.
 std::string WriteRollouts(const Context& context, const rollout::RolloutCoordinator& coordinator,
                           std::string_view service, base::Millis now);
 
