--- a/src/rollout/canary_policy.cc
+++ b/src/rollout/canary_policy.cc
@@ -6,14 +6,17 @@
 
 namespace elderkeel::rollout {
 namespace {
-constexpr double kTargetShare = 0.6;  // of what may be exposed: what a canary gets
-constexpr double kMaxShare = 0.9;     // and what it can never exceed, by count
-constexpr double kMaxCredit = 3;
-constexpr double kBreakerShare =
-    0.25;  // of its canary state that a proxy keeps that sees plain badness
+// Of the share that may be exposed: what a canary is meant to get, and what it can't exceed by
+// count.
+constexpr double kTargetFraction = 0.6;
+constexpr double kMaxFraction = 0.9;
+constexpr double kMaxCredit = 3;  // attempts that a proxy may save up
+// The part of the canary share that a proxy keeps while it sees the new version fail.
+constexpr double kFailingFraction = 0.25;
 constexpr uint32_t kBreakerMinFailures = 3;
-constexpr base::Millis kBreakerOpenMs = 1500;  // by then there is a verdict, or it was chance
-constexpr size_t kMaxRows = 64;
+// By the end of this time there is a verdict, unless the failures were chance.
+constexpr base::Millis kBreakerOpenMs = 1500;
+constexpr size_t kMaxRows = 64;  // routes per report
 }  // namespace
 
 void CanaryPolicy::Adopt(base::Millis now, const Rollouts& rollouts) {
@@ -31,14 +34,14 @@
     if (before != active_.end() && before->second.rollout.number == rollout.number) {
       state = std::move(before->second);
     } else {
-      state.since = state.lease_renewed_at = now;
-      // Right after the order the lease needs no renewal yet.
-      state.stage_at = now;
+      // The first lease starts with the order and needs no renewal.
+      state.adopted_at = state.lease_renewed_at = now;
+      state.stage_entered_at = now;
     }
     if (state.rollout.stage != rollout.stage) {
-      state.stage_at = now;
-      state.answers = state.bad = 0;
-      state.bad_at = 0;
+      state.stage_entered_at = now;
+      state.answers = state.failures = 0;
+      state.failing_servers = 0;
     }
     state.rollout = rollout;
     active[service] = std::move(state);
@@ -47,15 +50,16 @@
 }
 
 void CanaryPolicy::OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal) {
-  // The lease runs from the question: the answer may have been on its way, or in the socket of a
-  // suspended process, for longer than the lease lasts.
-  bool names_question = renewal.asked_at != 0;
-  if (names_question && renewal.asked_at > now) return;
+  // The lease runs from the time of the report, not from the arrival of the renewal: the renewal
+  // may have spent longer than the lease in transit or in the socket of a suspended process.
+  bool has_report_time = renewal.asked_at != 0;
+  if (has_report_time && renewal.asked_at > now) return;
   for (auto& [service, state] : active_) {
-    // An observer that knows of less than this proxy can't know that nothing was taken back since.
+    // An observer with an older state than this proxy may have missed that the roll-out was
+    // reverted.
     if (state.rollout.number != renewal.number || renewal.version < version_) continue;
     state.lease_renewed_at =
-        names_question ? std::max(state.lease_renewed_at, renewal.asked_at) : now;
+        has_report_time ? std::max(state.lease_renewed_at, renewal.asked_at) : now;
   }
 }
 
@@ -77,23 +81,25 @@
 }
 
 bool CanaryPolicy::IsFailing(const ServiceState& state) {
-  return state.bad >= kBreakerMinFailures && state.bad * 10 >= state.answers * 3;
+  return state.failures >= kBreakerMinFailures && state.failures * 10 >= state.answers * 3;
 }
 
-// Slowly at first: what turns out bad now costs most of what may be exposed.
+// The share grows with the square of the time. It starts slowly because a version that turns out
+// bad at this point uses up most of the permitted exposure.
 double CanaryPolicy::ShiftedShare(base::Millis now, const ServiceState& state) const {
   if (state.rollout.stage != Stage::kPromoting) return 0;
-  double way = static_cast<double>(now - std::max(state.stage_at, state.breaker_open_until)) /
-               static_cast<double>(options_.ramp);
-  way = std::clamp(way, 0.0, 1.0);
-  return way * way;
+  double progress =
+      static_cast<double>(now - std::max(state.stage_entered_at, state.breaker_open_until)) /
+      static_cast<double>(options_.ramp);
+  progress = std::clamp(progress, 0.0, 1.0);
+  return progress * progress;
 }
 
 Rule CanaryPolicy::RuleOf(base::Millis now, const std::string& service) const {
   Rule rule;
   auto in_force = in_force_.find(service);
-  auto turned_down = reverted_.find(service);
-  if (turned_down != reverted_.end()) rule.excluded = turned_down->second;
+  auto reverted = reverted_.find(service);
+  if (reverted != reverted_.end()) rule.excluded = reverted->second;
   auto at = active_.find(service);
   if (at == active_.end()) {
     if (in_force == in_force_.end() && rule.excluded.empty()) return rule;
@@ -119,14 +125,14 @@
   return rule;
 }
 
-double CanaryPolicy::CanaryShare() const { return options_.share * kTargetShare; }
+double CanaryPolicy::CanaryShare() const { return options_.share * kTargetFraction; }
 
 void CanaryPolicy::CountRequest(const std::string& service) {
   auto at = active_.find(service);
   if (at == active_.end()) return;
   ServiceState& state = at->second;
   ++state.requests;
-  state.credit = std::min(kMaxCredit, state.credit + options_.share * kMaxShare);
+  state.credit = std::min(kMaxCredit, state.credit + options_.share * kMaxFraction);
 }
 
 bool CanaryPolicy::TakesSecondary(base::Millis now, const std::string& service,
@@ -134,6 +140,7 @@
   auto at = active_.find(service);
   if (at == active_.end() || !MaySendToNew(now, at->second)) return false;
   const ServiceState& state = at->second;
+  // The same request gets the same draw within a roll-out.
   double draw =
       static_cast<double>(base::Random(key ^ state.rollout.number).Next() >> 11) * 0x1p-53;
   double canary = CanaryShare();
@@ -141,7 +148,7 @@
     return draw >= canary + (1 - canary) * ShiftedShare(now, state);
   }
   if (state.rollout.stage != Stage::kCanary || state.credit < 1) return false;
-  return draw < canary * (IsFailing(state) ? kBreakerShare : 1);
+  return draw < canary * (IsFailing(state) ? kFailingFraction : 1);
 }
 
 bool CanaryPolicy::RetriesToSecondary(base::Millis now, const std::string& service) const {
@@ -180,15 +187,15 @@
   if (!target) return;
   ++state.answers;
   if (send.ending == Outcome::kComplete) return;
-  ++state.bad;
-  state.bad_at |= bit;
-  // One server alone is no sign of the version. The breaker closes by itself, and the shift begins
-  // anew.
-  bool several = (state.bad_at & (state.bad_at - 1)) != 0;
+  ++state.failures;
+  state.failing_servers |= bit;
+  // Failures of a single server are not attributed to the version. When the breaker closes after
+  // its time, the shift of the traffic starts again from 0.
+  bool several = (state.failing_servers & (state.failing_servers - 1)) != 0;
   if (state.rollout.stage != Stage::kPromoting || !several || !IsFailing(state)) return;
   state.breaker_open_until = now + kBreakerOpenMs;
-  state.answers = state.bad = 0;
-  state.bad_at = 0;
+  state.answers = state.failures = 0;
+  state.failing_servers = 0;
 }
 
 ProxyReport CanaryPolicy::MakeReport(base::Millis now, const std::string& service) const {
@@ -198,7 +205,7 @@
   const ServiceState& state = at->second;
   report.number = state.rollout.number;
   report.version = version_;
-  report.age_ms = static_cast<uint32_t>(std::min<base::Millis>(now - state.since, UINT32_MAX));
+  report.age_ms = static_cast<uint32_t>(std::min<base::Millis>(now - state.adopted_at, UINT32_MAX));
   report.requests = state.requests;
   report.exposed = state.exposed;
   report.confirmed = state.rollout.stage == Stage::kReverting ||
--- a/src/rollout/canary_policy.h
+++ b/src/rollout/canary_policy.h
@@ -10,55 +10,63 @@
 
 namespace elderkeel::rollout {
 
-// Which versions of one service may be sent to, as this proxy knows it now.
+// Which versions of one service this proxy may send requests to.
 struct Rule {
-  bool known = false;     // else any
-  std::string primary;    // empty: any but `side` and `barred`
-  std::string secondary;  // gets those requests that `TakesSecondary` says; empty: none
-  std::string excluded;   // never, whatever else is left
-  bool limited = false;   // only a few servers of `side`
-  uint64_t number = 0;
+  bool known = false;     // false: nothing is known of the service's versions; any may be used
+  std::string primary;    // empty: any version except `secondary` and `excluded`
+  std::string secondary;  // for requests that `TakesSecondary` selects; empty: none
+  std::string excluded;   // is never used, even if no other version has servers
+  bool limited = false;   // only a few servers of `secondary` may be used
+  uint64_t number = 0;    // of the roll-out under way; 0 if there is none
   bool operator==(const Rule& o) const {
     return known == o.known && primary == o.primary && secondary == o.secondary &&
            excluded == o.excluded && limited == o.limited && number == o.number;
   }
 };
 
-// One proxy's state in roll-outs: which version a request goes to, within this proxy's share of
-// what a version that is not proven may get, and the counts that the observers compare. Pure.
+// One proxy's state in roll-outs. It decides which version a request goes to, keeps the requests
+// to an unproven version within this proxy's share, and counts the results that the observers
+// compare. The proxy's forwarding path calls it for each request and attempt. It does no I/O and
+// reads no clock.
 class CanaryPolicy {
  public:
   struct Options {
     double share = 0.1;         // of a service's requests that may go to an unproven version
-    base::Millis lease = 2500;  // without a renewal for so long, no unproven version
+    base::Millis lease = 2500;  // without a renewal for this long, no unproven version is used
     base::Millis ramp = 1000;   // in which the traffic moves over when a version is promoted
   };
   explicit CanaryPolicy(Options options) : options_(options) {}
 
+  // Takes over a newer replicated state.
   void Adopt(base::Millis now, const Rollouts& rollouts);
-  // An observer answered.
+  // Extends the lease after an observer has answered a report.
   void OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal);
-  // Which versions of the service may be sent to now.
+  // Which versions of the service may be used now.
   Rule RuleOf(base::Millis now, const std::string& service) const;
 
+  // Whether any roll-out is under way.
   bool active() const { return !active_.empty(); }
-  // Whether any is being promoted.
+  // Whether any version is being promoted.
   bool IsShifting() const;
   // Services with a roll-out under way.
   std::vector<std::string> ActiveServices() const;
-  // Null where none is under way.
+  // The service's roll-out under way; null if there is none.
   const Rollout* RolloutOf(const std::string& service) const;
 
-  // What state of a service's requests a canary is meant to get.
+  // The share of a service's requests that a canary is meant to get.
   double CanaryShare() const;
-  // A request for the service came in.
+  // Counts a request for the service.
   void CountRequest(const std::string& service);
-  // Whether a request, by a hash of its id, goes to the side version first.
+  // Whether the first attempt of a request goes to the secondary version. `key` is a hash of the
+  // request's id.
   bool TakesSecondary(base::Millis now, const std::string& service, uint64_t key) const;
-  // Whether a further try may go to the side version: while the traffic moves, to the old one.
+  // Whether a retry may go to the secondary version. True only while the traffic moves, when the
+  // secondary version is the old one.
   bool RetriesToSecondary(base::Millis now, const std::string& service) const;
 
+  // Counts an attempt that is sent to a server of `version`.
   void CountAttempt(const std::string& service, const std::string& version);
+  // kFailed: a complete answer that reports a failure of the server; kBroken: no valid answer.
   enum class Outcome : uint8_t { kComplete, kFailed, kBroken };
   struct SentRequest {
     std::string service;
@@ -66,45 +74,51 @@
     std::string server;
     std::string route;
     Outcome ending = Outcome::kComplete;
-    bool timed = false;  // its time says something
-    bool late = false;
+    bool timed = false;  // its latency may be compared; false for a server in slow start
+    bool late = false;   // took longer than the route's limit for late answers
   };
+  // Counts the outcome of an attempt. During a promotion it may open the circuit breaker.
   void CountOutcome(base::Millis now, const SentRequest& send);
 
-  // The report to the observers. The caller fills in who it is and what is in flight.
+  // The report to the observers. The caller fills in the node's identity and the requests in
+  // flight.
   ProxyReport MakeReport(base::Millis now, const std::string& service) const;
 
  private:
   struct ServiceState {
     Rollout rollout;
-    base::Millis since = 0;     // of the order, here
-    base::Millis stage_at = 0;  // of the stage, here
+    base::Millis adopted_at = 0;        // when this proxy adopted the order
+    base::Millis stage_entered_at = 0;  // when this proxy adopted the stage
     base::Millis lease_renewed_at = 0;
-    double credit = 0;  // sends to the new version that this proxy may make
+    double credit = 0;  // attempts to the new version that this proxy may make
     uint32_t requests = 0;
-    uint32_t exposed = 0;
+    uint32_t exposed = 0;             // attempts sent to the new version
     std::map<std::string, Row> rows;  // by the route's label
-    // Of the new version, here, in this stage; which servers were bad, by a hash.
-    uint32_t answers = 0, bad = 0;
-    uint64_t bad_at = 0;
-    base::Millis breaker_open_until = 0;  // while promoting: back at the old version until then
+    // Answers and failures of the new version, as seen by this proxy in this stage.
+    uint32_t answers = 0, failures = 0;
+    uint64_t failing_servers = 0;  // bit set of hashes of the servers' ids
+    // While promoting: until then, all requests go to the old version.
+    base::Millis breaker_open_until = 0;
   };
-  // What this proxy's own answers say, long before a verdict can be here.
+  // Whether this proxy's own answers show that the new version fails. It is true well before
+  // a verdict of the controllers can arrive.
   static bool IsFailing(const ServiceState& state);
-  // Whether anything may go to the new version from here: the lease is valid and the circuit
-  // breaker closed.
+  // Whether this proxy may send to the new version: the lease is valid and the circuit breaker is
+  // closed.
   bool MaySendToNew(base::Millis now, const ServiceState& state) const {
     bool breaker_open = state.rollout.stage == Stage::kPromoting && now < state.breaker_open_until;
     return now - state.lease_renewed_at < options_.lease && !breaker_open;
   }
-  // From 0, before the traffic moves, to 1.
+  // The share of the traffic that has moved to the new version: 0 before the promotion, 1 at the
+  // end of the ramp.
   double ShiftedShare(base::Millis now, const ServiceState& state) const;
 
   Options options_;
-  uint64_t version_ = 0;
+  uint64_t version_ = 0;  // of the adopted Rollouts
   std::map<std::string, std::string> in_force_;
-  std::map<std::string, std::string> reverted_;  // versions that the newest roll-out turned down
-  std::map<std::string, ServiceState> active_;   // by service
+  // Versions that the newest roll-out of their service rejected.
+  std::map<std::string, std::string> reverted_;
+  std::map<std::string, ServiceState> active_;  // by service
 };
 
 }  // namespace elderkeel::rollout
--- a/src/rollout/coordinator.cc
+++ b/src/rollout/coordinator.cc
@@ -10,21 +10,22 @@
 constexpr size_t kObservers = 3;
 constexpr base::Millis kMinPromotionMs = 2500;
 constexpr base::Millis kMaxPromotionMs = 4500;
-constexpr base::Millis kNoVerdictMs = 1500;  // before the term: it can't be completed any more
-constexpr base::Millis kLeaveOutMs =
-    700;  // before the term: those that don't report are waited for no more
+// Before the order's time limit: a roll-out that is still a canary can no longer complete in time.
+constexpr base::Millis kVerdictDeadlineMs = 1500;
+// Before the order's time limit: proxies that don't report are no longer waited for.
+constexpr base::Millis kReportDeadlineMs = 700;
 }  // namespace
 
 std::vector<uint64_t> ChooseObservers(const std::string& service,
                                       const std::vector<Candidate>& candidates,
                                       const std::vector<uint64_t>& keep) {
-  std::vector<uint64_t> named;
+  std::vector<uint64_t> chosen;
   std::set<std::string> zones;
   std::vector<std::pair<uint64_t, const Candidate*>> order;
   uint64_t key = base::Hash(service);
   for (const Candidate& candidate : candidates) {
     if (std::find(keep.begin(), keep.end(), candidate.id) != keep.end()) {
-      named.push_back(candidate.id);
+      chosen.push_back(candidate.id);
       zones.insert(candidate.zone);
     } else {
       order.emplace_back(base::Random(key ^ candidate.id).Next(), &candidate);
@@ -33,18 +34,18 @@
   std::sort(order.begin(), order.end());
   for (bool other_zones : {true, false}) {
     for (const auto& [draw, candidate] : order) {
-      if (named.size() >= kObservers) return named;
-      if (std::find(named.begin(), named.end(), candidate->id) != named.end()) continue;
+      if (chosen.size() >= kObservers) return chosen;
+      if (std::find(chosen.begin(), chosen.end(), candidate->id) != chosen.end()) continue;
       if (other_zones && !zones.insert(candidate->zone).second) continue;
-      named.push_back(candidate->id);
+      chosen.push_back(candidate->id);
     }
   }
-  return named;
+  return chosen;
 }
 
-base::Millis RolloutCoordinator::PromotionTime(base::Millis term) {
-  return std::min(term / 2,
-                  std::clamp<base::Millis>(term * 3 / 10, kMinPromotionMs, kMaxPromotionMs));
+base::Millis RolloutCoordinator::PromotionTime(base::Millis limit) {
+  return std::min(limit / 2,
+                  std::clamp<base::Millis>(limit * 3 / 10, kMinPromotionMs, kMaxPromotionMs));
 }
 
 void RolloutCoordinator::Adopt(base::Millis now, const Rollouts& rollouts) {
@@ -55,13 +56,13 @@
     if (before != tracked_.end()) {
       next = std::move(before->second);
     } else {
-      next.since = now - rollout.elapsed_ms;
+      next.ordered_at = now - rollout.elapsed_ms;
       next.stage = rollout.stage;
-      next.stage_at = now;
+      next.stage_entered_at = now;
     }
     if (next.stage != rollout.stage) {
       next.stage = rollout.stage;
-      next.stage_at = now;
+      next.stage_entered_at = now;
     }
     tracked[rollout.number] = std::move(next);
   }
@@ -72,13 +73,13 @@
   auto at = tracked_.find(vote.number);
   if (at == tracked_.end()) return;
   TrackedRollout& tracked = at->second;
-  tracked.since = std::min(tracked.since, now - static_cast<base::Millis>(vote.age_ms));
+  tracked.ordered_at = std::min(tracked.ordered_at, now - static_cast<base::Millis>(vote.age_ms));
   auto received = tracked.votes.find(vote.observer);
   if (received == tracked.votes.end()) {
     if (tracked.votes.size() < 64) tracked.votes[vote.observer] = {vote, now, {}};
     return;
   }
-  // A vote of an earlier start of the process counts no more, however late it arrives.
+  // A delayed vote of an earlier start of the observer's process must not replace a newer vote.
   ReceivedVote& last = received->second;
   std::vector<uint64_t>& former = last.former_boot_ids;
   if (std::find(former.begin(), former.end(), vote.boot_id) != former.end()) return;
@@ -92,7 +93,7 @@
 
 base::Millis RolloutCoordinator::Age(base::Millis now, const Rollout& rollout) const {
   auto at = tracked_.find(rollout.number);
-  return at == tracked_.end() ? 0 : now - at->second.since;
+  return at == tracked_.end() ? 0 : now - at->second.ordered_at;
 }
 
 const std::map<uint64_t, RolloutCoordinator::ReceivedVote>& RolloutCoordinator::VotesOn(
@@ -107,19 +108,19 @@
                                                              const TrackedRollout& tracked,
                                                              uint64_t version) const {
   VoteCount votes;
-  std::string doubt;
+  std::string abstention;
   bool reporting_moved = false, still_moving = false;
   for (uint64_t observer : rollout.observers) {
     auto at = tracked.votes.find(observer);
-    if (at == tracked.votes.end() || now - at->second.at > options_.fresh) continue;
+    if (at == tracked.votes.end() || now - at->second.at > options_.vote_lifetime) continue;
     const Vote& vote = at->second.vote;
     ++votes.reporting;
     if (vote.opinion == Opinion::kGood) ++votes.good;
     if (vote.opinion == Opinion::kBad) {
       ++votes.bad;
-      votes.why = vote.why;
+      votes.reason = vote.why;
     } else if (!vote.why.empty()) {
-      doubt = vote.why;
+      abstention = vote.why;
     }
     if (vote.version < version || vote.known_proxies == 0) continue;
     bool all = vote.unconfirmed == 0 && vote.not_reporting == 0;
@@ -131,9 +132,10 @@
                       std::to_string(vote.not_reporting) + " not heard have not confirmed";
     }
   }
-  // An observer that is cut off itself has few reports of who could still be shifting.
+  // One observer with an unconfirmed proxy is enough to wait: an observer that is partitioned
+  // itself lacks the reports of proxies that may still be shifting.
   votes.reporting_moved = reporting_moved && !still_moving;
-  if (votes.why.empty()) votes.why = doubt;
+  if (votes.reason.empty()) votes.reason = abstention;
   return votes;
 }
 
@@ -141,33 +143,34 @@
                                                             const Rollout& rollout,
                                                             const TrackedRollout& tracked,
                                                             const VoteCount& votes) const {
-  base::Millis term = rollout.order.over_ms;
-  base::Millis age = now - tracked.since;
+  base::Millis limit = rollout.order.over_ms;
+  base::Millis age = now - tracked.ordered_at;
   bool bad = votes.bad * 2 > votes.reporting;
   bool good = votes.good * 2 > rollout.observers.size();
   switch (rollout.stage) {
     case Stage::kCanary:
-      if (bad) return {Stage::kReverting, "voted bad: " + votes.why};
-      if (age >= term - std::min(kNoVerdictMs, term / 4)) {
+      if (bad) return {Stage::kReverting, "voted bad: " + votes.reason};
+      if (age >= limit - std::min(kVerdictDeadlineMs, limit / 4)) {
         return {Stage::kReverting,
-                "no verdict by the term: " + (votes.why.empty() ? "no vote" : votes.why)};
+                "no verdict by the term: " + (votes.reason.empty() ? "no vote" : votes.reason)};
       }
-      if (age >= term - PromotionTime(term) && good) return {Stage::kPromoting, "voted good"};
+      if (age >= limit - PromotionTime(limit) && good) return {Stage::kPromoting, "voted good"};
       break;
     case Stage::kPromoting:
-      if (bad) return {Stage::kReverting, "voted bad while it was promoted: " + votes.why};
+      if (bad) return {Stage::kReverting, "voted bad while it was promoted: " + votes.reason};
       if (votes.confirmed) return {Stage::kCompleted, "all proxies have moved"};
-      // Those that can't be reached learn of it when they can; they can't be waited for.
-      if (age >= term - kLeaveOutMs && votes.reporting_moved) {
+      // Proxies that can't be reached adopt the new stage once they can be; waiting for them would
+      // overrun the order's time limit.
+      if (age >= limit - kReportDeadlineMs && votes.reporting_moved) {
         return {Stage::kCompleted, "all proxies that are heard have moved; " + votes.missing};
       }
-      if (age >= term + options_.overtime) {
+      if (age >= limit + options_.completion_grace) {
         return {Stage::kCompleted, "waited long enough; " + votes.missing};
       }
       break;
     case Stage::kReverting:
       if (votes.confirmed) return {Stage::kReverted, rollout.reason};
-      if (now - tracked.stage_at >= options_.revert) {
+      if (now - tracked.stage_entered_at >= options_.revert_timeout) {
         return {Stage::kReverted,
                 rollout.reason + (votes.missing.empty() ? "" : "; " + votes.missing)};
       }
@@ -188,14 +191,14 @@
     if (at == tracked_.end()) continue;
     TrackedRollout& tracked = at->second;
     if (tracked.proposed_version == rollouts.version() &&
-        now - tracked.proposed_at < options_.propose) {
+        now - tracked.proposed_at < options_.proposal_retry) {
       continue;
     }
     VoteCount votes = CountVotes(now, rollout, tracked, rollouts.version());
     auto [stage, why] = NextStage(now, rollout, tracked, votes);
     Step step;
     step.number = rollout.number;
-    step.elapsed_ms = now - tracked.since;
+    step.elapsed_ms = now - tracked.ordered_at;
     if (stage != rollout.stage) {
       step.kind = Step::Kind::kStage;
       step.stage = stage;
@@ -203,7 +206,8 @@
     } else {
       step.kind = Step::Kind::kObservers;
       step.observers = ChooseObservers(service, candidates, rollout.observers);
-      // An observer that is lost is replaced; one more than are there can't be named.
+      // A lost observer is dropped, and replaced if there is another candidate; the last one stays.
+      // The order of the ids doesn't matter.
       if (step.observers == rollout.observers || step.observers.empty()) continue;
       std::vector<uint64_t> sorted = step.observers, before = rollout.observers;
       std::sort(sorted.begin(), sorted.end());
--- a/src/rollout/messages.cc
+++ b/src/rollout/messages.cc
@@ -5,13 +5,14 @@
 namespace elderkeel::rollout {
 
 VersionCounters VersionCounters::Since(const VersionCounters& before) const {
-  auto more = [](uint32_t now, uint32_t then) { return now > then ? now - then : 0; };
+  // A counter that is lower than before counts as no increase.
+  auto increase = [](uint32_t now, uint32_t earlier) { return now > earlier ? now - earlier : 0; };
   VersionCounters since;
-  since.answers = more(answers, before.answers);
-  since.failed = more(failed, before.failed);
-  since.broken = more(broken, before.broken);
-  since.late = more(late, before.late);
-  since.timed = more(timed, before.timed);
+  since.answers = increase(answers, before.answers);
+  since.failed = increase(failed, before.failed);
+  since.broken = increase(broken, before.broken);
+  since.late = increase(late, before.late);
+  since.timed = increase(timed, before.timed);
   since.seen = seen;
   since.broken_at = broken_at;
   since.late_at = late_at;
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -51,15 +51,15 @@
   return nullptr;
 }
 
-// The same order again is a repeated call, also after it came to its end: callers that got no
-// answer send it anew, and must not begin it anew.
+// An order equal to the newest one is a repeated call, even after that roll-out has ended: a caller
+// that got no answer sends its order again, and that must not start a second roll-out.
 base::Verdict Rollouts::Evaluate(const RolloutOrder& order) const {
   const Rollout* known = Of(order.service);
   if (known && known->order == order) return {200, ""};
   if (known && !Ended(known->stage)) {
     return {409, "a roll-out of " + known->order.version + " is under way"};
   }
-  if (!known && rollouts_.size() >= kMaxServices) return {503, "too many services"};
+  if (!known && rollouts_.size() >= kMaxServices) return {503, "limit of 4096 services reached"};
   return {};
 }
 
@@ -69,7 +69,8 @@
     case Step::Kind::kDetected:
       for (const auto& [service, version] : step.found) {
         const Rollout* known = Of(service);
-        // An order that is under way says what is in force, unless it began without knowing.
+        // A roll-out under way determines the version in force, unless none was known when it
+        // started.
         if (known && !Ended(known->stage) && !InForce(service).empty()) continue;
         if (in_force_.size() >= kMaxServices && !in_force_.count(service)) continue;
         std::string& in_force = in_force_[service];
@@ -98,7 +99,7 @@
     case Step::Kind::kStage: {
       Rollout* rollout = Find(step.number);
       if (!rollout || Ended(rollout->stage)) break;
-      // Traffic that has moved back never moves forth again under the same order.
+      // Once a roll-out is reverting, the same order never moves traffic to its version again.
       if (rollout->stage == Stage::kReverting && step.stage != Stage::kReverted) break;
       if (rollout->stage == step.stage || step.stage == Stage::kCanary) break;
       if (step.stage == Stage::kCompleted && rollout->stage != Stage::kPromoting) break;
@@ -135,7 +136,8 @@
     if (!known.empty() && versions.count(known)) continue;
     const Rollout* rollout = state.Of(service);
     bool active = rollout && !Ended(rollout->stage);
-    // While an order is under way it alone decides, also when the old version's servers are gone.
+    // A roll-out under way alone determines the version in force, even when the old version has
+    // no server left.
     if (active && !known.empty()) continue;
     const std::pair<const std::string, int>* best = nullptr;
     for (const auto& entry : versions) {
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -15,17 +15,18 @@
 
 namespace elderkeel::rollout {
 
-// Where a roll-out stands. In the first, the new version gets a small part of the requests; in the
-// second, all traffic moves to it; in `kReverting`, all traffic has moved back and what is still
-// running there is waited for.
+// The stage of a roll-out. In `kCanary`, the new version gets a small share of the requests; in
+// `kPromoting`, all traffic moves to it; in `kReverting`, all requests go to the old version again
+// and the roll-out waits for those still in flight at the new one.
 enum class Stage : uint8_t { kCanary, kPromoting, kCompleted, kReverting, kReverted };
+// The stage's name in the status document and in log lines.
 const char* StageName(Stage stage);
-// The status that the operator's interface has for it.
+// The stage's status in the operator API: "in_progress", "completed" or "reverted".
 const char* StatusName(Stage stage);
+// Whether the stage is final.
 inline bool Ended(Stage stage) { return stage == Stage::kCompleted || stage == Stage::kReverted; }
 
-// What the operator asks for: the service's traffic moved to servers of `version` within
-// `over_ms`.
+// An operator's order: move the service's traffic to servers of `version` within `over_ms`.
 struct RolloutOrder {
   std::string service;
   std::string version;
@@ -41,7 +42,7 @@
 
 // One service's roll-out.
 struct Rollout {
-  uint64_t number = 0;  // rises with each order
+  uint64_t number = 0;  // increases with each order
   RolloutOrder order;
   std::string from;  // the version in force before; empty if none was known
   Stage stage = Stage::kCanary;
@@ -54,13 +55,13 @@
   }
 };
 
-// An entry of the log about versions.
+// A replicated change to Rollouts: one entry of the log. Which fields are used depends on the kind.
 struct Step {
   enum class Kind : uint8_t {
-    kDetected,   // versions in force, as the list shows them where no order says it
+    kDetected,   // versions in force that the server list shows and no order determines
     kOrder,      // an operator's order
     kStage,      // a roll-out's next stage
-    kObservers,  // who watches a roll-out from now on
+    kObservers,  // a roll-out's new observers
   };
   Kind kind = Kind::kDetected;
   std::vector<std::pair<std::string, std::string>> found;  // service, version
@@ -76,21 +77,24 @@
   }
 };
 
-// Which version of each service is in force, and the newest roll-out of each, as a state machine
-// above the log.
-// The version rises with each entry that changes something, so that of two views the newer is known
-// by it.
+// Which version of each service is in force, and the newest roll-out of each: a state machine that
+// every controller drives by the same log entries. Its version increases with each entry that
+// changes something, so the newer of two copies is the one with the higher version.
 class Rollouts {
  public:
+  // Whether the order may be proposed, or the status and reason to answer the operator with.
   base::Verdict Evaluate(const RolloutOrder& order) const;
-  // True if it changed something.
+  // Applies a committed entry; a step that the current state doesn't permit is ignored. Returns
+  // whether anything changed.
   bool Apply(const Step& step);
 
+  // The service's newest roll-out; null if it has none.
   const Rollout* Of(const std::string& service) const;
-  // Empty if it is not known.
+  // The service's version in force; empty if it is not known.
   std::string InForce(const std::string& service) const;
   const std::map<std::string, Rollout>& rollouts() const { return rollouts_; }
   const std::map<std::string, std::string>& in_force() const { return in_force_; }
+  // Whether any roll-out is under way.
   bool Active() const;
   uint64_t version() const { return version_; }
 
@@ -112,6 +116,7 @@
   static std::vector<std::pair<std::string, T>> Pairs(const std::map<std::string, T>& map) {
     return {map.begin(), map.end()};
   }
+  // The roll-out with this number; null if there is none.
   Rollout* Find(uint64_t number);
 
   uint64_t version_ = 0;
@@ -120,10 +125,10 @@
   std::map<std::string, Rollout> rollouts_;      // by service
 };
 
-// What the list says of versions that the log doesn't know yet: a service with no version in force
-// gets the one that most of its servers have, an ordered one apart; a service whose version in
-// force has no server left gets the one that most of the others have. An empty result asks for no
-// entry.
+// Detects versions in force that the log doesn't have yet, from the server list. A service without
+// a version in force, or whose version in force has no server left, gets the version that most of
+// its accepting servers have; the version of a roll-out that has not completed is left out. Returns
+// pairs of service and version; if there are none, no entry is needed.
 std::vector<std::pair<std::string, std::string>> DetectVersions(
     const Rollouts& state, const discovery::EndpointSnapshot& endpoints);
 
--- a/tests/rollout/late_messages_test.cc
+++ b/tests/rollout/late_messages_test.cc
@@ -1,4 +1,4 @@
-// Messages of a roll-out that waited on their way or in the socket of a suspended process.
+// Roll-out messages that were delayed in transit or in the socket of a suspended process.
 #include <gtest/gtest.h>
 
 #include "rollout/canary_policy.h"
@@ -36,8 +36,9 @@
   return rollouts;
 }
 
-// A proxy that woke took a renewal of before for new, and sent to a version that it may not use.
-TEST(CanaryPolicy, ALeaseRunsFromTheQuestionHoweverLateTheRenewal) {
+// Guards against a resumed proxy that counts the lease from the arrival of an old renewal and sends
+// to a version that it may no longer use.
+TEST(CanaryPolicy, LateRenewalExtendsTheLeaseOnlyFromTheTimeOfItsReport) {
   Rollouts rollouts = Ordered();
   CanaryPolicy::Options options;
   CanaryPolicy policy(options);
@@ -52,15 +53,16 @@
   EXPECT_EQ(policy.RuleOf(12000, "s").excluded, "v2");
   policy.OnLeaseRenewal(12100, {1, rollouts.version(), 12010});
   EXPECT_EQ(policy.RuleOf(12100, "s").secondary, "v2");
-  // One that comes after a later one takes nothing back.
+  // An older renewal that arrives after a newer one doesn't shorten the lease.
   policy.OnLeaseRenewal(12200, {1, rollouts.version(), 11000});
   EXPECT_EQ(policy.RuleOf(12010 + options.lease - 1, "s").secondary, "v2");
-  // A question of another machine's clock, before a restart, renews nothing.
+  // A time in the future, from the machine's clock before a restart, renews nothing.
   policy.OnLeaseRenewal(13000, {1, rollouts.version(), 99000});
   EXPECT_EQ(policy.RuleOf(12010 + options.lease, "s").secondary, "");
 }
 
-TEST(CanaryPolicy, ARenewalOfAnObserverThatNamesNoQuestionCountsFromItsArrival) {
+// Observers of older builds don't return the time of the report.
+TEST(CanaryPolicy, RenewalWithoutReportTimeExtendsTheLeaseFromItsArrival) {
   Rollouts rollouts = Ordered();
   CanaryPolicy policy{CanaryPolicy::Options()};
   policy.Adopt(1000, rollouts);
@@ -68,8 +70,9 @@
   EXPECT_EQ(policy.RuleOf(9100, "s").secondary, "v2");
 }
 
-// A woken observer said that all proxies had moved, by reports that had waited in its sockets.
-TEST(Observer, ConfirmsNothingByReportsThatWaitedWhileItSlept) {
+// Guards against an observer that resumes after a suspension and confirms that all proxies have
+// moved, on the basis of reports that waited in its sockets.
+TEST(Observer, AbstainsAndConfirmsNothingByReportsThatWaitedDuringASuspension) {
   Rollouts rollouts = Promoting();
   Observer::Options options;
   options.self = kObserver;
@@ -88,10 +91,10 @@
     return votes.empty() ? Vote() : votes[0];
   };
   EXPECT_EQ(vote(5000).unconfirmed, 0u);
-  Vote woken = vote(15000);
-  EXPECT_EQ(woken.unconfirmed, 1u);
-  EXPECT_EQ(woken.opinion, Opinion::kAbstains);
-  // What is reported later says what is so now.
+  Vote resumed = vote(15000);
+  EXPECT_EQ(resumed.unconfirmed, 1u);
+  EXPECT_EQ(resumed.opinion, Opinion::kAbstains);
+  // Later reports are current and count again.
   for (Millis now = 15300; now < 16000; now += 300) vote(now);
   EXPECT_EQ(vote(16200).unconfirmed, 0u);
 }
--- a/tests/rollout/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -20,7 +20,8 @@
   return options;
 }
 
-// As an operator would: an order without an answer is sent again, unchanged.
+// Sends the order until it is acknowledged, unchanged each time, as an operator would. Returns
+// whether it was acknowledged within 6 s.
 bool Ordered(World* world) {
   for (Millis waited = 0; waited < 6000 && world->traffic.ordered_at < 0; waited += 10) {
     if (waited % 900 == 0) world->Order(14000);
@@ -29,16 +30,17 @@
   return world->traffic.ordered_at >= 0;
 }
 
-// The worst of all histories played, for docs/rollout.md.
+// The worst results over all simulated runs with a bad version, for docs/rollout.md.
 struct Worst {
-  double exposed = 0;         // part of what may be exposed
-  Millis after_fiftieth = 0;  // from the fiftieth bad answer to the last send
+  double exposed = 0;         // as a fraction of the permitted exposure
+  Millis after_fiftieth = 0;  // from the fiftieth bad answer to the last request to the version
   int with_fifty = 0, histories = 0;
 };
 Worst& worst() {
   static Worst all;
   return all;
 }
+// Prints the worst results at the end if ELDERKEEL_ROLLOUT_SEEDS is set.
 class Report : public ::testing::Environment {
  public:
   void TearDown() override {
@@ -52,7 +54,7 @@
 };
 const auto* const report = ::testing::AddGlobalTestEnvironment(new Report);
 
-// The rules that hold whatever happens: what an unproven version gets, and for how long.
+// Checks what holds under any fault: how many requests an unproven version gets, and for how long.
 void CheckExposure(const World& world, bool bad, const std::string& what) {
   const World::Traffic& t = world.traffic;
   EXPECT_EQ(world.fault, "") << what;
@@ -84,12 +86,13 @@
      [](base::Random& r, Millis t) { return t > 4000 && t < 6000 && r.Unit() < 0.5; }, true},
 };
 
-// More histories than CI plays: ELDERKEEL_ROLLOUT_SEEDS=100 elderkeel_tests.
+// Seeds per kind of version. ELDERKEEL_ROLLOUT_SEEDS=100 runs more of them than CI does.
 uint64_t Seeds() {
-  const char* asked = std::getenv("ELDERKEEL_ROLLOUT_SEEDS");
-  return asked ? std::strtoull(asked, nullptr, 10) : 6;
+  const char* seeds = std::getenv("ELDERKEEL_ROLLOUT_SEEDS");
+  return seeds ? std::strtoull(seeds, nullptr, 10) : 6;
 }
 
+// Guards against wrong verdicts: a sound version that is reverted, or a bad one that completes.
 TEST(RolloutSimulation, EachKindOfVersionReachesItsFinalStage) {
   int wrong = 0, runs = 0;
   for (const Kind& kind : kKinds) {
@@ -110,12 +113,13 @@
       std::printf("wrong verdicts on '%s': %d\n", kind.name, wrong - wrong_before);
     }
   }
-  // What is in order now and then; docs/rollout.md has the figure over many seeds.
+  // A few wrong verdicts are acceptable; docs/rollout.md has the figure over many seeds.
   EXPECT_LE(wrong, 1 + runs / 50) << "of " << runs;
 }
 
-// The latest that a version can turn bad and still be taken back: as its traffic moves.
-TEST(RolloutSimulation, OneThatTurnsBadWhileItMovesIsTakenBack) {
+// Guards against a promotion that ignores new failures. A version can still be reverted while its
+// traffic moves, but no later.
+TEST(RolloutSimulation, VersionThatTurnsBadDuringPromotionIsReverted) {
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
     World world(
         Options(seed, [](base::Random& r, Millis t) { return t > 10000 && r.Unit() < 0.4; }));
@@ -128,12 +132,14 @@
   }
 }
 
-TEST(RolloutSimulation, CompletesUnderOtherFaults) {
+// Guards against roll-outs that get stuck, or end differently on some nodes, when controllers or
+// proxies crash, freeze or are partitioned during the canary stage or the promotion.
+TEST(RolloutSimulation, ReachesTheSameFinalStageOnAllNodesUnderOtherFaults) {
   struct Fault {
     const char* name;
     std::function<void(World*)> strike, repair;
   };
-  const Fault troubles[] = {
+  const Fault faults[] = {
       {"the leader is killed",
        [](World* w) { w->Crash(static_cast<size_t>(std::max(0, w->leader()))); },
        [](World* w) { w->HealAll(); }},
@@ -143,9 +149,9 @@
          w->LosePower(3);
        },
        [](World* w) { w->HealAll(); }},
-      {"a watcher freezes and wakes", [](World* w) { w->Freeze(1, true); },
+      {"an observer freezes and resumes", [](World* w) { w->Freeze(1, true); },
        [](World* w) { w->Freeze(1, false); }},
-      {"the core is cut",
+      {"the controllers are partitioned",
        [](World* w) {
          for (size_t a : {0, 1}) {
            for (size_t b : {2, 3, 4}) w->Cut(a, b, true);
@@ -157,10 +163,11 @@
          for (size_t i = 5; i < 11; ++i) w->Crash(i);
        },
        [](World* w) { w->HealAll(); }},
-      {"a proxy is cut off", [](World* w) { w->Isolate(8, true); }, [](World* w) { w->HealAll(); }},
+      {"a proxy is isolated", [](World* w) { w->Isolate(8, true); },
+       [](World* w) { w->HealAll(); }},
       {"a proxy freezes", [](World* w) { w->Freeze(9, true); }, [](World* w) { w->HealAll(); }},
   };
-  for (const Fault& fault : troubles) {
+  for (const Fault& fault : faults) {
     for (size_t k : {0, 1, 3}) {
       const Kind& kind = kKinds[k];
       for (Millis at : {1500, 10500}) {
@@ -178,7 +185,7 @@
         if (kind.bad) {
           EXPECT_EQ(world.traffic.stage, Stage::kReverted) << what;
         }
-        // Every node comes to know how it ended.
+        // Every node receives the final stage.
         for (size_t i = 0; i < world.size(); ++i) {
           const rollout::Rollout* known = world.node(i).disseminator->rollouts().Of("s");
           ASSERT_TRUE(known) << what;
@@ -189,7 +196,8 @@
   }
 }
 
-TEST(RolloutSimulation, AnAcknowledgedOrderOutlivesALossOfPower) {
+// Guards against an acknowledged order that is lost when all nodes lose power at once.
+TEST(RolloutSimulation, AcknowledgedOrderSurvivesALossOfPowerOfAllNodes) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     World world(Options(seed, Sound));
     world.Run(4000);
--- a/tests/rollout/rollout_test.cc
+++ b/tests/rollout/rollout_test.cc
@@ -35,7 +35,8 @@
   return step;
 }
 
-TEST(Rollouts, GoOnlyForwards) {
+// Guards against late or repeated steps that move a roll-out back to an earlier stage.
+TEST(Rollouts, ApplyOnlyForwardSteps) {
   struct Case {
     std::vector<Stage> before;
     Stage next;
@@ -43,7 +44,7 @@
   } cases[] = {
       {{}, Stage::kPromoting, true},
       {{}, Stage::kReverting, true},
-      {{}, Stage::kCompleted, false},  // the old servers would be stopped with work of ours
+      {{}, Stage::kCompleted, false},  // would stop old servers with requests in flight
       {{}, Stage::kCanary, false},
       {{Stage::kPromoting}, Stage::kCompleted, true},
       {{Stage::kPromoting}, Stage::kReverting, true},
@@ -73,14 +74,15 @@
   EXPECT_TRUE(state.Apply(Ordered("v2", 1000)));
   EXPECT_FALSE(state.Apply(Ordered("v2", 1000)));
   EXPECT_FALSE(state.Apply(Ordered("v3", 1000)));
-  EXPECT_FALSE(state.Apply(Found("s", "v2")));  // the list has no say while an order is under way
+  EXPECT_FALSE(state.Apply(Found("s", "v2")));  // ignored while an order is under way
 }
 
-TEST(Rollouts, FindsTheVersionsThatNoOrderNames) {
+// Guards against a new version that gets into force by the server list alone, without an order.
+TEST(Rollouts, DetectsTheVersionInForceOnlyWhereNoOrderDeterminesIt) {
   using Fleet = std::vector<std::pair<const char*, bool>>;  // version, draining
   struct Case {
     const char* in_force;
-    const char* ordered;  // under way
+    const char* ordered;  // the version of a roll-out under way
     Fleet servers;
     const char* found;  // empty: none
   } cases[] = {
@@ -89,10 +91,10 @@
       {"", "", {{"v1", false}, {"v2", false}, {"v2", false}}, "v2"},
       {"", "", {{"v1", false}, {"v2", true}, {"v2", true}}, "v1"},
       {"", "", {{"", false}}, ""},
-      {"v1", "", {{"v1", false}, {"v2", false}, {"v2", false}}, ""},  // nothing without an order
-      {"v1", "", {{"v1", true}, {"v2", false}}, "v2"},                // nothing else is left
+      {"v1", "", {{"v1", false}, {"v2", false}, {"v2", false}}, ""},  // v2 needs an order
+      {"v1", "", {{"v1", true}, {"v2", false}}, "v2"},                // v1 has no server left
       {"", "v2", {{"v1", false}, {"v2", false}, {"v2", false}}, "v1"},
-      {"", "v2", {{"v2", false}}, ""},  // that would be the ordered one by the back door
+      {"", "v2", {{"v2", false}}, ""},  // would bypass the canary stage
       {"v1", "v2", {{"v2", false}}, ""},
   };
   for (const Case& c : cases) {
@@ -114,10 +116,11 @@
   }
 }
 
-TEST(CanaryPolicy, SaysWhichVersionsMayBeSentTo) {
+// Guards against requests to a version that the stage, the lease or the circuit breaker forbids.
+TEST(CanaryPolicy, RuleFollowsStageLeaseAndCircuitBreaker) {
   Rollouts state;
   CanaryPolicy policy({0.1, 2500, 1000});
-  EXPECT_FALSE(policy.RuleOf(0, "s").known);  // nothing is known of versions: any
+  EXPECT_FALSE(policy.RuleOf(0, "s").known);  // no version is known: any may be used
   state.Apply(Found("s", "v1"));
   policy.Adopt(0, state);
   EXPECT_EQ(policy.RuleOf(0, "s").primary, "v1");
@@ -127,7 +130,7 @@
   Rule canary = policy.RuleOf(1100, "s");
   EXPECT_EQ(canary.primary + canary.secondary, "v1v2");
   EXPECT_TRUE(canary.limited);
-  // Out of touch: nothing goes to what is not proven.
+  // The lease has expired: no request goes to the unproven version.
   EXPECT_EQ(policy.RuleOf(3600, "s").secondary, "");
   EXPECT_EQ(policy.RuleOf(3600, "s").excluded, "v2");
   for (int i = 0; i < 100; ++i) policy.CountRequest("s");
@@ -137,7 +140,7 @@
   int drawn = 0;
   for (uint64_t key = 0; key < 2000; ++key) drawn += policy.TakesSecondary(3700, "s", key);
   EXPECT_NEAR(drawn, 120, 40);
-  // While it is promoted the old version is the side one, and fades out.
+  // During the promotion the old version is the secondary one, and its share falls to 0.
   state.Apply(Entered(1, Stage::kPromoting));
   policy.Adopt(4000, state);
   policy.OnLeaseRenewal(4000, {1, state.version()});
@@ -153,7 +156,8 @@
   EXPECT_LT(late, 200);
   EXPECT_EQ(policy.RuleOf(5050, "s").secondary, "");
   EXPECT_TRUE(policy.MakeReport(5050, "s").confirmed);
-  // What this proxy sees is plainly bad, on more than one server: back, until there is a verdict.
+  // This proxy sees failures on more than one server: all requests go back to the old version until
+  // the breaker closes.
   auto fails = [&](Millis at, const char* server) {
     policy.CountOutcome(at, {"s", "v2", server, "r", CanaryPolicy::Outcome::kFailed, true, false});
   };
@@ -164,9 +168,10 @@
   EXPECT_EQ(policy.RuleOf(5120, "s").secondary, "");
   EXPECT_FALSE(policy.MakeReport(5120, "s").confirmed);
   policy.OnLeaseRenewal(6000, {1, state.version()});
-  EXPECT_EQ(policy.RuleOf(6700, "s").primary + policy.RuleOf(6700, "s").secondary, "v2v1");  // anew
+  EXPECT_EQ(policy.RuleOf(6700, "s").primary + policy.RuleOf(6700, "s").secondary,
+            "v2v1");  // shifts again
   policy.OnLeaseRenewal(4100, {1, state.version()});
-  EXPECT_EQ(policy.RuleOf(7000, "s").primary, "v1");  // out of touch again
+  EXPECT_EQ(policy.RuleOf(7000, "s").primary, "v1");  // the lease has expired again
   EXPECT_FALSE(policy.MakeReport(7000, "s").confirmed);
   state.Apply(Entered(1, Stage::kReverting));
   policy.Adopt(7100, state);
@@ -178,14 +183,16 @@
   EXPECT_FALSE(policy.active());
 }
 
-TEST(CanaryPolicy, KeepsToItsShareAndSlowsDownAtPlainFailure) {
+// Guards against a proxy that exceeds its share of requests to an unproven version, or keeps
+// sending its full share while its own answers show that the version fails.
+TEST(CanaryPolicy, StaysWithinItsShareAndReducesItWhenTheVersionFails) {
   Rollouts state;
   state.Apply(Found("s", "v1"));
   state.Apply(Ordered("v2", 14000));
   CanaryPolicy policy({0.1, 1000000, 1000});
   policy.Adopt(0, state);
-  EXPECT_FALSE(policy.TakesSecondary(0, "s", 1));  // a started proxy has nothing saved
-  // Whatever is drawn, and were all requests drawn: the share holds.
+  EXPECT_FALSE(policy.TakesSecondary(0, "s", 1));  // a new proxy has no credit
+  // With 40 draws per request almost every request is selected; the share is still kept.
   uint32_t sent = 0;
   for (int i = 0; i < 5000; ++i) {
     policy.CountRequest("s");
@@ -212,31 +219,33 @@
   EXPECT_LT(drawn() * 3, before);
 }
 
-// Rows as a proxy tells them, with rates of failed and late answers.
+// Rates of failed, broken and late answers.
 struct Rates {
   double failed = 0, broken = 0, late = 0;
 };
 
-TEST(Comparison, ConvictsWhatIsWorseThanTheOldAndNothingElse) {
+// Guards against a worse version that passes, and against a version that is called bad for faults
+// of single servers or for faults that affect both versions.
+TEST(Comparison, CallsBadOnlyAVersionWorseThanTheOldOne) {
   struct Case {
     const char* name;
     Rates old_version, new_version;
     int servers_at_fault;  // of six
     bool bad;
   } cases[] = {
-      {"both well", {0.002, 0.003, 0.03}, {0.002, 0.003, 0.03}, 6, false},
+      {"both sound", {0.002, 0.003, 0.03}, {0.002, 0.003, 0.03}, 6, false},
       {"half fails", {0.002, 0, 0.03}, {0.5, 0, 0.03}, 6, true},
       {"one in six fails", {0.002, 0, 0.03}, {0.16, 0, 0.03}, 6, true},
       {"half is slow", {0, 0, 0.03}, {0, 0, 0.4}, 6, true},
-      {"half is cut", {0, 0.01, 0.03}, {0, 0.5, 0.03}, 6, true},
-      {"one server alone cuts", {0, 0.01, 0.03}, {0, 0.17, 0.03}, 1, false},
+      {"half is broken off", {0, 0.01, 0.03}, {0, 0.5, 0.03}, 6, true},
+      {"one server alone breaks off", {0, 0.01, 0.03}, {0, 0.17, 0.03}, 1, false},
       {"one server alone is slow", {0, 0, 0.03}, {0, 0, 0.17}, 1, false},
-      {"trouble that strikes both", {0.1, 0.1, 0.3}, {0.1, 0.1, 0.3}, 6, false},
+      {"fault that affects both", {0.1, 0.1, 0.3}, {0.1, 0.1, 0.3}, 6, false},
       {"slower machines", {0, 0, 0.04}, {0, 0, 0.09}, 6, false},
       {"old fails too, new far more", {0.05, 0, 0.03}, {0.4, 0, 0.03}, 6, true},
   };
   for (const Case& c : cases) {
-    int convicted = 0;
+    int found_bad = 0;
     for (uint64_t seed = 0; seed < 20; ++seed) {
       base::Random random(seed * 7 + 1);
       Comparison comparison;
@@ -256,29 +265,31 @@
         return counts;
       };
       for (int tick = 0; tick < 100; ++tick) {
-        comparison.Take(
+        comparison.Add(
             {1, count(c.old_version, 80, 6), count(c.new_version, 5, c.servers_at_fault)});
       }
-      convicted += !comparison.bad().empty();
+      found_bad += !comparison.bad_reason().empty();
     }
     if (c.bad) {
-      EXPECT_EQ(convicted, 20) << c.name;
+      EXPECT_EQ(found_bad, 20) << c.name;
     } else {
-      EXPECT_LE(convicted, 1) << c.name;
+      EXPECT_LE(found_bad, 1) << c.name;
     }
   }
-  Comparison limited;
-  EXPECT_EQ(limited.Missing(0.06), "too few answers");
+  Comparison sparse;
+  EXPECT_EQ(sparse.MissingEvidence(0.06), "too few answers");
   VersionCounters some, old_version;
   some.answers = some.timed = 15;
   old_version.answers = old_version.timed = 1000;
-  limited.Take({1, old_version, some});
-  EXPECT_EQ(limited.Missing(0.06), "");
-  limited.Take({2, old_version, {}});  // a route of which the new version has shown nothing
-  EXPECT_NE(limited.Missing(0.06), "");
+  sparse.Add({1, old_version, some});
+  EXPECT_EQ(sparse.MissingEvidence(0.06), "");
+  sparse.Add({2, old_version, {}});  // a route without answers of the new version
+  EXPECT_NE(sparse.MissingEvidence(0.06), "");
 }
 
-TEST(Observer, CountsEachAnswerOnceAndAbstainsInDoubt) {
+// Guards against answers that are counted twice when reports are repeated or reordered, and against
+// votes that rest on too few or outdated reports.
+TEST(Observer, CountsEachAnswerOnceAndAbstainsOnTooFewOrOldReports) {
   Rollouts state;
   state.Apply(Found("s", "v1"));
   state.Apply(Ordered("v2", 14000, {7}));
@@ -318,13 +329,13 @@
   EXPECT_EQ(vote.opinion, Opinion::kGood) << vote.why;
   EXPECT_EQ(vote.exposed, 50u);
   EXPECT_EQ(vote.rows[0].new_version.answers, 50u);
-  // Another life of the same proxy counts from nothing again.
+  // After a restart, the proxy's counters start from 0.
   report.boot_id = 6;
   report.age_ms = 10;
   EXPECT_TRUE(observer.OnProxyReport(5200, report));
   vote = reported(5600, {{1, true}});
   EXPECT_EQ(vote.exposed, 100u);
-  // Too few are heard: it abstains; a slept watcher does, whatever it has.
+  // The observer abstains if too few proxies report, and after a suspension whatever it received.
   vote = reported(5700, {{1, true}, {2, true}, {3, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
   report.age_ms = 3000;
@@ -338,7 +349,7 @@
   EXPECT_TRUE(observer.OnProxyReport(9700, report));
   vote = reported(9900, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kBad);
-  // Whoever has not confirmed the move is named, apart from those that can't be heard.
+  // Proxies that have not confirmed the move are counted separately from those that don't report.
   state.Apply(Entered(1, Stage::kPromoting));
   observer.Adopt(state);
   report.version = state.version();
@@ -357,13 +368,15 @@
   EXPECT_EQ(vote.missing, (std::vector<uint64_t>{2}));
 }
 
-TEST(RolloutCoordinator, FollowsTheVote) {
+// Guards against stages that are entered without a majority, too early, or while proxies still use
+// the version that the traffic moves away from.
+TEST(RolloutCoordinator, EntersTheStageThatVotesConfirmationsAndTimeLimitRequire) {
   using O = Opinion;
   struct Case {
     const char* name;
     Stage stage;
     Millis age;
-    std::vector<O> votes;  // of three watchers; fewer: the others are not heard
+    std::vector<O> votes;  // of three observers; if fewer, the others send none
     uint32_t unconfirmed, not_reporting;
     Stage next;
   } cases[] = {
@@ -376,7 +389,13 @@
        Stage::kCanary},
       {"one says bad", Stage::kCanary, 3000, {O::kBad, O::kGood, O::kGood}, 0, 0, Stage::kCanary},
       {"most say bad", Stage::kCanary, 3000, {O::kBad, O::kBad, O::kGood}, 0, 0, Stage::kReverting},
-      {"most of those heard say bad", Stage::kCanary, 3000, {O::kBad}, 0, 0, Stage::kReverting},
+      {"most of the votes received say bad",
+       Stage::kCanary,
+       3000,
+       {O::kBad},
+       0,
+       0,
+       Stage::kReverting},
       {"good, but early",
        Stage::kCanary,
        3000,
@@ -384,7 +403,7 @@
        0,
        0,
        Stage::kCanary},
-      {"good at its time",
+      {"good at the time of promotion",
        Stage::kCanary,
        10000,
        {O::kGood, O::kGood, O::kAbstains},
@@ -399,7 +418,7 @@
        0,
        0,
        Stage::kReverting},
-      {"no watcher", Stage::kCanary, 12600, {}, 0, 0, Stage::kReverting},
+      {"no observer votes", Stage::kCanary, 12600, {}, 0, 0, Stage::kReverting},
       {"still moving",
        Stage::kPromoting,
        11000,
@@ -421,35 +440,41 @@
        0,
        0,
        Stage::kCompleted},
-      {"one is not heard",
+      {"one does not report",
        Stage::kPromoting,
        11000,
        {O::kGood, O::kGood, O::kGood},
        0,
        1,
        Stage::kPromoting},
-      {"nor at the bound",
+      {"one does not report near the time limit",
        Stage::kPromoting,
        13400,
        {O::kGood, O::kGood, O::kGood},
        0,
        1,
        Stage::kCompleted},
-      {"nor at the bound, by one that hears few",
+      {"most do not report near the time limit",
        Stage::kPromoting,
        13400,
        {O::kGood, O::kGood, O::kGood},
        0,
        3,
        Stage::kPromoting},
-      {"one is heard and still at it",
+      {"one reports and is still moving",
        Stage::kPromoting,
        13900,
        {O::kGood, O::kGood},
        1,
        0,
        Stage::kPromoting},
-      {"for ever", Stage::kPromoting, 19100, {O::kGood, O::kGood}, 1, 0, Stage::kCompleted},
+      {"still moving long after the time limit",
+       Stage::kPromoting,
+       19100,
+       {O::kGood, O::kGood},
+       1,
+       0,
+       Stage::kCompleted},
       {"moving back", Stage::kReverting, 3000, {O::kBad, O::kBad}, 1, 0, Stage::kReverting},
       {"moved back", Stage::kReverting, 3000, {O::kBad, O::kBad}, 0, 0, Stage::kReverted},
       {"moved back but for one",
@@ -482,11 +507,11 @@
       if (c.not_reporting > 2) vote.reporting = 1;
       coordinator.OnVote(1000 + c.age, vote);
     }
-    Vote stranger;
-    stranger.number = 1;
-    stranger.observer = 9;
-    stranger.opinion = O::kBad;
-    coordinator.OnVote(1000 + c.age, stranger);  // named by nobody
+    Vote unrelated;
+    unrelated.number = 1;
+    unrelated.observer = 9;
+    unrelated.opinion = O::kBad;
+    coordinator.OnVote(1000 + c.age, unrelated);  // not an observer of this roll-out
     auto steps = coordinator.Review(1000 + c.age, state, {{1, "a"}, {2, "b"}, {3, "c"}});
     Stage next = steps.empty() ? c.stage : steps[0].stage;
     EXPECT_EQ(StageName(next), std::string(StageName(c.next))) << c.name;
@@ -495,34 +520,35 @@
   }
 }
 
-TEST(RolloutCoordinator, NamesObserversInDifferentZonesAndReplacesTheLost) {
+// Guards against a roll-out without a verdict because its observers were in one zone or are lost.
+TEST(RolloutCoordinator, ChoosesObserversInDifferentZonesAndReplacesLostOnes) {
   std::vector<Candidate> all = {{1, "a"}, {2, "a"}, {3, "b"}, {4, "b"}, {5, "c"}, {6, "c"}};
-  auto named = ChooseObservers("s", all);
-  ASSERT_EQ(named.size(), 3u);
-  EXPECT_EQ(named, ChooseObservers("s", {all.rbegin(), all.rend()}));
+  auto chosen = ChooseObservers("s", all);
+  ASSERT_EQ(chosen.size(), 3u);
+  EXPECT_EQ(chosen, ChooseObservers("s", {all.rbegin(), all.rend()}));
   std::set<uint64_t> zones;
-  for (uint64_t id : named) zones.insert((id + 1) / 2);
+  for (uint64_t id : chosen) zones.insert((id + 1) / 2);
   EXPECT_EQ(zones.size(), 3u);
   EXPECT_EQ(ChooseObservers("s", {{1, "a"}, {2, "a"}}).size(), 2u);
   Rollouts state;
-  state.Apply(Ordered("v2", 14000, named));
+  state.Apply(Ordered("v2", 14000, chosen));
   RolloutCoordinator coordinator{RolloutCoordinator::Options()};
   coordinator.Adopt(0, state);
   EXPECT_TRUE(coordinator.Review(100, state, all).empty());
   std::vector<Candidate> left;
   for (const Candidate& c : all) {
-    if (c.id != named[0]) left.push_back(c);
+    if (c.id != chosen[0]) left.push_back(c);
   }
   auto steps = coordinator.Review(200, state, left);
   ASSERT_EQ(steps.size(), 1u);
   EXPECT_EQ(steps[0].kind, Step::Kind::kObservers);
   EXPECT_TRUE(state.Apply(steps[0]));
   EXPECT_EQ(state.Of("s")->observers.size(), 3u);
-  EXPECT_EQ(std::count(state.Of("s")->observers.begin(), state.Of("s")->observers.end(), named[0]),
+  EXPECT_EQ(std::count(state.Of("s")->observers.begin(), state.Of("s")->observers.end(), chosen[0]),
             0);
   coordinator.Adopt(250, state);
   EXPECT_TRUE(coordinator.Review(300, state, left).empty());
-  // The age of an order is known by whoever has known it longest, also to a leader just started.
+  // A leader that has just started takes the age of the order from the votes.
   RolloutCoordinator started{RolloutCoordinator::Options()};
   started.Adopt(9000, state);
   Vote vote;
@@ -533,6 +559,7 @@
   EXPECT_EQ(started.Age(9100, *state.Of("s")), 8800);
 }
 
+// Guards against a delayed vote of an observer's earlier process that replaces the current vote.
 TEST(RolloutCoordinator, IgnoresVotesOfAnEarlierIncarnationOfAnObserver) {
   Rollouts state;
   state.Apply(Ordered("v2", 14000, {1, 2, 3}));
