--- a/src/discovery/endpoints.cc
+++ b/src/discovery/endpoints.cc
@@ -11,7 +11,7 @@
 
 constexpr int kMaxPages = 1000;
 
-const rapidjson::Document& Schema() {
+const rapidjson::Document& PageSchema() {
   static const rapidjson::Document kSchema = [] {
     rapidjson::Document d;
     d.Parse(R"({
@@ -37,7 +37,7 @@
   return kSchema;
 }
 
-std::string Escape(const std::string& text) {
+std::string PercentEncode(const std::string& text) {
   static constexpr char kHex[] = "0123456789ABCDEF";
   std::string out;
   for (unsigned char c : text) {
@@ -58,8 +58,9 @@
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (d.HasParseError() || !d.IsObject())
-    return base::Failure(base::ErrorCode::kProtocolError, "catalog", "", "page is not JSON");
-  std::string fault = base::SchemaFault(Schema(), d);
+    return base::Failure(base::ErrorCode::kProtocolError, "catalog", "",
+                         "page of the server list is not a JSON object");
+  std::string fault = base::SchemaFault(PageSchema(), d);
   if (!fault.empty()) return base::Failure(base::ErrorCode::kProtocolError, "catalog", "", fault);
   Page page;
   for (const auto& s : d["servers"].GetArray()) {
@@ -67,8 +68,8 @@
     auto text_of = [&](const char* name) {
       return s.HasMember(name) ? std::string(s[name].GetString()) : std::string();
     };
-    auto number_of = [&](const char* name, int otherwise) {
-      return s.HasMember(name) ? static_cast<int32_t>(s[name].GetDouble()) : otherwise;
+    auto number_of = [&](const char* name, int fallback) {
+      return s.HasMember(name) ? static_cast<int32_t>(s[name].GetDouble()) : fallback;
     };
     server.id = text_of("id");
     server.service = text_of("target");
@@ -80,7 +81,7 @@
     server.warmup_left_ms = number_of("warmup-left-ms", 0);
     if (!base::ParseAddress(server.address)) {
       return base::Failure(base::ErrorCode::kProtocolError, "catalog", server.id,
-                           "address can't be read");
+                           "address of the server is not an IPv4 address with a port");
     }
     page.servers.push_back(std::move(server));
   }
@@ -119,11 +120,11 @@
   return "/servers";
 }
 
-base::Result<std::string> EndpointListReader::Take(int status, std::string_view body) {
+base::Result<std::string> EndpointListReader::AddPage(int status, std::string_view body) {
   if (status != 200) {
     active_ = false;
     return base::Failure(base::ErrorCode::kUnavailable, "catalog", "platform",
-                         "status " + std::to_string(status));
+                         "server list request got HTTP status " + std::to_string(status));
   }
   auto page = ParsePage(body);
   if (!page) {
@@ -132,7 +133,7 @@
   }
   servers_.insert(servers_.end(), page->servers.begin(), page->servers.end());
   if (page->next.empty()) {
-    if (std::string fault = Merge(); !fault.empty()) {
+    if (std::string fault = MergeDuplicates(); !fault.empty()) {
       active_ = false;
       return base::Failure(base::ErrorCode::kProtocolError, "catalog", "platform", fault);
     }
@@ -141,9 +142,9 @@
   if (++pages_ > kMaxPages) {
     active_ = false;
     return base::Failure(base::ErrorCode::kProtocolError, "catalog", "platform",
-                         "pages without end");
+                         "server list has more than 1000 pages");
   }
-  return "/servers?page-token=" + Escape(page->next);
+  return "/servers?page-token=" + PercentEncode(page->next);
 }
 
 std::vector<Server> EndpointListReader::Finish(base::Millis now) {
@@ -152,10 +153,10 @@
   return std::move(servers_);
 }
 
-// A list may change while it is read, and a server then stand on two pages. The later entry counts,
-// but one that is draining anywhere is draining: it does not come back from that. The same id with
-// another service or address is no list.
-std::string EndpointListReader::Merge() {
+// The list may change while it is read, so that a server appears on two pages. The later entry is
+// kept, but a server that drains in either entry is draining, because draining is final. If the two
+// entries differ in service or address, the reading fails.
+std::string EndpointListReader::MergeDuplicates() {
   std::stable_sort(servers_.begin(), servers_.end(),
                    [](const Server& a, const Server& b) { return a.id < b.id; });
   std::vector<Server> merged;
@@ -166,7 +167,7 @@
     }
     Server& before = merged.back();
     if (before.service != server.service || before.address != server.address) {
-      return "pages contradict each other on " + server.id;
+      return "pages of the server list disagree on the service or address of " + server.id;
     }
     server.draining |= before.draining;
     before = std::move(server);
--- a/src/discovery/endpoints.h
+++ b/src/discovery/endpoints.h
@@ -12,7 +12,7 @@
 
 namespace elderkeel::discovery {
 
-// A server as the platform's list shows it.
+// A server as listed by the platform.
 struct Server {
   std::string id;
   std::string service;
@@ -21,17 +21,17 @@
   std::string revision;
   int32_t capacity = 1;
   bool draining = false;
-  int32_t warmup_left_ms = 0;  // when this was read or sent
-  base::Millis warm_at = 0;    // the same on this process's own clock; not sent
+  int32_t warmup_left_ms = 0;  // left of its slow start when this was read or sent
+  base::Millis warm_at = 0;    // end of its slow start on this process's clock; not sent
 
-  // Fixes on this process's clock when its slow start ends, by what was just read or received.
+  // Sets `warm_at` from `warmup_left_ms`, which was just read or received.
   void Anchor(base::Millis now) { warm_at = warmup_left_ms > 0 ? now + warmup_left_ms : 0; }
-  // The same, and not longer in slow start than was known: a slow start that only goes on is no
-  // change.
+  // Whether the newer entry `o` shows no change. A slow start that merely progresses is no change;
+  // one that ends later than before, by more than the slack, is.
   bool Same(const Server& o) const {
     return id == o.id && service == o.service && address == o.address && zone == o.zone &&
            revision == o.revision && capacity == o.capacity && draining == o.draining &&
-           (o.warmup_left_ms == 0 || o.warm_at <= warm_at + kWarmSlackMs);
+           (o.warmup_left_ms == 0 || o.warm_at <= warm_at + kSlowStartSlackMs);
   }
   template <class A>
   void serialize(A& a) {
@@ -39,53 +39,60 @@
       transport::Short(zone), transport::Short(revision), capacity, draining, warmup_left_ms);
   }
 
-  static constexpr base::Millis kWarmSlackMs = 400;
+  // Reading and sending a list shift the computed end of a slow start; this much is ignored.
+  static constexpr base::Millis kSlowStartSlackMs = 400;
 };
 
-// The list as one catalog reader read it. `epoch` rises with each reader, `sequence` with each
-// change that a reader sees.
+// The server list as published by a catalog reader. `epoch` increases with each assignment of a
+// reader, `sequence` with each change that the reader sees.
 struct EndpointSnapshot {
   uint64_t epoch = 0;
   uint64_t sequence = 0;
-  std::vector<Server> servers;  // by id
+  std::vector<Server> servers;  // sorted by id
 
   bool NewerThan(uint64_t e, uint64_t s) const { return epoch != e ? epoch > e : sequence > s; }
 };
 
+// One page of the platform's server list.
 struct Page {
   std::vector<Server> servers;
-  std::string next;  // empty on the last page
+  std::string next;  // token of the next page; empty on the last page
 };
-// A page of the platform's list. Error: kProtocolError, for anything that is not complete and of
-// the right types.
+// Parses a page of the platform's list. Error: kProtocolError if the page is truncated, lacks a
+// required field, or has one of the wrong type.
 base::Result<Page> ParsePage(std::string_view text);
 
-// Whether the newer of two readings shows what the older one showed.
+// Whether the newer of two readings shows no change.
 bool SameServers(const std::vector<Server>& older, const std::vector<Server>& newer);
 // The ids that differ between two readings, both sorted by id.
 std::vector<std::string> Differences(const std::vector<Server>& older,
                                      const std::vector<Server>& newer);
 
-// Reads the list page by page. Pure: the caller does the calls. A list of which a page could not be
-// read is no list.
+// Reads the server list page by page. The caller makes the HTTP calls. If any page can't be read,
+// the whole reading fails: a partial list would look as if servers were gone.
 class EndpointListReader {
  public:
-  // The target of the first call.
+  // Begins a reading and returns the request target of the first call.
   std::string Start();
-  // Takes a page's answer. The target of the next call; empty when the reading is complete. Errors:
-  // kUnavailable, kProtocolError.
-  base::Result<std::string> Take(int status, std::string_view body);
-  // What was read; `now` anchors how long servers stay in slow start.
+  // Adds a page from the HTTP answer of a call. Returns the target of the next call; empty when the
+  // reading is complete. Errors: kUnavailable if the status isn't 200; kProtocolError if the page
+  // is invalid, there are too many pages, or pages contradict each other. An error ends the
+  // reading.
+  base::Result<std::string> AddPage(int status, std::string_view body);
+  // Ends the reading and returns the servers, sorted by id. Slow starts are counted from `now`.
+  // REQUIRES: AddPage returned an empty target.
   std::vector<Server> Finish(base::Millis now);
+  // Whether a reading is under way.
   bool active() const { return active_; }
   void Abort() { active_ = false; }
 
  private:
-  // Sorts by id and makes one of entries of the same server; says what is wrong, if anything is.
-  std::string Merge();
+  // Sorts the servers by id and merges entries of the same server. Returns the reason of a failure;
+  // empty on success.
+  std::string MergeDuplicates();
 
   bool active_ = false;
-  int pages_ = 0;
+  int pages_ = 0;  // added so far, without the last
   std::vector<Server> servers_;
 };
 
--- a/src/discovery/platform_client.cc
+++ b/src/discovery/platform_client.cc
@@ -2,7 +2,7 @@
 
 namespace elderkeel::discovery {
 namespace {
-constexpr base::Millis kTimeoutMs = 1000;
+constexpr base::Millis kTimeoutMs = 1000;  // for a call
 }
 
 void PlatformClient::Read(Done done) {
@@ -20,9 +20,9 @@
     limits.body_bytes = 16 << 20;
     connection_ = std::make_unique<http::HttpConnection>(loop_, address_, kTimeoutMs, limits);
   }
-  uint64_t call = ++current_;
+  uint64_t call = ++current_call_;
   auto fail = [this](base::Error error) {
-    ++current_;  // what a connection that was given up still says belongs to no reading
+    ++current_call_;  // a late outcome of the closed connection must not enter another reading
     timer_.Cancel();
     list_reader_.Abort();
     if (connection_) {
@@ -33,18 +33,19 @@
     done(base::Failure(std::move(error)));
   };
   timer_.Start(loop_, kTimeoutMs, [fail, this] {
-    fail(base::Error{base::ErrorCode::kTimeout, "catalog.read", address_.ToString(), "timed out"});
+    fail(base::Error{base::ErrorCode::kTimeout, "catalog.read", address_.ToString(),
+                     "no answer within 1000 ms"});
   });
   connection_->Send("GET " + target + " HTTP/1.1\r\nHost: " + address_.ToString() + "\r\n\r\n",
                     false, [this, fail, call](http::HttpConnection::Outcome&& outcome) {
-                      if (call != current_) return;
+                      if (call != current_call_) return;
                       timer_.Cancel();
                       if (outcome.ending != http::HttpConnection::Ending::kAnswer) {
                         fail(base::Error{base::ErrorCode::kUnavailable, "catalog.read",
                                          address_.ToString(), outcome.reason});
                         return;
                       }
-                      auto next = list_reader_.Take(outcome.answer.status, outcome.answer.body);
+                      auto next = list_reader_.AddPage(outcome.answer.status, outcome.answer.body);
                       if (!next) {
                         fail(next.error());
                         return;
@@ -54,9 +55,9 @@
                         done(Reading{list_reader_.Finish(base::SteadyMillis()), asked_at_});
                         return;
                       }
-                      // Not from inside the connection's own callback.
+                      // Deferred: the connection can't be used from inside its own callback.
                       loop_->Defer([this, call, target = *next] {
-                        if (call == current_) Call(target);
+                        if (call == current_call_) Call(target);
                       });
                     });
 }
--- a/src/discovery/platform_client.h
+++ b/src/discovery/platform_client.h
@@ -10,22 +10,25 @@
 
 namespace elderkeel::discovery {
 
-// What the platform's list showed. A reading is as old as its question, not as its answer.
+// The result of reading the platform's server list. Its age counts from the first request, not from
+// the last answer.
 struct Reading {
   std::vector<Server> servers;
-  base::Millis asked_at = 0;  // when the first page was asked for
+  base::Millis asked_at = 0;  // when the first page was requested
 };
 
-// Reads the platform's list over HTTP, one reading at a time.
+// Reads the platform's server list over HTTP, one reading at a time.
 class PlatformClient {
  public:
   using Done = std::function<void(base::Result<Reading>)>;
 
   PlatformClient(base::Loop* loop, const base::Address& address) : loop_(loop), address_(address) {}
 
+  // Whether a reading is under way.
   bool busy() const { return list_reader_.active(); }
+  // Reads the list and passes it, or an error, to `done`. Does nothing if a reading is under way.
   void Read(Done done);
-  // Calls made so far; each one is counted against a rate that all nodes share.
+  // Calls made so far. Each one counts against the platform's rate limit, which all nodes share.
   uint64_t calls() const { return calls_; }
 
  private:
@@ -37,9 +40,9 @@
   Done done_;
   std::unique_ptr<http::HttpConnection> connection_;
   base::Timer timer_;
-  base::Millis asked_at_ = 0;  // of the reading under way
+  base::Millis asked_at_ = 0;  // when the reading under way began
   uint64_t calls_ = 0;
-  uint64_t current_ = 0;  // the call whose outcome counts
+  uint64_t current_call_ = 0;  // outcomes of other calls are ignored
 };
 
 }  // namespace elderkeel::discovery
--- a/tests/discovery/endpoints_test.cc
+++ b/tests/discovery/endpoints_test.cc
@@ -16,22 +16,23 @@
   return text + R"(],"next-token":)" + (next.empty() ? "null" : "\"" + next + "\"") + "}";
 }
 
-// The list changes while its pages are read, or comes broken.
-TEST(EndpointListReader, OfAListThatChangesUnderneath) {
+// Guards against servers that are lost, listed twice or no longer draining because the list changes
+// while its pages are read, and against lists that are adopted although a page is invalid.
+TEST(EndpointListReader, MergesPagesOfAChangingListAndRejectsInvalidOnes) {
   const std::string a = Entry("a", "10.0.0.1:80", "accepting");
   const std::string a_drains = Entry("a", "10.0.0.1:80", "draining");
   const std::string b = Entry("b", "10.0.0.2:80", "accepting");
   struct Case {
     const char* name;
     std::vector<std::string> pages;
-    const char* read;  // ids, in capitals those that drain; "!" where it is no list
+    const char* read;  // ids, upper case for draining servers; "!" if the reading fails
   } cases[] = {
       {"one page", {PageOf({b, a}, "")}, "ab"},
       {"two pages", {PageOf({b}, "p"), PageOf({a}, "")}, "ab"},
       {"moved to a later page", {PageOf({a, b}, "p"), PageOf({b}, "")}, "ab"},
-      {"drains meanwhile", {PageOf({a, b}, "p"), PageOf({a_drains}, "")}, "Ab"},
+      {"drains during the reading", {PageOf({a, b}, "p"), PageOf({a_drains}, "")}, "Ab"},
       {"drained on an earlier page", {PageOf({a_drains, b}, "p"), PageOf({a}, "")}, "Ab"},
-      {"its address given away meanwhile: two servers",
+      {"its address is reassigned during the reading: two servers",
        {PageOf({a}, "p"), PageOf({Entry("c", "10.0.0.1:80", "accepting", "t")}, "")},
        "ac"},
       {"another address",
@@ -40,22 +41,22 @@
       {"another service",
        {PageOf({a}, "p"), PageOf({Entry("a", "10.0.0.1:80", "accepting", "t")}, "")},
        "!"},
-      {"cut", {PageOf({a}, "p"), PageOf({b}, "").substr(0, 40)}, "!"},
-      {"no list of servers", {R"({"next-token":null})"}, "!"},
-      {"an address that is none", {PageOf({Entry("a", "10.0.0.1", "accepting")}, "")}, "!"},
-      {"an entry without a name", {PageOf({Entry("", "10.0.0.1:80", "accepting")}, "")}, "!"},
-      {"empty", {PageOf({}, "")}, ""},
+      {"truncated page", {PageOf({a}, "p"), PageOf({b}, "").substr(0, 40)}, "!"},
+      {"page without servers", {R"({"next-token":null})"}, "!"},
+      {"invalid address", {PageOf({Entry("a", "10.0.0.1", "accepting")}, "")}, "!"},
+      {"entry without an id", {PageOf({Entry("", "10.0.0.1:80", "accepting")}, "")}, "!"},
+      {"empty list", {PageOf({}, "")}, ""},
   };
   for (const Case& c : cases) {
-    EndpointListReader reading;
-    std::string target = reading.Start();
+    EndpointListReader reader;
+    std::string target = reader.Start();
     std::string read;
     for (const std::string& page : c.pages) {
       ASSERT_FALSE(target.empty()) << c.name;
-      auto next = reading.Take(200, page);
+      auto next = reader.AddPage(200, page);
       if (!next) {
         EXPECT_FALSE(next.error().reason.empty()) << c.name;
-        EXPECT_FALSE(reading.active()) << c.name;
+        EXPECT_FALSE(reader.active()) << c.name;
         read = "!";
         break;
       }
@@ -63,15 +64,15 @@
     }
     if (read.empty()) {
       EXPECT_TRUE(target.empty()) << c.name;
-      for (const Server& server : reading.Finish(0)) {
+      for (const Server& server : reader.Finish(0)) {
         read += server.draining ? static_cast<char>(std::toupper(server.id[0])) : server.id[0];
       }
     }
     EXPECT_EQ(read, c.read) << c.name;
   }
-  EndpointListReader reading;
-  reading.Start();
-  EXPECT_FALSE(reading.Take(429, PageOf({a}, "")));
+  EndpointListReader reader;
+  reader.Start();
+  EXPECT_FALSE(reader.AddPage(429, PageOf({a}, "")));
 }
 
 }  // namespace
