--- a/src/dissemination/confirm.cc
+++ b/src/dissemination/confirm.cc
@@ -4,29 +4,29 @@
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kMaxQuestions = 32;
+constexpr size_t kMaxPendingRequests = 32;
 }
 
 Confirm Confirmation::Ask(base::Millis now) {
-  if (questions_.size() >= kMaxQuestions) questions_.pop_front();
-  questions_.push_back({next_nonce_++, now});
-  return {questions_.back().nonce};
+  if (requests_.size() >= kMaxPendingRequests) requests_.pop_front();
+  requests_.push_back({next_nonce_++, now});
+  return {requests_.back().nonce};
 }
 
 std::optional<base::Address> Confirmation::OnReply(base::Millis now, const ConfirmReply& reply) {
-  auto asked = std::find_if(questions_.begin(), questions_.end(), [&](const Question& question) {
-    return question.nonce == reply.nonce;
-  });
-  if (asked == questions_.end() || now - asked->asked > patience_) return std::nullopt;
+  auto request =
+      std::find_if(requests_.begin(), requests_.end(),
+                   [&](const PendingRequest& pending) { return pending.nonce == reply.nonce; });
+  if (request == requests_.end() || now - request->made_at > patience_) return std::nullopt;
   if (!reply.confirmed) {
     if (reply.leader_ip.empty()) return std::nullopt;
     return base::Address{reply.leader_ip, reply.leader_port};
   }
-  // Answers overtake each other; what one named is never taken back by another.
+  // Replies may arrive out of order: an older one must not lower what a newer one named.
   wanted_.revision = std::max(wanted_.revision, reply.versions.revision);
   wanted_.zone_drains = std::max(wanted_.zone_drains, reply.versions.zone_drains);
   wanted_.rollouts = std::max(wanted_.rollouts, reply.versions.rollouts);
-  known_at_ = std::max(known_at_, asked->asked);
+  known_at_ = std::max(known_at_, request->made_at);
   return std::nullopt;
 }
 
--- a/src/dissemination/confirm.h
+++ b/src/dissemination/confirm.h
@@ -12,7 +12,7 @@
 
 namespace elderkeel::dissemination {
 
-// A proxy asks the core whether what it holds is current.
+// A starting proxy's request to a controller for the newest committed versions.
 struct Confirm {
   uint64_t nonce = 0;
   template <class A>
@@ -20,9 +20,13 @@
     a(nonce);
   }
 };
+
+// A controller's answer to `Confirm`.
 struct ConfirmReply {
-  uint64_t nonce = 0;
-  bool confirmed = false;  // by a majority after the question came; if not, ask the leader named
+  uint64_t nonce = 0;  // of the request
+  // Whether a majority confirmed the leader after the request arrived. If false, the request is to
+  // be sent to the leader named below, if any.
+  bool confirmed = false;
   Versions versions;
   std::string leader_ip;
   uint16_t leader_port = 0;
@@ -32,35 +36,42 @@
   }
 };
 
-// A starting proxy's side, pure. Its state counts as current only while it knows by an answer
-// what was current at most `patience` ago: the time runs from its own question, so neither a reply
-// that was delayed on its way or by a process that slept nor one to an earlier start counts.
+// Decides for a starting proxy whether its state is current, as a pure state machine; the proxy
+// sends and receives the messages.
+//
+// State counts as current only while a confirmed reply shows which versions were the newest at most
+// `patience` ago. The age counts from the moment the request was made, so a reply that was delayed
+// by the network or by a suspended process does not count, nor does a reply to an earlier start of
+// the process.
 class Confirmation {
  public:
-  // Nonces count up from `seed`, which no other start of the process uses.
+  // Nonces count up from `seed`. REQUIRES: no other start of the process uses the same nonces.
   explicit Confirmation(uint64_t seed, base::Millis patience = 1000)
       : patience_(patience), next_nonce_(seed) {}
 
+  // Returns a new request to send.
   Confirm Ask(base::Millis now);
-  // Where to put the same question, if the one asked names a leader.
+  // Returns the leader's address if the request is to be repeated there: the replying controller
+  // did not confirm and named a leader. Ignores unknown nonces and replies after `patience`.
   std::optional<base::Address> OnReply(base::Millis now, const ConfirmReply& reply);
-  // Whether `held` is as new as a fresh answer says. Then nothing needs to be asked any more.
+  // Whether `own` is at least as new as a confirmed reply that is still valid at `now`. Once true,
+  // no further request is needed.
   bool Holds(base::Millis now, const Versions& own) const;
-  // When the question was put whose answer is the newest; -1 for none yet.
+  // When the newest request with a confirmed reply was made; -1 if there is none.
   base::Millis known_at() const { return known_at_; }
-  // The newest that answers named.
+  // The newest versions that confirmed replies named.
   const Versions& wanted() const { return wanted_; }
 
  private:
-  struct Question {
+  struct PendingRequest {
     uint64_t nonce;
-    base::Millis asked;
+    base::Millis made_at;
   };
   base::Millis patience_;
   uint64_t next_nonce_;
-  std::deque<Question> questions_;  // those that may still be answered
+  std::deque<PendingRequest> requests_;  // the newest ones, oldest first
   Versions wanted_;
-  base::Millis known_at_ = -1;  // when the question was put whose answer is the newest
+  base::Millis known_at_ = -1;
 };
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -6,16 +6,16 @@
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kFanOut = 4;                // of the node that an update starts from in a zone
-constexpr size_t kRelayFanOut = 2;           // of a node that has it from another
-constexpr base::Millis kFetchEveryMs = 250;  // before something is asked for again
-constexpr base::Millis kMaxFetchEveryMs = 8000;
-constexpr base::Millis kOwnZoneFirstMs = 300;   // that the own zone has to get what is large
-constexpr base::Millis kReplyTimeoutMs = 2000;  // an answer older than this vouches for nothing
-constexpr size_t kMinLinkBytesPerMs = 250;      // bytes a millisecond: 2 Mbit/s
-constexpr size_t kEndpointBytes = 64;           // that one endpoint takes in an update, about
-constexpr base::Millis kResendAfterMs = 500;    // something large is not sent twice in so long
-constexpr size_t kReliableSources = 3;  // nearest peers that are asked over connections, if need be
+constexpr size_t kOriginFanOut = 4;  // of the first node of a zone that has an update
+constexpr size_t kRelayFanOut = 2;   // of a node that received it from its own zone
+constexpr base::Millis kMinFetchIntervalMs = 250;
+constexpr base::Millis kMaxFetchIntervalMs = 8000;
+constexpr base::Millis kOwnZoneGraceMs = 300;   // for large state to reach the own zone
+constexpr base::Millis kReplyTimeoutMs = 2000;  // an older reply is no evidence of freshness
+constexpr size_t kMinLinkBytesPerMs = 250;      // 2 Mbit/s
+constexpr size_t kApproxEndpointBytes = 64;     // size of one endpoint in an update
+constexpr base::Millis kResendAfterMs = 500;    // before a large update is sent to a peer again
+constexpr size_t kReliableSources = 3;  // nearest peers, which retries reach over connections
 
 SyncSchedule::Options ScheduleOptions(const Disseminator::Options& options) {
   SyncSchedule::Options schedule;
@@ -72,30 +72,34 @@
   RequestSync(now);
   if (now < digest_at_) return;
   digest_at_ = now + options_.digest_every;
-  std::vector<const membership::Node*> near, all = membership_->ReachableOthers();
+  std::vector<const membership::Node*> in_zone, all = membership_->ReachableOthers();
   for (const membership::Node* node : all) {
-    if (node->zone == membership_->self().zone) near.push_back(node);
+    if (node->zone == membership_->self().zone) in_zone.push_back(node);
   }
-  bool far = near.empty() || random_.Below(static_cast<uint64_t>(options_.in_zone_share)) == 0;
-  const auto& from = far ? all : near;
-  if (from.empty()) return;
+  bool cross_zone =
+      in_zone.empty() || random_.Below(static_cast<uint64_t>(options_.cross_zone_one_in)) == 0;
+  const auto& candidates = cross_zone ? all : in_zone;
+  if (candidates.empty()) return;
   Digest digest = OwnDigest(now);
   digest.answer = true;
-  out_.digests.emplace_back(from[random_.Below(from.size())]->address(), digest);
+  out_.digests.emplace_back(candidates[random_.Below(candidates.size())]->address(), digest);
 }
 
 std::vector<const membership::Node*> Disseminator::ZonePeers() const {
-  std::vector<const membership::Node*> neighbours;
+  std::vector<const membership::Node*> peers;
   const membership::Node& self = membership_->self();
   for (const auto& [id, node] : membership_->nodes()) {
     if (node.zone == self.zone && id != self.id && node.state != membership::State::kLeft) {
-      neighbours.push_back(&node);
+      peers.push_back(&node);
     }
   }
-  return neighbours;
+  return peers;
 }
 
-// A peer's claim of which nothing has come for so long is no reason to wait for that peer.
+// A claim counts before the state that it names has arrived, so that a transfer in progress is not
+// requested from further peers. Once the claim is newer than the verified state by more than
+// `max_age`, it no longer counts: otherwise a peer that claims newer state and never delivers it
+// would keep this node from asking others.
 template <class Version>
 base::Millis Disseminator::KnownAt(const Freshness<Version>& freshness) const {
   bool delivered = freshness.claimed_at() - freshness.verified_at() <= options_.max_age;
@@ -103,14 +107,14 @@
 }
 
 void Disseminator::RequestSync(base::Millis now) {
-  std::map<base::Address, bool> targets;  // and whether over a connection
+  std::map<base::Address, bool> targets;  // value: whether to use a connection
   auto ask = [&](SyncSchedule* schedule, base::Millis known_at,
-                 const std::optional<base::Address>& voucher) {
+                 const std::optional<base::Address>& authority) {
     if (!schedule->Due(now, known_at)) return;
-    std::vector<base::Address> sources = SyncSources(*membership_, options_.seeds, voucher);
+    std::vector<base::Address> sources = SyncSources(*membership_, options_.seeds, authority);
     bool retrying = schedule->retrying();
     size_t near = std::min(sources.size(), kReliableSources);
-    for (const base::Address& to : schedule->Next(now, sources)) {
+    for (const base::Address& to : schedule->NextPeers(now, sources)) {
       bool is_near = std::find(sources.begin(), sources.begin() + static_cast<long>(near), to) !=
                      sources.begin() + static_cast<long>(near);
       targets[to] |= retrying && is_near;
@@ -124,49 +128,57 @@
   }
 }
 
-bool Disseminator::LacksEndpoints(const PeerState& peer) const {
-  if (!has_endpoints()) return peer.has_endpoints || OwnEndpointVersion().Lacks(peer.endpoints);
-  // A later reader's list is asked for once, whenever it was read: it says what it succeeds.
-  bool offered = peer.endpoints == not_known_newer_;
-  if (!HasOwnReading() && peer.endpoints.epoch > endpoints_.epoch && !offered) return true;
+bool Disseminator::IsBehindOnEndpoints(const PeerState& peer) const {
+  if (!has_endpoints()) {
+    return peer.has_endpoints || OwnEndpointVersion().IsOlderThan(peer.endpoints);
+  }
+  // A later reader's list is requested once, whenever it was read: only the update itself shows
+  // which list it succeeds, and so whether it is newer.
+  bool declined = peer.endpoints == declined_;
+  if (!HasOwnReading() && peer.endpoints.epoch > endpoints_.epoch && !declined) return true;
   return IsNewerList(peer.endpoints, peer.endpoints_read_at);
 }
 
-bool Disseminator::Lacks(const PeerState& peer) const {
-  return !OwnVersions().Covers(peer.versions) || LacksEndpoints(peer);
+bool Disseminator::IsBehind(const PeerState& peer) const {
+  return !OwnVersions().Covers(peer.versions) || IsBehindOnEndpoints(peer);
 }
 
-size_t Disseminator::EndpointsBytes() const { return endpoints_.servers.size() * kEndpointBytes; }
+size_t Disseminator::EndpointsBytes() const {
+  return endpoints_.servers.size() * kApproxEndpointBytes;
+}
 
-// Whoever has this very list knows when the platform was last read for it. By an answer alone,
-// which counts from the question: a message that nobody asked for may have been long on its way.
+// A peer that has the same list may have it from a later read of the platform. Only replies count,
+// since their age is measured from the request: an unsolicited message may have been in transit for
+// an unknown time, and would make the list look younger than it is.
 void Disseminator::NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at) {
   if (!exact_) return;
   bool same = endpoints.epoch == endpoints_.epoch && endpoints.sequence == endpoints_.sequence;
   if (same && has_endpoints()) read_at_ = std::max(read_at_, read_at);
 }
 
-// Bytes between zones are dear, and what is large comes to a zone once: the own zone, if a
-// controller is there, is given a moment to get it and the time to hand it on.
-bool Disseminator::MayAsk(base::Millis now, const base::Address& from, const SyncReply& reply,
-                          const PeerState& peer) {
-  if (lacking_since_ < 0) lacking_since_ = now;
+// Traffic between zones is expensive, so large state is to enter a zone only once: while the own
+// zone has a reachable controller, other zones are asked only after a grace period plus the time
+// that the transfer takes.
+bool Disseminator::MayRequestFrom(base::Millis now, const base::Address& from,
+                                  const SyncReply& reply, const PeerState& peer) {
+  if (behind_since_ < 0) behind_since_ = now;
   size_t bytes = 0;
   if (reply.versions.revision > OwnVersions().revision) bytes += reply.document_bytes;
-  if (LacksEndpoints(peer)) bytes += reply.endpoints_bytes;
-  base::Millis patience = kOwnZoneFirstMs + TransferTime(bytes);
-  if (!InOtherZone(from) || now - lacking_since_ >= patience) return true;
-  std::vector<const membership::Node*> near = ZonePeers();
-  return std::none_of(near.begin(), near.end(), [](const membership::Node* node) {
+  if (IsBehindOnEndpoints(peer)) bytes += reply.endpoints_bytes;
+  base::Millis grace = kOwnZoneGraceMs + TransferTime(bytes);
+  if (!InOtherZone(from) || now - behind_since_ >= grace) return true;
+  std::vector<const membership::Node*> peers = ZonePeers();
+  return std::none_of(peers.begin(), peers.end(), [](const membership::Node* node) {
     return node->program == membership::Program::kController && node->reachable();
   });
 }
 
 bool Disseminator::MayFetch(base::Millis now, Fetch* fetch, size_t bytes) {
-  if (now < fetch->again_at) return false;
-  fetch->gap =
-      std::min(std::max({fetch->gap * 2, kFetchEveryMs, TransferTime(bytes)}), kMaxFetchEveryMs);
-  fetch->again_at = now + fetch->gap;
+  if (now < fetch->next_at) return false;
+  fetch->back_off =
+      std::min(std::max({fetch->back_off * 2, kMinFetchIntervalMs, TransferTime(bytes)}),
+               kMaxFetchIntervalMs);
+  fetch->next_at = now + fetch->back_off;
   return true;
 }
 
@@ -176,12 +188,12 @@
   size_t document = std::max(document_bytes_, document_.MaxBytes());
   bool config =
       peer.versions.revision > own.revision && MayFetch(now, &fetch_configuration_, document);
-  bool endpoints = LacksEndpoints(peer) && MayFetch(now, &fetch_endpoints_, EndpointsBytes());
+  bool endpoints = IsBehindOnEndpoints(peer) && MayFetch(now, &fetch_endpoints_, EndpointsBytes());
   bool lacks_other =
       peer.versions.zone_drains > own.zone_drains || peer.versions.rollouts > own.rollouts;
   bool other = lacks_other && MayFetch(now, &fetch_other_, 0);
   if (!config && !endpoints && !other) return;
-  // What is not wanted now is named as held in a version that nobody is beyond.
+  // The maximum version excludes the state that is not requested now: no peer has anything newer.
   PullRequest pull{INT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, exact_};
   if (config) pull.revision = own.revision;
   if (endpoints) {
@@ -199,7 +211,8 @@
 bool Disseminator::SendMissing(base::Millis now, const base::Address& to, const PeerState& peer,
                                bool exact, int64_t asked_at) {
   bool all = true;
-  // Before the list: a node that knows of servers must know which of them it may send to.
+  // The roll-outs go before the list: a node that has servers must also have the versions in force,
+  // which determine the servers that it may send requests to.
   if (peer.versions.rollouts < rollouts_.version()) out_.rollouts.push_back({to, {rollouts_}});
   if (peer.versions.revision < OwnVersions().revision) {
     all &= SendConfiguration(now, to, peer.versions.revision, false);
@@ -217,9 +230,10 @@
                  {digest.epoch, digest.sequence},
                  digest.endpoints_read_age_ms >= 0,
                  digest.endpoints_read_age_ms >= 0 ? now - digest.endpoints_read_age_ms : -1};
-  bool sent_all = SendMissing(now, from, peer, true, EndpointUpdate::kUnasked);
+  bool sent_all = SendMissing(now, from, peer, true, EndpointUpdate::kUnsolicited);
   RequestMissing(now, from, peer);
-  // What is too large to be sent unasked is asked for by a peer that sees this node's digest.
+  // The peer requests what was too large to be sent unsolicited once it receives this node's
+  // digest.
   if (digest.answer || !sent_all) {
     Digest own = OwnDigest(now);
     own.reliable = digest.reliable;
@@ -251,21 +265,22 @@
   document_bytes_ = reply.document_bytes;
   PeerState peer{reply.versions, reply.endpoints, reply.platform_age_ms >= 0,
                  reply.platform_age_ms >= 0 ? reply.asked_at - reply.platform_age_ms : -1};
-  if (!Lacks(peer)) {
-    lacking_since_ = -1;
-  } else if (MayAsk(now, from, reply, peer)) {
+  if (!IsBehind(peer)) {
+    behind_since_ = -1;
+  } else if (MayRequestFrom(now, from, reply, peer)) {
     RequestMissing(now, from, peer);
   }
   if (reply.asked_at > now || now - reply.asked_at > kReplyTimeoutMs) return;
   if (reply.age_ms >= 0) {
     log_.Claim(reply.asked_at - reply.age_ms, reply.versions, OwnVersions());
-    log_schedule_.Answered(now, from, KnownAt(log_));
+    log_schedule_.OnAnswer(now, from, KnownAt(log_));
   }
-  // One that names an earlier reader than is known here has missed that it was replaced.
+  // A peer that names an earlier reader than this node's has not yet learned that the reader was
+  // replaced; its claim must not count.
   if (reply.endpoints_age_ms >= 0 && reply.endpoints.epoch >= endpoints_.epoch) {
     endpoints_freshness_.Claim(reply.asked_at - reply.endpoints_age_ms, reply.endpoints,
                                VerifiableEndpointVersion());
-    endpoints_schedule_.Answered(now, from, KnownAt(endpoints_freshness_));
+    endpoints_schedule_.OnAnswer(now, from, KnownAt(endpoints_freshness_));
   }
   if (reply.platform_age_ms >= 0) {
     NoteReadAt(reply.endpoints, reply.asked_at - reply.platform_age_ms);
@@ -290,20 +305,20 @@
                                  const PullRequest& pull) {
   if (rollouts_.version() > pull.rollouts) out_.rollouts.push_back({from, {rollouts_}});
   if (OwnVersions().revision > pull.revision) SendConfiguration(now, from, pull.revision, true);
-  bool truer = exact_ && !pull.exact && pull.epoch == endpoints_.epoch &&
-               pull.sequence == endpoints_.sequence;
+  bool only_copy_is_exact = exact_ && !pull.exact && pull.epoch == endpoints_.epoch &&
+                            pull.sequence == endpoints_.sequence;
   if (has_endpoints() &&
-      (endpoints_.NewerThan(pull.epoch, pull.sequence) || truer || pull.epoch == 0)) {
+      (endpoints_.NewerThan(pull.epoch, pull.sequence) || only_copy_is_exact || pull.epoch == 0)) {
     SendEndpoints(now, from, {{pull.epoch, pull.sequence}, pull.exact, true, pull.asked_at});
   }
   if (drained_zones_.version() > pull.zone_drains)
     out_.zone_drains.push_back({from, {drained_zones_}});
 }
 
-bool Disseminator::RecentlySent(base::Millis now, const base::Address& to, uint64_t what) {
+bool Disseminator::RecentlySent(base::Millis now, const base::Address& to, uint64_t update_id) {
   Sent& sent = sent_[to];
-  if (sent.what == what && now - sent.at < kResendAfterMs) return true;
-  sent = {now, what};
+  if (sent.update_id == update_id && now - sent.at < kResendAfterMs) return true;
+  sent = {now, update_id};
   return false;
 }
 
@@ -315,35 +330,37 @@
 std::vector<const membership::Node*> Disseminator::ForwardTargets(bool origin, size_t near_count) {
   const std::string& zone = membership_->self().zone;
   std::vector<const membership::Node*> near;
-  std::map<std::string, std::vector<const membership::Node*>> far, far_core;
+  std::map<std::string, std::vector<const membership::Node*>> other_zones, durable;
   for (const membership::Node* node : membership_->ReachableOthers()) {
     if (node->zone == zone) {
       near.push_back(node);
     } else if (origin) {
-      far[node->zone].push_back(node);
-      if (node->durable) far_core[node->zone].push_back(node);
+      other_zones[node->zone].push_back(node);
+      if (node->durable) durable[node->zone].push_back(node);
     }
   }
-  std::vector<const membership::Node*> audience;
-  while (!near.empty() && audience.size() < near_count) {
+  std::vector<const membership::Node*> targets;
+  while (!near.empty() && targets.size() < near_count) {
     size_t pick = random_.Below(near.size());
-    audience.push_back(near[pick]);
+    targets.push_back(near[pick]);
     near.erase(near.begin() + static_cast<long>(pick));
   }
-  // A zone's relay is a machine of the core, where one is in sight: it has the better link.
-  for (auto& [name, nodes] : far) {
-    auto core = far_core.find(name);
-    const auto& from = core == far_core.end() ? nodes : core->second;
-    audience.push_back(from[random_.Below(from.size())]);
+  // A durable node, that is a controller with a disk, is preferred as a zone's relay, since its
+  // machine has the better link.
+  for (auto& [name, nodes] : other_zones) {
+    auto durable_nodes = durable.find(name);
+    const auto& candidates = durable_nodes == durable.end() ? nodes : durable_nodes->second;
+    targets.push_back(candidates[random_.Below(candidates.size())]);
   }
-  return audience;
+  return targets;
 }
 
 void Disseminator::Forward(base::Millis now, Topic topic, const base::Address* from) {
   bool origin = from == nullptr && topic == Topic::kEndpoints && endpoints_.epoch > 0;
-  bool first_here = from == nullptr || InOtherZone(*from);
-  Digest announce = OwnDigest(now);
-  for (const membership::Node* node : ForwardTargets(origin, first_here ? kFanOut : kRelayFanOut)) {
+  bool first_in_zone = from == nullptr || InOtherZone(*from);
+  Digest announcement = OwnDigest(now);
+  for (const membership::Node* node :
+       ForwardTargets(origin, first_in_zone ? kOriginFanOut : kRelayFanOut)) {
     if (from && node->address() == *from) continue;
     bool sent = true;
     switch (topic) {
@@ -362,20 +379,21 @@
         out_.rollouts.push_back({node->address(), {rollouts_}});
         break;
     }
-    if (!sent) out_.digests.emplace_back(node->address(), announce);
+    if (!sent) out_.digests.emplace_back(node->address(), announcement);
   }
 }
 
 void Disseminator::OnNodeReachable(base::Millis now, const membership::Node& node) {
-  // By those that kept a hint; what it missed it then asks for, once.
+  // Only monitors that noted missed updates send a digest; the node then requests once what it
+  // lacks.
   if (missed_updates_.erase(node.id) == 0) return;
   out_.digests.emplace_back(node.address(), OwnDigest(now));
 }
 
 void Disseminator::OnNodeUnreachable(const membership::Node& node) {
   if (node.state == membership::State::kLeft) return;
-  for (const membership::Node* watcher : membership_->MonitorsOf(node.id)) {
-    if (watcher->id == membership_->self().id) missed_updates_.insert(node.id);
+  for (const membership::Node* monitor : membership_->MonitorsOf(node.id)) {
+    if (monitor->id == membership_->self().id) missed_updates_.insert(node.id);
   }
 }
 
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -23,30 +23,36 @@
 
 namespace elderkeel::dissemination {
 
-// How updates reach every node, as a pure state machine, by two paths.
+// Distributes the configuration, the endpoints, the drained zones and the roll-outs to every node,
+// as a pure state machine. Each `cluster::ClusterNode` owns one: it passes in received messages and
+// timer ticks, and sends the messages that `TakeEffects` returns.
 //
-// Push: a node forwards what is new to it to a few others, one for each zone that has no other
-// source and some of its own zone. What is small is sent at once; what is large is announced by a
-// digest, so that each node takes it once. Nodes also exchange digests with a random peer. This is
-// fast, and promises nothing: any of these messages may be lost or end at a node that is cut off.
+// Updates take two paths:
 //
-// Pull: each node knows how old its own state may be (`Freshness`), and asks its peers in turn,
-// over zones too, once that is too old (`SyncSchedule`). The bound on how late a node learns of a
-// change follows from the timers of this path alone; docs/dissemination.md adds it up.
+// Push: a node forwards an update that is new to it to some nodes of its own zone and, where it is
+// the update's only source for other zones, to one node of each. Small updates are sent at once;
+// large ones are announced by a digest, so that each node fetches them once. Nodes also exchange
+// digests with a random peer. This path is fast but gives no guarantee: any of its messages may be
+// lost, or end at a node that is partitioned from the others.
 //
-// While a process runs nothing older replaces anything newer.
+// Pull: each node tracks how old its own state may be (`Freshness`) and, once that exceeds a limit,
+// asks its peers in turn, across zones as well (`SyncSchedule`). The bound on how late a change
+// reaches a node follows from the timers of this path alone; docs/dissemination.md derives it.
+//
+// Invariant: while a process runs, older state never replaces newer state.
 class Disseminator {
  public:
   enum class Topic : uint8_t { kConfiguration, kEndpoints, kZoneDrain, kRollouts };
   struct Options {
     uint64_t seed = 1;
     base::Millis digest_every = 400;
-    int in_zone_share = 8;  // of so many digest exchanges, all but one stay in the zone
-    // What is known to be younger than this is not asked for.
+    int cross_zone_one_in = 8;  // one in this many digest exchanges may cross zones, on average
+    // State that is known to be younger than this is not requested.
     base::Millis max_age = 900;
-    // Controllers that may be asked before membership knows of any.
+    // Controllers that may be asked before membership lists any.
     std::vector<base::Address> seeds;
   };
+  // The messages to send and the changes to report, collected since the last `TakeEffects`.
   struct Effects {
     std::vector<std::pair<base::Address, Digest>> digests;
     std::vector<std::pair<base::Address, PullRequest>> pulls;
@@ -55,7 +61,7 @@
     std::vector<std::pair<base::Address, EndpointUpdate>> endpoint_updates;
     std::vector<std::pair<base::Address, ZoneDrainUpdate>> zone_drains;
     std::vector<std::pair<base::Address, RolloutUpdate>> rollouts;
-    // After all else that goes to the same peer: over a connection if `follows` says so.
+    // Is sent after all other messages to the same peer; over a connection if `follows` is true.
     struct Reply {
       base::Address to;
       SyncReply reply;
@@ -64,10 +70,11 @@
     std::vector<Reply> sync_replies;
     bool configuration_adopted = false;
     bool endpoints_adopted = false;
-    std::optional<base::Address> endpoints_from;  // who sent them; none for a reading of this node
+    // The sender of the adopted endpoints; none if this node read them from the platform.
+    std::optional<base::Address> endpoints_from;
     bool zone_drains_adopted = false;
     bool rollouts_adopted = false;
-    // Messages that carry state.
+    // The number of messages that carry state.
     size_t updates() const {
       return configuration_updates.size() + endpoint_updates.size() + zone_drains.size() +
              rollouts.size();
@@ -81,14 +88,15 @@
 
   Disseminator(Options options, const membership::Membership* members, base::Millis now);
 
+  // Sends the digests and synchronization requests that are due.
   void Tick(base::Millis now);
-  // When the next tick has something to do.
+  // When the next digest or synchronization request is due.
   base::Millis DueAt() const;
   void OnDigest(base::Millis now, const base::Address& from, const Digest& digest);
   void OnPullRequest(base::Millis now, const base::Address& from, const PullRequest& pull);
   void OnSyncRequest(base::Millis now, const base::Address& from, const SyncRequest& request);
   void OnSyncReply(base::Millis now, const base::Address& from, const SyncReply& reply);
-  // Something that was to go there could not be sent: it may be sent again at once.
+  // A message to `to` could not be sent: large state may be sent there again without delay.
   void OnSendFailed(const base::Address& to) { sent_.erase(to); }
   void OnConfigurationUpdate(base::Millis now, const base::Address& from,
                              const ConfigurationUpdate& update);
@@ -96,151 +104,179 @@
   void OnZoneDrainUpdate(base::Millis now, const base::Address& from,
                          const ZoneDrainUpdate& update);
   void OnRolloutUpdate(base::Millis now, const base::Address& from, const RolloutUpdate& update);
-  // A node has this version of the roll-outs; if that is newer, it is asked for it.
+  // `from` reports that it has this version of the roll-outs; requests it if it is newer.
   void OnRolloutVersion(base::Millis now, const base::Address& from, uint64_t version);
-  // A node is alive for the first time, or again: it is sent what it missed.
+  // The node is reachable for the first time, or again. If this node noted that it may have missed
+  // updates, it is sent a digest.
   void OnNodeReachable(base::Millis now, const membership::Node& node);
+  // Notes that the node may miss updates, if this node is one of its monitors.
   void OnNodeUnreachable(const membership::Node& node);
 
-  // From the log, committed; only controllers call this.
+  // Adopts state that the log committed. Only controllers call these.
   void Commit(base::Millis now, const configuration::ConfigurationState& state);
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
-  // From this node's own reading of the platform, as the catalog reader. Epoch 0 is a reading that
-  // no reader vouches for; it stays in the zone. False if the list of a later reader is here, since
-  // this one was replaced and does not know it yet, or one that was asked for after this reading.
+  // Adopts and forwards a list that this node read from the platform as the catalog reader, by a
+  // request made at `asked_at`. A list of epoch 0 belongs to no reader and is sent in this zone
+  // only. Returns false without adopting it if this node already has the list of a later reader,
+  // which happens until this one learns that it was replaced, or a list that was read after this
+  // one.
   bool Publish(base::Millis now, base::Millis asked_at, discovery::EndpointSnapshot endpoints);
-  // The reader of `epoch` read the list and found it unchanged.
+  // As the catalog reader of `epoch`, this node read the platform by a request made at `asked_at`
+  // and found the list unchanged.
   void Confirm(base::Millis now, base::Millis asked_at, uint64_t epoch);
-  // A reading for this node alone, when no update of the list comes any more. Of two lists that one
-  // is newer whose question was put later: false if that is the one that is here.
+  // Adopts a list that this node read from the platform for its own use, because updates of the
+  // list no longer arrive. The list that was requested later counts as newer: returns false if that
+  // is the one that this node already has.
   bool AdoptOwnReading(base::Millis asked_at, std::vector<discovery::Server> servers);
 
-  // A majority has confirmed that what is here was all that was committed at `as_of`: to the
-  // leader, or to a proxy that starts.
+  // A majority has confirmed that nothing beyond this node's state was committed at `as_of`. Called
+  // by the leader and by a starting proxy.
   void VouchForLog(base::Millis as_of);
-  // For the reader of the list: what it published is the newest list of endpoints now.
+  // Called by the catalog reader: the list that it published is the newest one at `now`.
   void VouchForEndpoints(base::Millis now);
-  // Who vouches, as far as a controller knows it by the log; they are asked first.
+  // Sets the log's leader and the catalog reader, as far as a controller has them from the log.
+  // Synchronization requests go to them first.
   void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
-  // What was adopted as the configuration can't be used: all of it is asked for anew.
+  // The adopted configuration is unusable: the complete document is requested again.
   void RejectConfiguration();
 
   Effects TakeEffects();
+  // The digest of this node's state, without its load.
   Digest OwnDigest(base::Millis now) const;
 
   int64_t revision() const { return revision_; }
   const std::string& configuration_text() const { return document_.text(); }
-  // The patch that led to this configuration, and from which revision; empty if it came as a
-  // complete document.
+  // The patch that led to this configuration, and the revision that it applies to; empty and 0 if
+  // the configuration came as a complete document.
   const std::string& configuration_patch() const;
   int64_t configuration_base() const { return patches_.last() ? patches_.last()->base : 0; }
   const discovery::EndpointSnapshot& endpoints() const { return endpoints_; }
   const zone_drain::DrainedZones& drained_zones() const { return drained_zones_; }
   const rollout::Rollouts& rollouts() const { return rollouts_; }
   bool has_endpoints() const { return has_endpoints_; }
-  // Milliseconds since what the log decides, as it is here, was known to be the newest; -1 for
-  // never. All that was acknowledged before that moment is in force here.
+  // Milliseconds since this node's copy of the log's state was known to be the newest; -1 if it
+  // never was. Everything acknowledged before that moment is in force on this node.
   base::Millis log_age(base::Millis now) const { return log_.age(now); }
+  // The same for the list of endpoints.
   base::Millis endpoints_age(base::Millis now) const { return endpoints_freshness_.age(now); }
-  // Milliseconds since the platform was asked for the list, or for one that showed the same, at
-  // most; -1 without a list.
+  // Upper bound, in milliseconds, of the time since the platform was last asked for this list or
+  // for an identical one; -1 without a list.
   base::Millis endpoints_read_age(base::Millis now) const {
     return has_endpoints_ ? now - read_at_ : -1;
   }
 
  private:
-  // A step in the list's history: what it was before, and which servers it touched.
+  // One change in the list's history: the version before it, and the servers that it changed.
   struct Step {
     uint64_t epoch;
     uint64_t sequence;
-    std::vector<std::string> touched;
+    std::vector<std::string> changed_ids;
   };
 
-  // What is asked for and under way, of one kind of large state.
+  // The back-off between requests for one kind of state.
   struct Fetch {
-    base::Millis again_at = 0;  // not asked for before
-    base::Millis gap = 0;       // grows until something newer is here
+    base::Millis next_at = 0;   // no request before this
+    base::Millis back_off = 0;  // doubles until newer state arrives
   };
-  // How new another node's state is, as a digest or an answer says.
+  // The versions of another node's state, from a digest or a reply.
   struct PeerState {
     Versions versions;
     EndpointVersion endpoints;
     bool has_endpoints = false;
-    base::Millis endpoints_read_at = -1;  // by this node's clock; -1 if not said
+    base::Millis endpoints_read_at = -1;  // on this node's clock; -1 if not reported
   };
-  // What a peer has of the list, and what it may be sent.
-  struct EndpointsWanted {
+  // The list that a peer has, and whether it requested a newer one.
+  struct PeerEndpoints {
     EndpointVersion has;
-    bool exact = false;         // it has the list just as `has` names it
-    bool asked_for_it = false;  // then a large list is sent too
-    int64_t asked_at = EndpointUpdate::kUnasked;
+    bool exact = false;      // it has an unmodified copy of version `has`
+    bool requested = false;  // a large update is sent too
+    int64_t asked_at = EndpointUpdate::kUnsolicited;
   };
 
-  // As of when the state of a topic counts as known, for asking peers.
+  // The moment as of which state counts as known when deciding whether to ask peers.
   template <class Version>
   base::Millis KnownAt(const Freshness<Version>& freshness) const;
+  // The versions that this node has; revision 0 while its configuration is rejected as unusable.
   Versions OwnVersions() const;
   EndpointVersion OwnEndpointVersion() const { return {endpoints_.epoch, endpoints_.sequence}; }
-  // What claims that a list is current are compared with: an own reading is no version of a list.
+  // The version that claims about the newest list are compared with: none for an own reading, which
+  // is not a version of the reader's list.
   EndpointVersion VerifiableEndpointVersion() const {
     return HasOwnReading() ? EndpointVersion() : OwnEndpointVersion();
   }
-  // This node's own reading stands in the place of the reader's list, under its number.
+  // Whether this node uses its own reading of the platform in place of the reader's list. It
+  // carries that list's version.
   bool HasOwnReading() const { return has_endpoints() && !exact_ && endpoints_.epoch > 0; }
-  // The age of the list for peers; an own reading is none that they could ask for.
+  // The age of the list as reported to peers; -1 for an own reading, since peers can't request it.
   base::Millis SharedReadAge(base::Millis now) const {
     return HasOwnReading() ? -1 : endpoints_read_age(now);
   }
-  // Whether a list of this version, read at that moment or later, is newer than the one that is
-  // here.
+  // Whether a list of this version, read at `read_at` or later, is newer than this node's list.
   bool IsNewerList(const EndpointVersion& version, base::Millis read_at) const;
-  // Whether the update says what changed in the very list that is here.
+  // Whether the update contains changes to exactly this node's list.
   bool BuildsOnOwnList(const EndpointUpdate& update) const;
-  // Whether it is of a later reader that knew the list that is here, or a newer one, when it read.
+  // Whether the update is of a later reader that had this node's list, or a newer one, before it
+  // published its own first list.
   bool SucceedsOwnList(const EndpointUpdate& update) const;
-  // The earliest moment at which the platform can have been asked for the update's list.
+  // The earliest moment, on this node's clock, at which the platform can have been asked for the
+  // update's list.
   base::Millis EarliestReading(base::Millis now, const EndpointUpdate& update) const;
-  // Whether it was read after the list that is here by its numbers alone, without a look at
-  // moments.
+  // Whether the versions alone show that the update was read after this node's list, without a
+  // comparison of times.
   bool IsSuccessor(const EndpointUpdate& update) const;
+  // Whether the update's list is newer than this node's.
   bool IsNewerUpdate(base::Millis now, const EndpointUpdate& update) const;
-  // The list that the update leads to, on this process's clock.
+  // The list that the update leads to, with slow starts on this process's clock.
   std::vector<discovery::Server> Merge(base::Millis now, const EndpointUpdate& update) const;
-  bool Lacks(const PeerState& peer) const;
-  bool LacksEndpoints(const PeerState& peer) const;
-  // Of all endpoints in an update, about.
+  // Whether the peer has newer state, or a newer list, than this node.
+  bool IsBehind(const PeerState& peer) const;
+  bool IsBehindOnEndpoints(const PeerState& peer) const;
+  // The approximate size of an update with all endpoints.
   size_t EndpointsBytes() const;
+  // A reply reports that `endpoints` was read at `read_at`, on this node's clock.
   void NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at);
 
-  // False where it is too large to be sent unasked. What was just sent there is not sent again.
-  bool SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has, bool asked);
-  bool SendEndpoints(base::Millis now, const base::Address& to, const EndpointsWanted& wanted);
-  // Fills in the servers that differ since before the step `first`; all if there is no such step.
+  // Both return false, and send nothing, if the update is too large to be sent unsolicited. A large
+  // update that was recently sent to the same peer is not sent again.
+  bool SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
+                         bool requested);
+  bool SendEndpoints(base::Millis now, const base::Address& to, const PeerEndpoints& peer);
+  // Fills in the servers that changed in the steps from `first` on; all servers if `first` is the
+  // end of the history.
   void FillServers(base::Millis now, size_t first, EndpointUpdate* update) const;
-  // The first remembered step from what the peer has; the end if there is none.
-  size_t FirstStepFrom(const EndpointsWanted& wanted) const;
-  bool RecentlySent(base::Millis now, const base::Address& to, uint64_t what);
-  // Sends all that the peer lacks and that is small. False if something is too large.
+  // The index of the history's step that starts at the peer's list; the history's size if there is
+  // none.
+  size_t FirstStepFrom(const PeerEndpoints& peer) const;
+  // Whether the large update `update_id` was the last one sent to `to`, less than `kResendAfterMs`
+  // ago; if not, records that it is sent now.
+  bool RecentlySent(base::Millis now, const base::Address& to, uint64_t update_id);
+  // Sends all small state that the peer lacks. Returns false if some of it is too large.
   bool SendMissing(base::Millis now, const base::Address& to, const PeerState& peer, bool exact,
                    int64_t asked_at);
-  // Asks for what `peer` has beyond this node, each kind of state at most once in a while.
+  // Requests from `from` the state that is newer in `peer` than on this node, each kind subject to
+  // its back-off.
   void RequestMissing(base::Millis now, const base::Address& from, const PeerState& peer);
+  // Whether the back-off allows a request now; if so, extends it. `bytes` is the expected size.
   bool MayFetch(base::Millis now, Fetch* fetch, size_t bytes);
-  // Whether `from` may be asked for what it has beyond this node and did not send unasked.
-  bool MayAsk(base::Millis now, const base::Address& from, const SyncReply& reply,
-              const PeerState& peer);
+  // Whether newer state that `from` has but did not send along with `reply` may be requested from
+  // it.
+  bool MayRequestFrom(base::Millis now, const base::Address& from, const SyncReply& reply,
+                      const PeerState& peer);
+  // Adopts `endpoints`; records the change in the history if both lists are unmodified copies.
   void Replace(discovery::EndpointSnapshot endpoints, bool exact);
-  // What the log decides is newer here than before, by what `fetch` may have asked for.
+  // State of the log has become newer, possibly by a request that `fetch` limits.
   void LogAdvanced(Fetch* fetch);
-  // Whom to send something new at once.
+  // The nodes to send a new update to: up to `near_count` random ones of this zone and, if
+  // `origin`, one of each other zone.
   std::vector<const membership::Node*> ForwardTargets(bool origin, size_t near_count);
-  // `from`: who sent it; none if the update originates here.
+  // `from` is the sender of the update; null if it originates on this node.
   void Forward(base::Millis now, Topic topic, const base::Address* from);
   bool InOtherZone(const base::Address& from) const;
-  // Others of the zone; those suspected or dead too: they may only be hard to reach.
+  // The other nodes of the zone that have not left. Includes suspected and dead ones, which may be
+  // running but hard to reach.
   std::vector<const membership::Node*> ZonePeers() const;
-  // Asks for what is too old here, if that is due.
+  // Sends the synchronization requests that are due.
   void RequestSync(base::Millis now);
 
   Options options_;
@@ -251,35 +287,38 @@
   bool document_rejected_ = false;
   PatchHistory patches_;
   discovery::EndpointSnapshot endpoints_;
-  bool exact_ = false;
-  std::deque<Step> history_;  // leads up to endpoints_
+  bool exact_ = false;        // endpoints_ is an unmodified copy of the reader's list
+  std::deque<Step> history_;  // the latest changes that led to endpoints_
   zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
   bool has_endpoints_ = false;
-  // The platform was asked for what endpoints_ show at `read_at_` or later, and before or at
-  // `read_before_`, on this process's clock: how long an update was on its way is not known.
+  // The platform was last asked for the content of endpoints_ at `read_at_` or later, and was asked
+  // for the list that was adopted at `read_before_` or earlier, both on this process's clock. These
+  // are bounds because the time that an update was in transit is unknown.
   base::Millis read_at_ = -1;
   base::Millis read_before_ = -1;
-  EndpointVersion succeeds_;         // what their reader had when it began
-  EndpointVersion not_known_newer_;  // a later reader's list that was offered and not taken
+  EndpointVersion succeeds_;  // `EndpointUpdate::succeeds` of endpoints_
+  // The list last received in reply to a request and not adopted; it is not requested again just
+  // because its reader is a later one.
+  EndpointVersion declined_;
   base::Millis started_at_;
   base::Millis digest_at_ = 0;
-  base::Millis lacking_since_ = -1;  // as answers of peers say; -1 for not
+  base::Millis behind_since_ = -1;  // by replies of peers; -1 if not behind
   Fetch fetch_configuration_, fetch_endpoints_, fetch_other_;
-  size_t document_bytes_ = 0;  // of the newest configuration that a peer has
+  size_t document_bytes_ = 0;  // size of the configuration, from the last reply of a peer
   Freshness<Versions> log_;
   Freshness<EndpointVersion> endpoints_freshness_;
   SyncSchedule log_schedule_;
   SyncSchedule endpoints_schedule_;
   std::optional<base::Address> leader_;
   std::optional<base::Address> reader_;
-  std::set<uint64_t>
-      missed_updates_;  // nodes that missed updates, among those that this one monitors
+  // Nodes monitored by this one that may have missed updates.
+  std::set<uint64_t> missed_updates_;
   struct Sent {
     base::Millis at = 0;
-    uint64_t what = 0;
+    uint64_t update_id = 0;
   };
-  std::map<base::Address, Sent> sent_;  // large things, lately
+  std::map<base::Address, Sent> sent_;  // the last large update to each peer
   Effects out_;
 };
 
--- a/src/dissemination/disseminator_endpoints.cc
+++ b/src/dissemination/disseminator_endpoints.cc
@@ -1,20 +1,20 @@
-// The endpoints, as the catalog reader publishes them.
+// The part of `Disseminator` that distributes the list of endpoints.
 #include <algorithm>
 
 #include "dissemination/disseminator.h"
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kSmallServers = 48;    // changed servers that may be sent unasked
-constexpr size_t kHistory = 64;         // steps of the list that are remembered
-constexpr size_t kTouchedLimit = 2048;  // servers that all these steps may name
+constexpr size_t kMaxUnsolicitedServers = 48;  // in an update that the peer did not request
+constexpr size_t kMaxHistorySteps = 64;
+constexpr size_t kMaxHistoryServers = 2048;  // changed servers in all steps together
 }  // namespace
 
-size_t Disseminator::FirstStepFrom(const EndpointsWanted& wanted) const {
-  if (!wanted.exact || !exact_) return history_.size();
+size_t Disseminator::FirstStepFrom(const PeerEndpoints& peer) const {
+  if (!peer.exact || !exact_) return history_.size();
   for (size_t i = history_.size(); i-- > 0;) {
     const Step& step = history_[i];
-    if (step.epoch == wanted.has.epoch && step.sequence == wanted.has.sequence) return i;
+    if (step.epoch == peer.has.epoch && step.sequence == peer.has.sequence) return i;
   }
   return history_.size();
 }
@@ -26,11 +26,11 @@
     update->complete = false;
     update->base_epoch = history_[first].epoch;
     update->base_sequence = history_[first].sequence;
-    std::set<std::string> touched;
+    std::set<std::string> changed_ids;
     for (size_t i = first; i < history_.size(); ++i) {
-      touched.insert(history_[i].touched.begin(), history_[i].touched.end());
+      changed_ids.insert(history_[i].changed_ids.begin(), history_[i].changed_ids.end());
     }
-    for (const std::string& id : touched) {
+    for (const std::string& id : changed_ids) {
       auto at = std::lower_bound(endpoints_.servers.begin(), endpoints_.servers.end(), id,
                                  [](const discovery::Server& server, const std::string& want) {
                                    return server.id < want;
@@ -48,36 +48,38 @@
 }
 
 bool Disseminator::SendEndpoints(base::Millis now, const base::Address& to,
-                                 const EndpointsWanted& wanted) {
-  size_t first = FirstStepFrom(wanted);
-  bool whole = first == history_.size();
-  // Before the whole list is copied.
-  if (whole && !wanted.asked_for_it && endpoints_.servers.size() > kSmallServers) return false;
+                                 const PeerEndpoints& peer) {
+  size_t first = FirstStepFrom(peer);
+  bool complete = first == history_.size();
+  // This check repeats the one below to avoid copying a complete list that is not sent.
+  if (complete && !peer.requested && endpoints_.servers.size() > kMaxUnsolicitedServers) {
+    return false;
+  }
   EndpointUpdate update;
   update.epoch = endpoints_.epoch;
   update.sequence = endpoints_.sequence;
   update.exact = exact_;
   update.age_ms = static_cast<int32_t>(std::min<base::Millis>(endpoints_read_age(now), INT32_MAX));
-  update.asked_at = wanted.asked_at == 0 ? EndpointUpdate::kUnasked : wanted.asked_at;
+  update.asked_at = peer.asked_at == 0 ? EndpointUpdate::kUnsolicited : peer.asked_at;
   update.succeeds = succeeds_;
   FillServers(now, first, &update);
-  if (update.servers.size() + update.gone.size() > kSmallServers) {
-    if (!wanted.asked_for_it) return false;
+  if (update.servers.size() + update.gone.size() > kMaxUnsolicitedServers) {
+    if (!peer.requested) return false;
     if (RecentlySent(now, to, endpoints_.epoch << 32 | endpoints_.sequence << 1 | 1)) return true;
   }
   out_.endpoint_updates.emplace_back(to, std::move(update));
   return true;
 }
 
-// Takes another list in place of this one, and remembers the step if both are exact.
 void Disseminator::Replace(discovery::EndpointSnapshot endpoints, bool exact) {
   if (exact && exact_ && has_endpoints()) {
     history_.push_back({endpoints_.epoch, endpoints_.sequence,
                         discovery::Differences(endpoints_.servers, endpoints.servers)});
-    size_t touched = 0;
-    for (const Step& step : history_) touched += step.touched.size();
-    while (!history_.empty() && (history_.size() > kHistory || touched > kTouchedLimit)) {
-      touched -= history_.front().touched.size();
+    size_t changed = 0;
+    for (const Step& step : history_) changed += step.changed_ids.size();
+    while (!history_.empty() &&
+           (history_.size() > kMaxHistorySteps || changed > kMaxHistoryServers)) {
+      changed -= history_.front().changed_ids.size();
       history_.pop_front();
     }
   } else {
@@ -95,12 +97,12 @@
                            discovery::EndpointSnapshot endpoints) {
   EndpointVersion version{endpoints.epoch, endpoints.sequence};
   if (!IsNewerList(version, asked_at)) return false;
-  bool vouched = endpoints.epoch > 0;
+  bool by_reader = endpoints.epoch > 0;
   if (version.epoch != endpoints_.epoch) succeeds_ = OwnEndpointVersion();
-  Replace(std::move(endpoints), vouched);
+  Replace(std::move(endpoints), by_reader);
   read_at_ = read_before_ = asked_at;
   Forward(now, Topic::kEndpoints, nullptr);
-  if (vouched) return true;
+  if (by_reader) return true;
   for (const membership::Node* node : membership_->ReachableOthers()) {
     if (node->zone == membership_->self().zone) {
       SendEndpoints(now, node->address(), {{}, false, true});
@@ -112,8 +114,8 @@
 void Disseminator::Confirm(base::Millis now, base::Millis asked_at, uint64_t epoch) {
   if (epoch != endpoints_.epoch) return;
   read_at_ = std::max(read_at_, asked_at);
-  // One node of each other zone is sent what the newest is: a message that was lost on its way
-  // there would else wait for a digest exchange that happens to cross zones.
+  // One node of each other zone is sent the newest version: otherwise an update that was lost on
+  // the way there would be missing until a digest exchange happens to cross zones.
   for (const membership::Node* node : ForwardTargets(true, 0)) {
     out_.digests.emplace_back(node->address(), OwnDigest(now));
   }
@@ -130,11 +132,12 @@
   return true;
 }
 
-// A reader's lists are ordered by its sequence. Where that says nothing the moments decide: the
-// list of a later reader, or of the reader beside an own reading, may have been asked for earlier.
+// Lists of one reader are ordered by its sequence. In all other cases the times of the reads
+// decide, since a higher version may have been read earlier: the list of a later reader, and the
+// reader's list compared with an own reading.
 bool Disseminator::IsNewerList(const EndpointVersion& version, base::Millis read_at) const {
   if (!has_endpoints_) return true;
-  if (HasOwnReading()) return read_at > read_before_ && !version.Lacks(OwnEndpointVersion());
+  if (HasOwnReading()) return read_at > read_before_ && !version.IsOlderThan(OwnEndpointVersion());
   if (version.epoch == endpoints_.epoch) return version.sequence > endpoints_.sequence;
   return version.epoch > endpoints_.epoch && read_at > read_before_;
 }
@@ -151,17 +154,17 @@
 
 base::Millis Disseminator::EarliestReading(base::Millis now, const EndpointUpdate& update) const {
   base::Millis age = std::max<int32_t>(0, update.age_ms);
-  bool asked = update.asked_at > 0 && update.asked_at <= now;
-  if (asked) return update.asked_at - age;
-  // From a sender that does not say for what question.
+  bool requested = update.asked_at > 0 && update.asked_at <= now;
+  if (requested) return update.asked_at - age;
+  // The sender runs a program version that does not report the request's time.
   if (update.asked_at == 0) return now - age;
-  // It may have been on its way since this process started.
+  // An unsolicited update may have been in transit since this process started.
   return started_at_ - age;
 }
 
 bool Disseminator::IsSuccessor(const EndpointUpdate& update) const {
   EndpointVersion version{update.epoch, update.sequence};
-  bool later = has_endpoints_ && !HasOwnReading() && OwnEndpointVersion().Lacks(version);
+  bool later = has_endpoints_ && !HasOwnReading() && OwnEndpointVersion().IsOlderThan(version);
   return later &&
          (version.epoch == endpoints_.epoch || BuildsOnOwnList(update) || SucceedsOwnList(update));
 }
@@ -169,8 +172,10 @@
 bool Disseminator::IsNewerUpdate(base::Millis now, const EndpointUpdate& update) const {
   if (IsSuccessor(update)) return true;
   EndpointVersion version{update.epoch, update.sequence};
-  // A program that does not say what it answers orders readers by their epochs alone.
-  if (update.asked_at == 0 && !HasOwnReading() && OwnEndpointVersion().Lacks(version)) return true;
+  // Program versions that do not report the request's time order readers by their epochs alone.
+  if (update.asked_at == 0 && !HasOwnReading() && OwnEndpointVersion().IsOlderThan(version)) {
+    return true;
+  }
   return IsNewerList(version, EarliestReading(now, update));
 }
 
@@ -190,7 +195,7 @@
   std::set<std::string> gone(update.gone.begin(), update.gone.end());
   for (const discovery::Server& server : endpoints_.servers) {
     if (gone.count(server.id)) continue;
-    changed.emplace(server.id, server);  // keeps what changed
+    changed.emplace(server.id, server);  // does not overwrite a changed server
   }
   for (auto& [id, server] : changed) servers.push_back(std::move(server));
   return servers;
@@ -202,10 +207,12 @@
   bool usable = update.complete || BuildsOnOwnList(update);
   if (!usable || !IsNewerUpdate(now, update)) {
     if (usable && update.asked_at > 0) {
-      not_known_newer_ = version;
+      declined_ = version;
       return;
     }
-    // The answer to a question says more than an update that nobody asked for.
+    // Requests the list if it may be newer: either the changes apply to another list than this
+    // node's, or the update is unsolicited, and a requested one gives a tighter bound on when it
+    // was read.
     base::Millis latest = now - std::max<int32_t>(0, update.age_ms);
     RequestMissing(now, from, PeerState{{}, version, true, latest});
     return;
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -1,20 +1,21 @@
-// What the log decides: the configuration, the drains of zones, the roll-outs.
+// The part of `Disseminator` that distributes the state decided by the log: the configuration, the
+// drained zones and the roll-outs.
 #include "dissemination/disseminator.h"
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kSmall = 4096;  // bytes that may be sent to a peer unasked
+constexpr size_t kMaxUnsolicitedBytes = 4096;  // in an update that the peer did not request
 }  // namespace
 
 bool Disseminator::SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
-                                     bool asked) {
+                                     bool requested) {
   if (OwnVersions().revision == 0) return true;
   size_t first = patches_.From(peer_has, document_.MaxBytes());
   bool complete = first == patches_.size();
   size_t bytes = complete ? document_.MaxBytes() : 0;
   for (size_t i = first; i < patches_.size(); ++i) bytes += patches_.at(i).body.size();
-  if (bytes > kSmall) {
-    if (!asked) return false;
+  if (bytes > kMaxUnsolicitedBytes) {
+    if (!requested) return false;
     if (RecentlySent(now, to, static_cast<uint64_t>(revision_) * 2)) return true;
   }
   if (complete)
@@ -45,14 +46,14 @@
 
 void Disseminator::OnConfigurationUpdate(base::Millis now, const base::Address& from,
                                          const ConfigurationUpdate& update) {
-  // One that was rejected here may come once more.
+  // A revision that this node rejected may be received again: `OwnVersions` does not count it.
   if (update.revision < revision_ || update.revision <= OwnVersions().revision) return;
   if (update.base != 0 && update.base != OwnVersions().revision) {
     RequestMissing(now, from, PeerState{{update.revision, 0, 0}, {}, false});
     return;
   }
   if (update.base != 0) {
-    // What a controller applied was checked there; it is checked no second time.
+    // Controllers validated the patch when they applied it, so it isn't validated again here.
     if (document_.empty() || !document_.ApplyUnchecked(update.body)) {
       RejectConfiguration();
       RequestMissing(now, from, PeerState{{update.revision, 0, 0}, {}, false});
@@ -73,11 +74,11 @@
 void Disseminator::Commit(base::Millis now, const configuration::ConfigurationState& state) {
   if (state.revision() <= revision_) return;
   bool patch = state.base() != 0 && !state.patch().empty();
-  // Its own document follows the patch as a proxy's does: taking the other one's text would cost as
-  // much as the text is long.
-  bool follows = patch && state.base() == revision_ && !document_.empty() &&
+  // Applies the patch to this node's own document, as a proxy does: copying the state's document
+  // would take time in proportion to its length.
+  bool patched = patch && state.base() == revision_ && !document_.empty() &&
                  document_.ApplyUnchecked(state.patch());
-  if (!follows) {
+  if (!patched) {
     document_ = state.document();
     patches_.Clear();
   }
@@ -86,7 +87,8 @@
   if (patch) patches_.Add({state.base(), state.revision(), state.patch()});
   out_.configuration_adopted = true;
   LogAdvanced(&fetch_configuration_);
-  // Every controller applies the log by itself; one of a zone sends to all of it.
+  // Every controller applies the log itself, so only the zone's representative sends the
+  // configuration to all proxies of the zone. The others forward it to a few nodes.
   if (!membership_->IsZoneRepresentative()) {
     Forward(now, Topic::kConfiguration, nullptr);
     return;
@@ -117,7 +119,7 @@
   Forward(now, Topic::kZoneDrain, &from);
 }
 
-// Every controller sends to its own zone; each of its nodes forwards it once.
+// Every controller sends the update to the proxies of its own zone; each of these forwards it once.
 void Disseminator::Commit(const rollout::Rollouts& rollouts) {
   if (rollouts.version() <= rollouts_.version()) return;
   rollouts_ = rollouts;
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -14,17 +14,18 @@
 
 namespace elderkeel::dissemination {
 
-// What a node has, in a few bytes; two nodes that compare them find every gap.
+// The versions of everything that a node holds. Two nodes that exchange digests find out everything
+// that either of them lacks.
 struct Digest {
   int64_t revision = 0;
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
-  int32_t endpoints_read_age_ms = -1;  // since the platform was last read for it; -1 for never
-  bool answer = false;                 // the sender would like the receiver's digest
-  bool reliable = false;               // sent, and to be answered, over a connection
-  load::LoadReport load;               // rides along; a proxy's alone
+  int32_t endpoints_read_age_ms = -1;  // since the platform was read for the list; -1 for never
+  bool answer = false;                 // the sender requests the receiver's digest
+  bool reliable = false;               // sent over a connection; the answer uses one too
+  load::LoadReport load;               // the sender's load; set by proxies only
   template <class A>
   void serialize(A& a) {
     a(revision, epoch, sequence, zone_drains, rollouts, endpoints_read_age_ms, answer, reliable,
@@ -32,15 +33,15 @@
   }
 };
 
-// Asks for what the receiver has beyond this.
+// Requests all state of the receiver that is newer than the versions named here.
 struct PullRequest {
   int64_t revision = 0;
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
-  bool exact = false;    // the sender has the list just as (epoch, sequence) names it
-  int64_t asked_at = 0;  // milliseconds of the sender's steady clock; comes back in the update
+  bool exact = false;    // the sender's list is an unmodified copy of (epoch, sequence)
+  int64_t asked_at = 0;  // sender's steady clock, milliseconds; returned in the update
   template <class A>
   void serialize(A& a) {
     a(revision, epoch, sequence, zone_drains, rollouts, exact);
@@ -52,7 +53,8 @@
   }
 };
 
-// A committed configuration: the document, or the patch that leads to it from `base`.
+// A committed configuration: the complete document if `base` is 0, else the patch that leads from
+// revision `base` to `revision`.
 struct ConfigurationUpdate {
   int64_t revision = 0;
   int64_t base = 0;
@@ -63,22 +65,22 @@
   }
 };
 
-// All endpoints, or what changed in them since (base_epoch, base_sequence).
+// All endpoints, or the changes to them since (base_epoch, base_sequence).
 struct EndpointUpdate {
-  static constexpr int64_t kUnasked = -1;
+  static constexpr int64_t kUnsolicited = -1;  // `asked_at` of an update that answers no request
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   bool complete = true;
-  bool exact = true;  // just as its reader read it, so that changes may be built upon it
+  bool exact = true;  // an unmodified copy of the reader's list, so that changes may be based on it
   uint64_t base_epoch = 0;
   uint64_t base_sequence = 0;
-  int32_t age_ms = 0;  // since the platform was asked for it, at most, when this was sent
-  std::vector<discovery::Server> servers;  // all, or those that are new or changed
-  std::vector<std::string> gone;
-  // When the receiver asked for this, by its own clock; `kUnasked`, or 0 from a sender that does
-  // not say.
+  int32_t age_ms = 0;  // upper bound of the time from the read of the platform to the sending
+  std::vector<discovery::Server> servers;  // all of them, or the new and changed ones
+  std::vector<std::string> gone;           // identifiers of removed servers
+  // When the receiver requested this, on the receiver's clock; `kUnsolicited` if it did not; 0 from
+  // a program version that does not send this field.
   int64_t asked_at = 0;
-  // The list that the reader had when it first read the platform under this epoch.
+  // The list that the reader held when it first published under this epoch.
   EndpointVersion succeeds;
   template <class A>
   void serialize(A& a) {
@@ -91,7 +93,7 @@
   }
 };
 
-// Which zones are evacuated, by the log's order.
+// The drained zones, at a version that the log assigns.
 struct ZoneDrainUpdate {
   zone_drain::DrainedZones drained_zones;
   template <class A>
@@ -100,7 +102,7 @@
   }
 };
 
-// Which versions are in force and which roll-outs are under way, by the log's order.
+// The versions in force and the roll-outs in progress, at a version that the log assigns.
 struct RolloutUpdate {
   rollout::Rollouts rollouts;
   template <class A>
--- a/src/dissemination/patch_history.cc
+++ b/src/dissemination/patch_history.cc
@@ -4,14 +4,14 @@
 
 namespace elderkeel::dissemination {
 namespace {
-constexpr size_t kMostPatches = 64;
-constexpr size_t kMostBytes = 64 << 10;
+constexpr size_t kMaxPatches = 64;
+constexpr size_t kMaxBytes = 64 << 10;
 }  // namespace
 
 void PatchHistory::Add(Patch patch) {
   bytes_ += patch.body.size();
   patches_.push_back(std::move(patch));
-  while (patches_.size() > 1 && (patches_.size() > kMostPatches || bytes_ > kMostBytes)) {
+  while (patches_.size() > 1 && (patches_.size() > kMaxPatches || bytes_ > kMaxBytes)) {
     bytes_ -= patches_.front().body.size();
     patches_.pop_front();
   }
--- a/src/dissemination/sync.h
+++ b/src/dissemination/sync.h
@@ -10,29 +10,30 @@
 
 namespace elderkeel::dissemination {
 
-// Asks a peer how new its state is, and for what the sender lacks as far as that is small.
+// Asks a peer for the age and versions of its state, and for newer state if that is small.
 struct SyncRequest {
-  int64_t asked_at = 0;  // milliseconds of the sender's steady clock; comes back in the reply
+  int64_t asked_at = 0;  // sender's steady clock, milliseconds; returned in the reply
   Versions versions;
   EndpointVersion endpoints;
-  bool exact = false;     // the sender has the list just as `endpoints` names it
-  bool reliable = false;  // sent, and to be answered, over a connection
+  bool exact = false;     // the sender's list is an unmodified copy of `endpoints`
+  bool reliable = false;  // sent over a connection; the answer uses one too
   template <class A>
   void serialize(A& a) {
     a(asked_at, versions, endpoints, exact, reliable);
   }
 };
 
-// Follows what the asker lacked, on the same connection, if it lacked something small.
+// Answers a `SyncRequest`. Small state that the requester lacked is sent before it, and then both
+// go over the same connection.
 struct SyncReply {
   int64_t asked_at = 0;
   Versions versions;
   int32_t age_ms = -1;  // since `versions` were known to be the newest; -1 for never
   EndpointVersion endpoints;
-  int32_t endpoints_age_ms = -1;  // the same of `endpoints`
+  int32_t endpoints_age_ms = -1;  // the same for `endpoints`
   int32_t platform_age_ms = -1;   // since the platform was last read for the list; -1 for never
-  uint32_t endpoints_bytes = 0;   // of the whole list, about
-  uint32_t document_bytes = 0;    // of the whole configuration
+  uint32_t endpoints_bytes = 0;   // of the complete list, approximately
+  uint32_t document_bytes = 0;    // of the complete configuration, at most
   template <class A>
   void serialize(A& a) {
     a(asked_at, versions, age_ms, endpoints, endpoints_age_ms, platform_age_ms, endpoints_bytes,
@@ -40,34 +41,42 @@
   }
 };
 
-// When a node asks a peer for one kind of state, and which, as a pure state machine.
+// Decides when a node sends a synchronization request for one kind of state, and to which peers, as
+// a pure state machine. `Disseminator` owns one for the log's state and one for the endpoints.
 //
-// While what it knows is younger than `max_age` nothing is asked. Then the peer that last had it
-// fresh is asked alone; each `step` without a fresh answer the next two in turn, so that the time
-// to the first one that can be reached and is current is bounded by their number, whichever they
-// are. Once all were asked in vain the step doubles up to `slowest`: then nobody has it fresh.
+// While the state is known to be younger than `max_age`, no request is due. After that the first
+// request goes to one peer, the last one that answered with fresh state. Each further
+// `retry_interval` without a fresh answer, the next two peers in turn are asked, so the time until
+// a reachable and current peer is asked is bounded by the number of peers, whichever one it is.
+// Once all were asked without success the interval doubles, up to `max_retry_interval`, since then
+// no peer has fresh state.
 class SyncSchedule {
  public:
   struct Options {
     base::Millis max_age = 900;
-    base::Millis step = 120;
-    base::Millis slowest = 1000;
+    base::Millis retry_interval = 120;
+    base::Millis max_retry_interval = 1000;
   };
-  // A node that starts at `now` gets everything by its startup probes; it asks when these have had
-  // their time.
+  // `now` is when the node starts. The first request is due `max_age` later, since the startup
+  // probes normally fetch everything before that.
   SyncSchedule(Options options, base::Millis now)
-      : options_(options), step_(options.step), next_at_(now + options.max_age) {}
+      : options_(options),
+        retry_interval_(options.retry_interval),
+        next_at_(now + options.max_age) {}
 
-  // `known_at`: the moment as of which state is known; -1 for never.
+  // Whether a request is due. `known_at` is the moment as of which the state is known; -1 for
+  // never.
   bool Due(base::Millis now, base::Millis known_at) const {
     return !Fresh(now, known_at) && now >= next_at_;
   }
+  // The moment from which `Due` returns true if nothing newer becomes known.
   base::Millis DueAt(base::Millis known_at) const;
-  // Whom to ask now, of `sources` in the order of preference. To be called when due.
-  std::vector<base::Address> Next(base::Millis now, std::vector<base::Address> sources);
-  // `from` answered, and state is known as of `known_at` now.
-  void Answered(base::Millis now, const base::Address& from, base::Millis known_at);
-  // Whether the peers asked last were not the first to be asked.
+  // Returns the peers to ask now; `sources` is in order of preference. REQUIRES: Due().
+  std::vector<base::Address> NextPeers(base::Millis now, std::vector<base::Address> sources);
+  // Records that `from` answered and that the state is now known as of `known_at`. An answer that
+  // leaves the state older than `max_age` has no effect.
+  void OnAnswer(base::Millis now, const base::Address& from, base::Millis known_at);
+  // Whether more peers than the first were asked since the state was last fresh.
   bool retrying() const { return asked_ > 1; }
 
  private:
@@ -76,10 +85,10 @@
   }
 
   Options options_;
-  base::Millis step_;
+  base::Millis retry_interval_;
   base::Millis next_at_;
-  size_t asked_ = 0;  // since state was last fresh
-  std::optional<base::Address> preferred_;
+  size_t asked_ = 0;                        // peers asked since the state was last fresh
+  std::optional<base::Address> preferred_;  // the last peer that answered with fresh state
 };
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/sync_sources.cc
+++ b/src/dissemination/sync_sources.cc
@@ -6,16 +6,16 @@
 namespace elderkeel::dissemination {
 namespace {
 
-// A controller, in the order in which it is asked.
+// A controller; the order of the members is the order of preference.
 struct Source {
-  bool dead;
+  bool unreachable;
   int distance;
   bool volatile_state;
-  uint64_t place;  // clockwise from this node, so that not all ask the same one
+  uint64_t ring_distance;  // from this node clockwise; avoids that all ask the same controller
   base::Address address;
   bool operator<(const Source& other) const {
-    return std::tie(dead, distance, volatile_state, place) <
-           std::tie(other.dead, other.distance, other.volatile_state, other.place);
+    return std::tie(unreachable, distance, volatile_state, ring_distance) <
+           std::tie(other.unreachable, other.distance, other.volatile_state, other.ring_distance);
   }
 };
 
@@ -23,14 +23,14 @@
 
 std::vector<base::Address> SyncSources(const membership::Membership& members,
                                        const std::vector<base::Address>& seeds,
-                                       const std::optional<base::Address>& voucher) {
+                                       const std::optional<base::Address>& authority) {
   const membership::Node& self = members.self();
   std::vector<Source> controllers;
   for (const auto& [id, node] : members.nodes()) {
-    bool asked = node.program == membership::Program::kController && id != self.id;
-    if (!asked || node.state == membership::State::kLeft) continue;
-    bool region = members.RegionOf(node.zone) == members.RegionOf(self.zone);
-    int distance = node.zone == self.zone ? 0 : region ? 1 : 2;
+    bool other_controller = node.program == membership::Program::kController && id != self.id;
+    if (!other_controller || node.state == membership::State::kLeft) continue;
+    bool same_region = members.RegionOf(node.zone) == members.RegionOf(self.zone);
+    int distance = node.zone == self.zone ? 0 : same_region ? 1 : 2;
     controllers.push_back(
         {!node.reachable(), distance, !node.durable, id - self.id, node.address()});
   }
@@ -40,7 +40,7 @@
     bool known = std::find(sources.begin(), sources.end(), address) != sources.end();
     if (!known && address != self.address()) sources.push_back(address);
   };
-  if (voucher) add(*voucher);
+  if (authority) add(*authority);
   for (const Source& source : controllers) add(source.address);
   for (const base::Address& seed : seeds) add(seed);
   return sources;
--- a/src/dissemination/versions.h
+++ b/src/dissemination/versions.h
@@ -4,12 +4,13 @@
 
 namespace elderkeel::dissemination {
 
-// How new that is which the log decides.
+// The versions of the state that the replicated log decides.
 struct Versions {
   int64_t revision = 0;      // of the configuration
   uint64_t zone_drains = 0;  // of the orders to drain zones
   uint64_t rollouts = 0;     // of the state of the roll-outs
 
+  // Whether everything here is at least as new as in `other`.
   bool Covers(const Versions& other) const {
     return revision >= other.revision && zone_drains >= other.zone_drains &&
            rollouts >= other.rollouts;
@@ -20,20 +21,22 @@
   }
 };
 
-// How new a list of endpoints is: the epoch of its reader and the reader's own count.
+// The version of a list of endpoints: the epoch of the catalog reader that published it and the
+// reader's own sequence number. Epoch 0 means that no reader published it.
 struct EndpointVersion {
   uint64_t epoch = 0;
   uint64_t sequence = 0;
 
-  // A list of a later reader does not cover that of an earlier one: whoever still claims the
-  // earlier one to be the newest has been replaced, and vouches for nothing.
+  // Whether this list is of the same reader and at least as new. A later reader's list does not
+  // cover an earlier one's: a claim that the earlier list is the newest comes from a reader that
+  // has been replaced, and must not count.
   bool Covers(const EndpointVersion& other) const {
     return epoch > 0 && epoch == other.epoch && sequence >= other.sequence;
   }
   bool operator==(const EndpointVersion& other) const {
     return epoch == other.epoch && sequence == other.sequence;
   }
-  bool Lacks(const EndpointVersion& other) const {
+  bool IsOlderThan(const EndpointVersion& other) const {
     return other.epoch > epoch || (other.epoch == epoch && other.sequence > sequence);
   }
   template <class A>
--- a/tests/dissemination/sync_test.cc
+++ b/tests/dissemination/sync_test.cc
@@ -1,4 +1,5 @@
-// The parts of bounded staleness: what a node knows, whom it asks when, what it sends.
+// The parts that bound staleness: the age of a node's state, the schedule and targets of its
+// requests, and the updates that it sends in reply.
 #include "dissemination/sync.h"
 
 #include <gtest/gtest.h>
@@ -16,13 +17,15 @@
 
 Address Peer(int i) { return {"10.0.0." + std::to_string(i), 7200}; }
 
-TEST(Freshness, CountsAClaimOnceTheStateIsThere) {
+// Guards against reporting state as current when only the claim about it, but not the state itself,
+// has arrived.
+TEST(Freshness, ClaimCountsOnceTheNodesVersionCoversIt) {
   Freshness<Versions> freshness;
   Versions old{5, 1, 1}, newer{7, 1, 1}, drained{7, 2, 1};
   EXPECT_EQ(freshness.age(1000), -1);
   freshness.Claim(900, old, old);
   EXPECT_EQ(freshness.age(1000), 100);
-  freshness.Claim(1000, newer, old);  // known, not held
+  freshness.Claim(1000, newer, old);  // claimed, not yet received
   EXPECT_EQ(freshness.age(1100), 200);
   EXPECT_EQ(freshness.claimed_at(), 1000);
   freshness.Claim(1200, drained, old);
@@ -30,14 +33,15 @@
   EXPECT_EQ(freshness.age(1300), 300);
   freshness.Advance(drained);
   EXPECT_EQ(freshness.age(1300), 100);
-  freshness.Claim(1100, drained, drained);  // an answer that comes late claims less
+  freshness.Claim(1100, drained, drained);  // a late reply doesn't lower the verified time
   EXPECT_EQ(freshness.age(1300), 100);
 }
 
-TEST(Freshness, AnEarlierReaderVouchesForNothing) {
+// Guards against counting the claim of a reader that has been replaced, or a list without a reader.
+TEST(Freshness, ClaimOfAnEarlierReaderDoesNotCount) {
   Freshness<EndpointVersion> freshness;
   freshness.Claim(100, {2, 9}, {3, 1});
-  freshness.Claim(100, {0, 1}, {0, 1});  // nobody's list
+  freshness.Claim(100, {0, 1}, {0, 1});  // a list that no reader published
   EXPECT_EQ(freshness.age(200), -1);
   freshness.Claim(100, {3, 1}, {3, 1});
   EXPECT_EQ(freshness.age(200), 100);
@@ -49,7 +53,9 @@
   return sources;
 }
 
-TEST(SyncSchedule, AsksEveryoneWithinABoundAndThenMorePatiently) {
+// Guards against a reachable peer being asked late or never while others don't answer, and against
+// retries at the full rate while no peer has fresh state.
+TEST(SyncSchedule, AsksAllPeersWithinABoundAndThenBacksOff) {
   SyncSchedule schedule(SyncSchedule::Options(), 0);
   EXPECT_EQ(schedule.DueAt(-1), 900);  // startup probes come first
   std::map<Address, Millis> first;
@@ -57,7 +63,7 @@
   Millis now = 900, last = 0;
   for (int turn = 0; turn < 30; ++turn) {
     ASSERT_TRUE(schedule.Due(now, -1));
-    std::vector<Address> asked = schedule.Next(now, Sources(9));
+    std::vector<Address> asked = schedule.NextPeers(now, Sources(9));
     for (const Address& to : asked) first.emplace(to, now);
     counts.push_back(asked.size());
     last = schedule.DueAt(-1) - now;
@@ -67,25 +73,29 @@
   EXPECT_EQ(counts[1], 2u);
   ASSERT_EQ(first.size(), 9u);
   for (const auto& [to, at] : first) EXPECT_LE(at, 900 + 4 * 120) << to.ToString();
-  EXPECT_EQ(last, 1000);  // nobody has it fresh
+  EXPECT_EQ(last, 1000);  // no peer has fresh state
 }
 
-TEST(SyncSchedule, StaysWithThePeerThatHadItFresh) {
+// Guards against losing track of a peer that answers with fresh state, and against a stale answer
+// ending the retries.
+TEST(SyncSchedule, AsksThePeerWithFreshStateFirst) {
   SyncSchedule schedule(SyncSchedule::Options(), -900);
-  schedule.Next(0, Sources(4));
-  schedule.Next(120, Sources(4));
-  schedule.Answered(130, Peer(2), -1000);  // an answer that is too old itself
+  schedule.NextPeers(0, Sources(4));
+  schedule.NextPeers(120, Sources(4));
+  schedule.OnAnswer(130, Peer(2), -1000);  // an answer with stale state
   EXPECT_TRUE(schedule.Due(240, -1000));
-  schedule.Answered(150, Peer(3), 100);
+  schedule.OnAnswer(150, Peer(3), 100);
   EXPECT_FALSE(schedule.Due(1000, 100));
   EXPECT_TRUE(schedule.Due(1001, 100));
-  EXPECT_EQ(schedule.Next(1001, Sources(4)), std::vector<Address>{Peer(3)});
-  // It is silent: the others follow at once, it among them in its turn.
-  EXPECT_EQ(schedule.Next(1121, Sources(4)), (std::vector<Address>{Peer(1), Peer(2)}));
-  EXPECT_EQ(schedule.Next(1241, {}), std::vector<Address>{});  // nobody to ask is no failure
+  EXPECT_EQ(schedule.NextPeers(1001, Sources(4)), std::vector<Address>{Peer(3)});
+  // It doesn't answer: the next retry goes to the others, and it is asked again in its turn.
+  EXPECT_EQ(schedule.NextPeers(1121, Sources(4)), (std::vector<Address>{Peer(1), Peer(2)}));
+  EXPECT_EQ(schedule.NextPeers(1241, {}), std::vector<Address>{});  // no peers
 }
 
-TEST(SyncSources, TheVoucherThenControllersByDistance) {
+// Guards against preferring distant or unreachable controllers, and against asking nodes that left,
+// proxies or the node itself.
+TEST(SyncSources, AuthorityComesFirstThenControllersByDistance) {
   membership::Membership::Options options;
   options.self.ip = "10.0.0.9";
   options.self.port = 7200;
@@ -117,7 +127,9 @@
   EXPECT_EQ(SyncSources(members, {Peer(3), Peer(8), Peer(9)}, Peer(1)), expected);
 }
 
-TEST(PatchHistory, KnowsTheShortestWay) {
+// Guards against sending patches that don't apply to the peer's revision or that together are
+// longer than the document, and against unbounded memory.
+TEST(PatchHistory, FindsThePatchesThatFollowARevision) {
   PatchHistory history;
   history.Add({1, 3, "aaaa"});
   history.Add({3, 4, "bb"});
@@ -137,9 +149,9 @@
     R"({"revision":7,"route-list":[],"service-list":[],"limits":{"max-header-bytes":1,)"
     R"("max-body-bytes":1,"header-timeout-ms":1,"idle-timeout-ms":1}})";
 
-// A configuration that can't be used counts as not held, is asked for whole, and nothing older
-// takes its place.
-TEST(Disseminator, ARejectedConfigurationComesOnceMore) {
+// Guards against a node keeping an unusable configuration: it must count as missing, be requested
+// as a complete document, and not be replaced by an older revision.
+TEST(Disseminator, RejectedConfigurationIsRequestedAgain) {
   membership::Membership::Options self;
   self.self.ip = "10.0.0.9";
   self.self.zone = "a";
@@ -155,7 +167,7 @@
   reply.versions = {7, 0, 0};
   disseminator.TakeEffects();
   disseminator.OnSyncReply(50, Peer(1), reply);
-  EXPECT_EQ(disseminator.log_age(60), 40);  // by what was held before
+  EXPECT_EQ(disseminator.log_age(60), 40);  // verified before the rejection
   Disseminator::Effects effects = disseminator.TakeEffects();
   ASSERT_EQ(effects.pulls.size(), 1u);
   EXPECT_EQ(effects.pulls[0].second.revision, 0);
@@ -167,9 +179,10 @@
   EXPECT_EQ(disseminator.log_age(90), 50);
 }
 
-// Whoever is some steps behind is sent them, before the answer; one that is too far behind learns
-// that there is more.
-TEST(Disseminator, SendsWhatIsSmallBeforeItsAnswer) {
+// Guards against a peer waiting for a second request to obtain a few small patches: they must
+// precede the reply. A peer that needs the large document is sent only the reply with the newer
+// version.
+TEST(Disseminator, SendsSmallUpdatesBeforeTheSyncReply) {
   membership::Membership::Options self;
   self.self.ip = "10.0.0.9";
   self.self.zone = "a";
