--- a/tests/dissemination/list_order_test.cc
+++ b/tests/dissemination/list_order_test.cc
@@ -1,5 +1,5 @@
-// Lists of several readers, own readings and messages that are late: nobody goes back to a list
-// that was read before the one it has.
+// The order of endpoint lists under several readers, own readings and delayed messages: no node
+// replaces its list by one that was read earlier.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -18,16 +18,17 @@
 using base::Address;
 using base::Millis;
 
-// Two controllers that take turns at reading the platform's list, and three proxies, which at times
-// read it for themselves. The list shows a number that only rises.
+// A simulation of two controllers that alternate as catalog reader, and three proxies that
+// sometimes read the platform's list for their own use. The list contains one server, whose
+// identifier is a number that only increases.
 class Fleet {
  public:
   struct Options {
     uint64_t seed = 1;
     bool readers_change = true;
     Millis slowest_reading = 1500;
-    Millis slowest_update = 3000;  // as on a full link
-    Millis longest_pause = 5000;   // of a process; what was sent to it waits meanwhile
+    Millis slowest_update = 3000;  // as on a congested link
+    Millis longest_pause = 5000;   // of a process; messages to it wait until it resumes
   };
 
   explicit Fleet(Options options) : options_(options), random_(options.seed) {
@@ -47,7 +48,7 @@
   }
   const std::string& fault() const { return fault_; }
   int newest() const { return content_; }
-  // What the node's list shows; -1 for none.
+  // The number in the node's list; -1 if it has no list.
   int Shown(int i) const {
     const auto& servers = nodes_[static_cast<size_t>(i)].disseminator->endpoints().servers;
     return servers.empty() ? -1 : std::stoi(servers[0].id);
@@ -65,7 +66,7 @@
     std::unique_ptr<Disseminator> disseminator;
     Millis paused_until = 0;
     int newest_shown = -1;
-    uint64_t epoch = 0;  // that it reads by; 0 for none
+    uint64_t epoch = 0;  // as catalog reader; 0 if it is not the reader
     uint64_t sequence = 0;
     int published = -1;
     bool reading = false;
@@ -121,7 +122,7 @@
     node->disseminator->Tick(now_);
   }
 
-  // The other controller is assigned; the one of before hears of it later.
+  // Assigns the other controller as reader; the former one learns of it later.
   void ChangeReader() {
     ++epoch_;
     Node& reader = nodes_[epoch_ % kReaders];
@@ -212,7 +213,7 @@
     }
     int shown = Shown(static_cast<int>(i));
     if (shown < node.newest_shown) {
-      fault_ = "at " + std::to_string(now_) + ": node " + std::to_string(i) + " went back from " +
+      fault_ = "at " + std::to_string(now_) + ": node " + std::to_string(i) + " reverted from " +
                std::to_string(node.newest_shown) + " to " + std::to_string(shown);
     }
     node.newest_shown = std::max(node.newest_shown, shown);
@@ -229,37 +230,39 @@
   std::string fault_;
 };
 
-// How many of 100 seeds break the order, and the first of them.
-std::pair<int, std::string> BrokenSeeds(Fleet::Options options) {
-  std::pair<int, std::string> broken;
+// Returns how many of 100 seeds violate the order, and the first violation.
+std::pair<int, std::string> FailingSeeds(Fleet::Options options) {
+  std::pair<int, std::string> failing;
   for (options.seed = 1; options.seed <= 100; ++options.seed) {
     Fleet fleet(options);
     fleet.Run(60000, true);
     if (fleet.fault().empty()) continue;
-    if (broken.first++ == 0) {
-      broken.second = "seed " + std::to_string(options.seed) + " " + fleet.fault();
+    if (failing.first++ == 0) {
+      failing.second = "seed " + std::to_string(options.seed) + " " + fleet.fault();
     }
   }
-  return broken;
+  return failing;
 }
 
-// A list counted as younger by the time that it was on its way or waited in the socket of a
-// suspended process, and so took the place of a reading that was asked for after it.
-TEST(ListOrder, NobodyGoesBackToAListThatWasLongOnItsWay) {
+// Guards against computing a list's age without its time in transit or in the socket of a suspended
+// process: the list then looks too young and replaces one that was read after it.
+TEST(ListOrder, DelayedUpdateDoesNotReplaceALaterReading) {
   Fleet::Options options;
   options.readers_change = false;
-  auto [broken, first] = BrokenSeeds(options);
-  EXPECT_EQ(broken, 0) << "of 100 seeds; " << first;
+  auto [failing, first] = FailingSeeds(options);
+  EXPECT_EQ(failing, 0) << "of 100 seeds; " << first;
 }
 
-// A new reader's first reading, asked for before the list that stood, took its place by its epoch.
-TEST(ListOrder, NobodyGoesBackToAnEarlierReadingOfALaterReader) {
-  auto [broken, first] = BrokenSeeds(Fleet::Options());
-  EXPECT_EQ(broken, 0) << "of 100 seeds; " << first;
+// Guards against ordering lists of different readers by epoch alone: a new reader's first reading
+// may have been requested before the list that it would replace.
+TEST(ListOrder, EarlierReadingOfALaterReaderDoesNotReplaceALaterReading) {
+  auto [failing, first] = FailingSeeds(Fleet::Options());
+  EXPECT_EQ(failing, 0) << "of 100 seeds; " << first;
 }
 
-// Nor does anybody keep an older one once all is well.
-TEST(ListOrder, AllHaveTheNewestListOnceNoFaultIsLeft) {
+// Guards against the ordering rules rejecting newer lists: a node would keep an outdated list after
+// all faults have ended.
+TEST(ListOrder, AllNodesHaveTheNewestListAfterFaultsEnd) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     Fleet::Options options;
     options.seed = seed;
--- a/tests/dissemination/own_reading_test.cc
+++ b/tests/dissemination/own_reading_test.cc
@@ -1,4 +1,4 @@
-// Which of two lists is newer, when a node has read the platform's list for itself.
+// Which of two endpoint lists counts as newer after a proxy has read the platform for its own use.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -22,7 +22,7 @@
           {"i-2", "s", "10.0.0.6:80", "a", "v1", 2, draining, 0, 0}};
 }
 
-// A proxy that holds the reader's list (5, 3), read at 1000.
+// A proxy that has the reader's list with epoch 5 and sequence 3, read at 1000.
 class OwnReadingTest : public ::testing::Test {
  protected:
   OwnReadingTest() : members_(Self(), {}, 0), node_(Disseminator::Options(), &members_, 0) {
@@ -35,7 +35,7 @@
     options.self.zone = "a";
     return options;
   }
-  // The whole list of the reader, as a peer sends it; read `age` before it is received.
+  // The reader's complete list as sent by a peer, read `age` milliseconds before it is received.
   static EndpointUpdate Update(uint64_t sequence, bool draining, int32_t age) {
     EndpointUpdate update;
     update.epoch = 5;
@@ -65,19 +65,20 @@
   Disseminator node_;
 };
 
-// A proxy's reading whose question was put before the reader's newer list came took the place of
-// that list and stayed (review/1).
-TEST_F(OwnReadingTest, GivesWayToAListThatWasReadAfterItsQuestion) {
+// Guards against a proxy's own reading replacing, for good, a reader's list that was read after the
+// own reading was requested but arrived before it completed (review/1).
+TEST_F(OwnReadingTest, IsRejectedIfTheListWasReadAfterItsRequest) {
   node_.OnEndpointUpdate(8000, kPeer, Update(4, true, 100));  // read at 7900
-  EXPECT_FALSE(node_.AdoptOwnReading(7000, List(false)));     // asked before, answered after
+  EXPECT_FALSE(node_.AdoptOwnReading(7000, List(false)));     // requested before, completed after
   EXPECT_TRUE(ShowsDraining());
-  EXPECT_EQ(node_.endpoints_read_age(9000), 1100);  // nor does it make the list younger
+  EXPECT_EQ(node_.endpoints_read_age(9000), 1100);  // the list's age is unchanged too
   EXPECT_TRUE(node_.AdoptOwnReading(8500, List(false)));
   EXPECT_FALSE(ShowsDraining());
 }
 
-// An own reading has no number of its own: the reader's list under the same number may be newer.
-TEST_F(OwnReadingTest, IsReplacedByTheSameListOfTheReaderOnceThatIsYounger) {
+// An own reading carries the version of the list that it replaced. Guards against treating the
+// reader's list of the same version as already present although it was read later.
+TEST_F(OwnReadingTest, IsReplacedByAReadersListOfTheSameVersionThatWasReadLater) {
   ASSERT_TRUE(node_.AdoptOwnReading(7000, List(true)));
   node_.TakeEffects();
   node_.OnDigest(8000, kPeer, DigestOf(3, 2000));  // read at 6000: older than the own reading
@@ -87,21 +88,24 @@
   Disseminator::Effects effects = node_.TakeEffects();
   ASSERT_EQ(effects.pulls.size(), 1u);
   EXPECT_FALSE(effects.pulls[0].second.exact);
-  EXPECT_EQ(node_.endpoints_read_age(9000), 2000);  // not before it is here
+  EXPECT_EQ(node_.endpoints_read_age(9000), 2000);  // only changes when the list arrives
   node_.OnEndpointUpdate(9100, kPeer, Update(3, false, 600));
   EXPECT_FALSE(ShowsDraining());
   EXPECT_EQ(node_.endpoints_read_age(9100), 600);
 }
 
-TEST_F(OwnReadingTest, IsAskedAboutByTheAnswersOfPeersToo) {
+// Guards against comparing ages in digests only: a reply that reports a younger list of the same
+// version must lead to a request too.
+TEST_F(OwnReadingTest, SyncReplyWithAYoungerListCausesAPullRequest) {
   ASSERT_TRUE(node_.AdoptOwnReading(7000, List(true)));
   node_.TakeEffects();
   node_.OnSyncReply(9000, kPeer, ReplyOf(3, 8900, 400));
   EXPECT_EQ(node_.TakeEffects().pulls.size(), 1u);
 }
 
-// The number alone doesn't make a list newer than an own reading: it may have been long on its way.
-TEST_F(OwnReadingTest, StaysUntilALaterReadingOfTheReader) {
+// Guards against a higher version alone replacing an own reading: the reader's list may have been
+// in transit for long and so be the older one.
+TEST_F(OwnReadingTest, IsReplacedOnlyByAReadersListThatWasReadLater) {
   ASSERT_TRUE(node_.AdoptOwnReading(7000, List(true)));
   node_.OnEndpointUpdate(8000, kPeer, Update(4, false, 2500));  // read at 5500
   EXPECT_TRUE(ShowsDraining());
@@ -110,8 +114,9 @@
   EXPECT_EQ(node_.endpoints().sequence, 4u);
 }
 
-// Others must not take their list for as young as an own reading that carries its number.
-TEST_F(OwnReadingTest, VouchesForNobodysList) {
+// Guards against peers taking over the age of an own reading for the reader's list of the same
+// version.
+TEST_F(OwnReadingTest, ItsAgeIsNotReportedToPeers) {
   EXPECT_EQ(node_.OwnDigest(1500).endpoints_read_age_ms, 500);
   ASSERT_TRUE(node_.AdoptOwnReading(7000, List(true)));
   EXPECT_EQ(node_.OwnDigest(8000).endpoints_read_age_ms, -1);
@@ -122,26 +127,30 @@
   EXPECT_EQ(effects.sync_replies[0].reply.platform_age_ms, -1);
 }
 
-TEST_F(OwnReadingTest, IsNotTakenForCurrentByWhatIsSaidOfTheReadersList) {
+// Guards against counting an own reading as verified because a peer reports that the reader's list
+// of the same version is the newest.
+TEST_F(OwnReadingTest, ClaimsAboutTheReadersListDoNotVerifyIt) {
   node_.OnSyncReply(1200, kPeer, ReplyOf(3, 1100, 0));
   EXPECT_EQ(node_.endpoints_age(1200), 100);
   ASSERT_TRUE(node_.AdoptOwnReading(7000, List(true)));
   node_.OnSyncReply(8000, kPeer, ReplyOf(3, 7900, 0));
   EXPECT_EQ(node_.endpoints_age(8000), 6900);
   node_.OnEndpointUpdate(8100, kPeer, Update(3, false, 100));
-  EXPECT_EQ(node_.endpoints_age(8100), 200);  // the claim counts for the list itself
+  EXPECT_EQ(node_.endpoints_age(8100), 200);  // the claim counts once the reader's list arrives
 }
 
-// The reader's reading is as old as its question too.
-TEST_F(OwnReadingTest, TheReadersListIsAsOldAsItsQuestion) {
+// Guards against measuring the age of the catalog reader's list from the response instead of from
+// the request.
+TEST_F(OwnReadingTest, AgeOfAPublishedListCountsFromItsRequest) {
   ASSERT_TRUE(node_.Publish(9000, 7500, {5, 4, List(true)}));
   EXPECT_EQ(node_.endpoints_read_age(9000), 1500);
   node_.Confirm(9500, 9100, 5);
   EXPECT_EQ(node_.endpoints_read_age(9500), 400);
 }
 
-// A reading of several slow pages is as old as its first question.
-TEST(PlatformClient, SaysWhenTheFirstPageWasAskedFor) {
+// Guards against measuring the age of a reading of several slow pages from a later page than the
+// first.
+TEST(PlatformClient, ReadingReportsWhenTheFirstPageWasRequested) {
   constexpr Millis kSlowMs = 120;
   base::Loop loop;
   std::vector<std::unique_ptr<base::Timer>> timers;
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -1,6 +1,6 @@
-// How long an acknowledged change takes to the last proxy while the controller of a zone is in
-// trouble. The bound is what docs/dissemination.md derives from timers; it holds for each change
-// and each proxy that has a path to the rest of the core, whatever a single message or peer does.
+// How long an acknowledged change takes to reach the last proxy while the controller of a zone is
+// faulty. docs/dissemination.md derives the bound from timers. It holds for each change and each
+// proxy that has a path to the other controllers, whichever single message or peer fails.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,23 +17,23 @@
 using simulation::World;
 
 constexpr Millis kBoundMs = 1500;    // half of the shortest time that a deployment allows
-constexpr Millis kContactMs = 4000;  // trouble is known of after so long
+constexpr Millis kContactMs = 4000;  // after this time a fault has been detected
 constexpr Millis kBetweenChanges = 350;
 constexpr int kChanges = 24;
-constexpr int kChangesOfManyProxies = 8;  // where there are many proxies
-constexpr Millis kPollMs = 500;           // between two looks at the simulated list
+constexpr int kChangesWithManyProxies = 8;
+constexpr Millis kPollMs = 500;  // between two reads of the simulated list
 
 enum class Fault {
   kNone,
-  kDead,
-  kCut,   // from the other controllers
-  kNear,  // from the other controllers and all nodes of other zones
-  kDeaf,  // nothing of the other controllers reaches it
-  kMute,  // nothing that it sends reaches the other controllers
+  kCrashed,
+  kCut,          // from the other controllers
+  kZoneOnly,     // cut from the other controllers and all nodes of other zones
+  kInboundCut,   // no message of the other controllers reaches it
+  kOutboundCut,  // no message that it sends reaches the other controllers
   kFrozen,
   kDiskHangs,
-  kWiped,         // again and again: it is a learner most of the time
-  kNoController,  // the zone has none that takes part in the log
+  kWiped,         // repeatedly, so that it is a learner most of the time
+  kNoController,  // one zone has no controller
   kLeaderCut,
 };
 
@@ -44,11 +44,11 @@
 
 const Case kCases[] = {
     {"none", Fault::kNone},
-    {"dead", Fault::kDead},
+    {"crashed", Fault::kCrashed},
     {"cut", Fault::kCut},
-    {"near", Fault::kNear},
-    {"deaf", Fault::kDeaf},
-    {"mute", Fault::kMute},
+    {"zone only", Fault::kZoneOnly},
+    {"inbound cut", Fault::kInboundCut},
+    {"outbound cut", Fault::kOutboundCut},
     {"frozen", Fault::kFrozen},
     {"disk hangs", Fault::kDiskHangs},
     {"wiped", Fault::kWiped},
@@ -56,12 +56,13 @@
     {"leader cut", Fault::kLeaderCut},
 };
 
-// How long ago the oldest thing was decided that a proxy still lacks, by kind.
+// Measures, by kind of state, the time since the acknowledgement of the oldest change that a proxy
+// still lacks, and keeps the maximum over all proxies.
 class Staleness {
  public:
   explicit Staleness(World* world) : world_(world) {}
 
-  // Runs the world, looking at every proxy at each step.
+  // Runs the world for `span`; if `measured`, checks every proxy after each step.
   void Run(Millis span, bool measured) {
     for (Millis end = world_->now + span; world_->now < end && world_->fault.empty();) {
       world_->Run(10);
@@ -70,10 +71,10 @@
         changes_.push_back({acknowledged, world_->now});
       }
       NoteDrains();
-      if (measured) Look();
+      if (measured) MeasureProxies();
     }
   }
-  // Orders that one more zone is drained; zones are never taken back here.
+  // Requests the drain of one more zone. No drain is reverted in these tests.
   void OrderDrain() {
     drains_.push_back({"drained-" + std::to_string(drains_.size()), -1});
     if (!world_->DrainZone(drains_.back().first, true)) drains_.pop_back();
@@ -93,7 +94,7 @@
       if (at < 0 && world_->acknowledged_drain(zone)) at = world_->now;
     }
   }
-  void Look() {
+  void MeasureProxies() {
     for (size_t i = 0; i < world_->size(); ++i) {
       World::Node& node = world_->node(i);
       if (node.controller || !node.up || node.frozen) continue;
@@ -116,36 +117,37 @@
 
   World* world_;
   std::vector<std::pair<int64_t, Millis>> changes_;  // revision, when acknowledged
+  // Zone, when its drain was acknowledged; -1 if it was not yet.
   std::vector<std::pair<std::string, Millis>> drains_;
   Millis list_changed_at_ = -1;
   Millis worst_change_ = 0, worst_drain_ = 0, worst_list_ = 0;
   std::string where_;
 };
 
-void Begin(World* world, Fault fault, size_t victim, size_t controllers) {
+void InjectFault(World* world, Fault fault, size_t victim, size_t controllers) {
   for (size_t other = 0; other < world->size(); ++other) {
     if (other == victim) continue;
-    bool core = other < controllers;
-    bool far = world->node(other).zone != world->node(victim).zone;
+    bool controller = other < controllers;
+    bool other_zone = world->node(other).zone != world->node(victim).zone;
     switch (fault) {
       case Fault::kCut:
       case Fault::kLeaderCut:
-        if (core) world->Cut(victim, other, true);
+        if (controller) world->Cut(victim, other, true);
         break;
-      case Fault::kNear:
-        if (core || far) world->Cut(victim, other, true);
+      case Fault::kZoneOnly:
+        if (controller || other_zone) world->Cut(victim, other, true);
         break;
-      case Fault::kDeaf:
-        if (core) world->CutOneWay(other, victim, true);
+      case Fault::kInboundCut:
+        if (controller) world->CutOneWay(other, victim, true);
         break;
-      case Fault::kMute:
-        if (core) world->CutOneWay(victim, other, true);
+      case Fault::kOutboundCut:
+        if (controller) world->CutOneWay(victim, other, true);
         break;
       default:
         break;
     }
   }
-  if (fault == Fault::kDead) world->Crash(victim);
+  if (fault == Fault::kCrashed) world->Crash(victim);
   if (fault == Fault::kFrozen) world->Freeze(victim, true);
   if (fault == Fault::kDiskHangs) world->node(victim).disk_hangs_until = INT64_MAX;
 }
@@ -156,14 +158,14 @@
   std::string fault;
 };
 
-// Until every node has a first configuration; not measured.
+// Runs, without measuring, until every node has a first configuration.
 void AdoptFirstChange(World* world, Staleness* staleness) {
   staleness->Run(3000, false);
   EXPECT_TRUE(world->Change());
   staleness->Run(2000, false);
 }
 
-// The worst staleness of any proxy from when the fault has lasted for kContactMs.
+// Returns the worst staleness of any proxy after the fault has lasted for kContactMs.
 Worst Measure(Fault fault, int zones, int proxies_per_zone, int changes, uint64_t seed) {
   World::Options options;
   options.zones = zones;
@@ -178,7 +180,7 @@
   size_t leader = static_cast<size_t>(std::max(0, world.leader()));
   size_t controllers = static_cast<size_t>(options.controllers);
   size_t victim = fault == Fault::kLeaderCut ? leader : (leader + 1) % controllers;
-  Begin(&world, fault, victim, controllers);
+  InjectFault(&world, fault, victim, controllers);
   staleness.Run(kContactMs, false);
   for (int change = 0; change < changes; ++change) {
     if (fault == Fault::kWiped && change % 6 == 0) {
@@ -207,7 +209,7 @@
       EXPECT_EQ(found.fault, "");
       EXPECT_LE(found.change, kBoundMs) << found.where;
       EXPECT_LE(found.drain, kBoundMs);
-      // From when the platform's list changes; its reader looks each kPollMs.
+      // From when the platform's list changes; the reader reads it every kPollMs.
       EXPECT_LE(found.list, kBoundMs + kPollMs);
       worst.change = std::max(worst.change, found.change);
       worst.drain = std::max(worst.drain, found.drain);
@@ -219,17 +221,18 @@
   }
 }
 
-// What happens to one proxy of the zone whose controller is cut off from the core.
-enum class Outcome { kThawed, kRejoined, kRestarted, kFullLink, kSilentConnections };
+// The fault of one proxy in the zone whose controller is cut from the other controllers.
+enum class ProxyFault { kThawed, kRejoined, kRestarted, kCongestedLink, kLostConnections };
 
-struct OutcomeCase {
+struct ProxyFaultCase {
   const char* name;
-  Outcome outcome;
-  bool lasts;  // while it is measured; else it is over by then
+  ProxyFault fault;
+  bool lasts;  // during the measurement; otherwise it has ended before
 };
 
-// The worst staleness of that proxy, or since it is back for kContactMs.
-Millis MeasureReturn(const OutcomeCase& c, int routes, uint64_t seed) {
+// Returns the worst staleness of any proxy, measured kContactMs after the faults that don't last
+// have ended.
+Millis MeasureProxyFault(const ProxyFaultCase& c, int routes, uint64_t seed) {
   World::Options options;
   options.zones = options.controllers = 4;
   options.proxies = 8;
@@ -240,19 +243,19 @@
   AdoptFirstChange(&world, &staleness);
   size_t victim = (static_cast<size_t>(std::max(0, world.leader())) + 1) % 4;
   size_t proxy = 4 + victim;  // one of the same zone
-  Begin(&world, Fault::kCut, victim, 4);
+  InjectFault(&world, Fault::kCut, victim, 4);
   auto apply = [&](bool begin) {
-    switch (c.outcome) {
-      case Outcome::kThawed:
+    switch (c.fault) {
+      case ProxyFault::kThawed:
         return world.Freeze(proxy, begin);
-      case Outcome::kRejoined:
+      case ProxyFault::kRejoined:
         return world.Isolate(proxy, begin);
-      case Outcome::kRestarted:
+      case ProxyFault::kRestarted:
         return begin ? world.Crash(proxy) : world.Start(proxy);
-      case Outcome::kFullLink:
+      case ProxyFault::kCongestedLink:
         return world.LoseDatagrams(proxy, begin);
-      case Outcome::kSilentConnections:
-        // Those of the controller that it asks first, and of one more.
+      case ProxyFault::kLostConnections:
+        // The connections to the controller that it asks first, and to one more.
         world.LoseConnection(victim, proxy, begin);
         return world.LoseConnection((victim + 1) % 4, proxy, begin);
     }
@@ -271,20 +274,23 @@
   return staleness.worst_change();
 }
 
-TEST(Propagation, ReachesAProxyThatComesBackOrIsHardToReach) {
-  const OutcomeCase cases[] = {{"thawed", Outcome::kThawed, false},
-                               {"rejoined", Outcome::kRejoined, false},
-                               {"restarted", Outcome::kRestarted, false},
-                               {"full link", Outcome::kFullLink, true},
-                               {"silent connections", Outcome::kSilentConnections, true}};
-  for (const OutcomeCase& c : cases) {
-    // A patch, and a document that is not sent unasked to one that missed some.
+// Guards against a proxy staying stale beyond the bound after it resumes, rejoins or restarts, or
+// while its datagrams or connections are lost.
+TEST(Propagation, ReachesAProxyThatReturnsOrIsHardToReachWithinTheBound) {
+  const ProxyFaultCase cases[] = {{"thawed", ProxyFault::kThawed, false},
+                                  {"rejoined", ProxyFault::kRejoined, false},
+                                  {"restarted", ProxyFault::kRestarted, false},
+                                  {"congested link", ProxyFault::kCongestedLink, true},
+                                  {"lost connections", ProxyFault::kLostConnections, true}};
+  for (const ProxyFaultCase& c : cases) {
+    // Few routes: small patches. Many: a document too large to be sent unsolicited to a proxy that
+    // missed patches.
     for (int routes : {3, 120}) {
       Millis worst = 0;
       for (uint64_t seed = 1; seed <= 3; ++seed) {
         SCOPED_TRACE(std::string(c.name) + ", " + std::to_string(routes) + " routes, seed " +
                      std::to_string(seed));
-        Millis found = MeasureReturn(c, routes, seed);
+        Millis found = MeasureProxyFault(c, routes, seed);
         EXPECT_LE(found, kBoundMs);
         worst = std::max(worst, found);
       }
@@ -293,11 +299,14 @@
   }
 }
 
-TEST(Propagation, ReachesZonesOfOneProxy) { ExpectBounded(4, 1, 4); }
-TEST(Propagation, ReachesZonesOfThreeProxies) { ExpectBounded(4, 3, 3); }
-TEST(Propagation, ReachesZonesOfEightProxies) { ExpectBounded(3, 8, 1); }
-TEST(Propagation, ReachesZonesOfSixtyProxies) {
-  ExpectBounded(3, 60, 1, kChangesOfManyProxies, {Fault::kCut, Fault::kNear, Fault::kLeaderCut});
+// Guard against updates that depend on the faulty controller, or on one message or peer: the number
+// of proxies in a zone determines who else can forward an update.
+TEST(Propagation, ReachesZonesOfOneProxyWithinTheBound) { ExpectBounded(4, 1, 4); }
+TEST(Propagation, ReachesZonesOfThreeProxiesWithinTheBound) { ExpectBounded(4, 3, 3); }
+TEST(Propagation, ReachesZonesOfEightProxiesWithinTheBound) { ExpectBounded(3, 8, 1); }
+TEST(Propagation, ReachesZonesOfSixtyProxiesWithinTheBound) {
+  ExpectBounded(3, 60, 1, kChangesWithManyProxies,
+                {Fault::kCut, Fault::kZoneOnly, Fault::kLeaderCut});
 }
 
 }  // namespace
--- a/tests/dissemination/served_history.h
+++ b/tests/dissemination/served_history.h
@@ -9,43 +9,49 @@
 
 namespace elderkeel::simulation {
 
-// What proxies serve by, held against what was committed and acknowledged. The first violation is
-// kept: a proxy that goes back within one life; one that serves what was never committed, or other
-// than what was committed under that number; one that lacks what was acknowledged for too long.
+// Checks the configurations that proxies serve against those committed and acknowledged. Keeps the
+// first violation: a proxy reverts to an older revision without a restart; serves a revision that
+// was never committed, an invalid one, or other content than was committed under that revision; or
+// lacks an acknowledged revision for longer than the bound.
 class ServedHistory {
  public:
   explicit ServedHistory(base::Millis bound) : bound_(bound) {}
 
-  // A controller applied an entry that put this in force.
+  // A controller applied an entry that put this revision in force.
   void Committed(int64_t revision, uint64_t digest) {
     auto [at, added] = committed_.emplace(revision, digest);
-    if (!added && at->second != digest) Fail("two configurations are committed as ", revision);
+    if (!added && at->second != digest) {
+      Fail("two different configurations were committed as revision ", revision);
+    }
   }
   void Acknowledged(base::Millis now, int64_t revision) {
     if (acknowledged_.empty() || acknowledged_.rbegin()->second < revision) {
       acknowledged_[now] = revision;
     }
   }
-  // A change that no valid configuration may carry.
+  // `revision` names an invalid change, which must never be in force.
   void Invalid(int64_t revision) { invalid_[revision] = true; }
-  // `bounded`: the node has been in touch for long enough to be held to the bound.
+  // The node serves `revision`. `bounded`: it has been connected for long enough for the bound to
+  // apply.
   void Served(base::Millis now, const std::string& node, uint64_t boot_id, int64_t revision,
               uint64_t digest, bool bounded) {
     int64_t& newest = newest_[{node, boot_id}];
-    if (revision < newest) Fail(node + " went back to ", revision);
+    if (revision < newest) Fail(node + " reverted to revision ", revision);
     newest = revision;
     if (revision > 0) {
       auto at = committed_.find(revision);
-      if (at == committed_.end()) Fail(node + " serves by what was not committed, ", revision);
+      if (at == committed_.end()) {
+        Fail(node + " serves a revision that was not committed: ", revision);
+      }
       if (at != committed_.end() && at->second != digest) {
-        Fail(node + " serves by another configuration than was committed as ", revision);
+        Fail(node + " serves other content than was committed as revision ", revision);
       }
-      if (invalid_.count(revision)) Fail(node + " serves by the invalid ", revision);
+      if (invalid_.count(revision)) Fail(node + " serves the invalid revision ", revision);
     }
     if (!bounded) return;
     auto known = acknowledged_.upper_bound(now - bound_ - 1);
     if (known != acknowledged_.begin() && std::prev(known)->second > revision) {
-      Fail(node + " is older than the bound allows, at ", revision);
+      Fail(node + " is staler than the bound allows, at revision ", revision);
     }
   }
   const std::string& fault() const { return fault_; }
--- a/tests/dissemination/served_history_test.cc
+++ b/tests/dissemination/served_history_test.cc
@@ -1,5 +1,6 @@
-// What proxies serve by, over days of races, repeats, invalid changes and losses: it never goes
-// back, is never what was not committed, and is never older than the bound in calm.
+// The configurations that proxies serve during racing, repeated and invalid changes and during
+// faults: they never revert, are always committed ones, and without faults are never older than the
+// bound.
 #include "dissemination/served_history.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,9 @@
 constexpr Millis kBoundMs = 1500;
 constexpr Millis kContactMs = 4000;
 
-TEST(ServedHistory, NamesWhatMustNotBe) {
+// Guards against a checker that misses a violation or reports a correct history, which would make
+// the tests below meaningless.
+TEST(ServedHistory, ReportsEachKindOfViolation) {
   struct Step {
     Millis now;
     int64_t committed;     // 0 for none
@@ -29,20 +32,20 @@
     const char* fault;
   } cases[] = {
       {"in order", {{0, 1, 1, 1, 11, 1}, {100, 2, 2, 1, 11, 1}, {1600, 0, 0, 2, 12, 1}}, ""},
-      {"back in another life",
+      {"older after a restart",
        {{0, 1, 0, 1, 11, 1}, {10, 2, 0, 2, 12, 1}, {20, 0, 0, 1, 11, 2}},
        ""},
-      {"back",
+      {"reverted",
        {{0, 1, 0, 1, 11, 1}, {10, 2, 0, 2, 12, 1}, {20, 0, 0, 1, 11, 1}},
-       "n went back to 1"},
-      {"not committed", {{0, 1, 0, 3, 13, 1}}, "n serves by what was not committed, 3"},
-      {"other text",
+       "n reverted to revision 1"},
+      {"not committed", {{0, 1, 0, 3, 13, 1}}, "n serves a revision that was not committed: 3"},
+      {"other content",
        {{0, 1, 0, 1, 12, 1}},
-       "n serves by another configuration than was committed as 1"},
-      {"too old",
+       "n serves other content than was committed as revision 1"},
+      {"too stale",
        {{0, 1, 1, 1, 11, 1}, {100, 2, 2, 1, 11, 1}, {1700, 0, 0, 1, 11, 1}},
-       "n is older than the bound allows, at 1"},
-      {"invalid", {{0, 7, 0, 7, 17, 1}}, "n serves by the invalid 7"},
+       "n is staler than the bound allows, at revision 1"},
+      {"invalid", {{0, 7, 0, 7, 17, 1}}, "n serves the invalid revision 7"},
   };
   for (const Case& c : cases) {
     ServedHistory history(kBoundMs);
@@ -60,10 +63,11 @@
   }
 }
 
-// A day: troubles of all kinds, then calm, again and again, while changes are sent.
-class Day {
+// Sends changes to a simulated cluster during four rounds, each of random faults and then a period
+// without faults.
+class Scenario {
  public:
-  Day(uint64_t seed, int routes, Millis between_changes)
+  Scenario(uint64_t seed, int routes, Millis between_changes)
       : world_(OptionsOf(seed, routes)),
         history_(kBoundMs),
         random_(seed * 31),
@@ -74,12 +78,13 @@
     };
   }
 
-  std::string Play() {
+  // Returns the first violation; empty if there is none.
+  std::string RunRounds() {
     Run(3000, false);
     world_.Change();
     Run(1000, false);
     for (int round = 0; round < 4; ++round) {
-      for (int i = 0; i < 3; ++i) Fault();
+      for (int i = 0; i < 3; ++i) InjectFault();
       Run(3000 + static_cast<Millis>(random_.Below(4000)), false);
       world_.HealAll();
       Run(kContactMs, false);
@@ -101,30 +106,31 @@
     return options;
   }
 
-  void Fault() {
-    size_t core = random_.Below(4), proxy = 4 + random_.Below(8), any = random_.Below(12);
+  void InjectFault() {
+    size_t controller = random_.Below(4), proxy = 4 + random_.Below(8), any = random_.Below(12);
     switch (random_.Below(8)) {
       case 0:
         return world_.Isolate(any, true);
       case 1:
         return world_.Freeze(any, true);
       case 2:
-        return world_.LosePower(core);
+        return world_.LosePower(controller);
       case 3:
         return world_.Crash(proxy);
       case 4:
-        // One lost disk a day: what is allowed at once, with the time to replace it.
-        if (!std::exchange(wiped_, true)) world_.Wipe(core);
+        // One lost disk in a scenario: more than one at a time, including the time that the
+        // replacement takes, is beyond what the cluster tolerates.
+        if (!std::exchange(wiped_, true)) world_.Wipe(controller);
         return;
       case 5:
         for (size_t other = 0; other < 4; ++other) {
-          if (other != core) world_.CutOneWay(core, other, true);
+          if (other != controller) world_.CutOneWay(controller, other, true);
         }
         return;
       case 6:
         return world_.LoseDatagrams(any, true);
       default:
-        world_.node(core).disk_hangs_until = world_.now + 3000;
+        world_.node(controller).disk_hangs_until = world_.now + 3000;
     }
   }
 
@@ -134,11 +140,11 @@
       if (world_.now >= change_at_) Change();
       world_.Run(10);
       if (world_.acknowledged() > 0) history_.Acknowledged(world_.now, world_.acknowledged());
-      for (size_t i = 4; i < world_.size(); ++i) Look(i, bounded);
+      for (size_t i = 4; i < world_.size(); ++i) CheckProxy(i, bounded);
     }
   }
 
-  void Look(size_t i, bool bounded) {
+  void CheckProxy(size_t i, bool bounded) {
     World::Node& node = world_.node(i);
     if (!node.up || node.frozen) return;
     int64_t revision = node.disseminator->revision();
@@ -151,7 +157,8 @@
     history_.Served(world_.now, node.address.ip, boot_id, revision, digest, bounded);
   }
 
-  // One more change; beside it at times a rival on the same version, a repeat, or an invalid one.
+  // Sends one more change and, at random, a concurrent change through any one controller, a
+  // repeat of the previous change, or an invalid one.
   void Change() {
     change_at_ = world_.now + between_changes_;
     std::optional<configuration::Change> before = world_.last_change();
@@ -190,10 +197,10 @@
   Millis change_at_ = 4000;
   bool wiped_ = false;
   int64_t invalid_ = 0;
-  std::map<size_t, std::tuple<uint64_t, int64_t, uint64_t>> seen_;  // life, revision, digest
+  std::map<size_t, std::tuple<uint64_t, int64_t, uint64_t>> seen_;  // boot ID, revision, digest
 };
 
-struct DaysCase {
+struct ScenarioCase {
   const char* name;
   int routes;
   Millis between_changes;
@@ -201,29 +208,31 @@
   uint64_t last_seed;
 };
 
-// One test a case: together they take longer than one test may.
-class ServedHistoryDays : public ::testing::TestWithParam<DaysCase> {};
+// Each case is a separate test, since together they exceed the time limit of one test.
+class ServedHistoryScenarios : public ::testing::TestWithParam<ScenarioCase> {};
 
-TEST_P(ServedHistoryDays, HoldOverFaults) {
-  const DaysCase& param = GetParam();
+// Guards against a proxy that serves an outdated, uncommitted or invalid configuration because of a
+// fault, a race between changes or a repeated change.
+TEST_P(ServedHistoryScenarios, NoViolationDuringAndAfterFaults) {
+  const ScenarioCase& param = GetParam();
   int64_t changes = 0;
   for (uint64_t seed = param.first_seed; seed <= param.last_seed; ++seed) {
-    Day day(seed, param.routes, param.between_changes);
-    EXPECT_EQ(day.Play(), "") << "seed " << seed;
-    changes += day.acknowledged();
+    Scenario scenario(seed, param.routes, param.between_changes);
+    EXPECT_EQ(scenario.RunRounds(), "") << "seed " << seed;
+    changes += scenario.acknowledged();
   }
   EXPECT_GT(changes, 100);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ServedHistoryDays,
-                         ::testing::Values(DaysCase{"small", 3, 350, 1, 6},
-                                           DaysCase{"larger_than_what_is_sent_unasked", 120, 350, 1,
-                                                    3},
-                                           DaysCase{"a_change_each_50_ms_1", 20, 50, 1, 1},
-                                           DaysCase{"a_change_each_50_ms_2", 20, 50, 2, 2},
-                                           DaysCase{"a_change_each_50_ms_3", 20, 50, 3, 3},
-                                           DaysCase{"a_change_each_50_ms_4", 20, 50, 4, 4},
-                                           DaysCase{"whole_documents", 0, 200, 1, 4}),
+INSTANTIATE_TEST_SUITE_P(Cases, ServedHistoryScenarios,
+                         ::testing::Values(ScenarioCase{"small", 3, 350, 1, 6},
+                                           ScenarioCase{"larger_than_unsolicited_limit", 120, 350,
+                                                        1, 3},
+                                           ScenarioCase{"a_change_each_50_ms_1", 20, 50, 1, 1},
+                                           ScenarioCase{"a_change_each_50_ms_2", 20, 50, 2, 2},
+                                           ScenarioCase{"a_change_each_50_ms_3", 20, 50, 3, 3},
+                                           ScenarioCase{"a_change_each_50_ms_4", 20, 50, 4, 4},
+                                           ScenarioCase{"complete_documents", 0, 200, 1, 4}),
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
