--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -1,22 +1,25 @@
-// Heartbeats, and what follows when they don't come: suspicion, death, refutation.
+// Failure detection: heartbeats, suspicion, declaring nodes dead, refutation.
 #include <algorithm>
 
 #include "membership/membership.h"
 
 namespace elderkeel::membership {
 namespace {
-// Of so many heartbeats one goes to a monitor in another zone, and one to one in another region.
-constexpr int kHeartbeatsToRegion = 4;
-constexpr int kHeartbeatsToFarRegion = 8;
-constexpr uint64_t kProbeDeadEvery = 4;  // of so many heartbeats one also goes to a dead node
+// One in this many heartbeats is sent to a monitor in another zone of the region, and to one in
+// another region.
+constexpr int kSameRegionHeartbeatDivisor = 4;
+constexpr int kOtherRegionHeartbeatDivisor = 8;
+constexpr uint64_t kDeadNodeProbeDivisor = 4;  // one in this many is also sent to a dead node
 }  // namespace
 
+// `rank`: the position of `monitor` among the monitors of `node`, the nearest being 0.
 int Membership::HeartbeatDivisor(const Node& node, const Node& monitor, size_t rank) const {
-  if (rank < NodeTable::kMonitorsInZone) return 1;  // the nearest, wherever they are
-  // Controllers are few, and the loss of a whole region shows in them first.
+  if (rank < NodeTable::kMonitorsInZone) return 1;  // the nearest two, in any zone
+  // Controllers send every heartbeat: there are few of them, and the directory recognizes the loss
+  // of a whole region by its controllers.
   if (node.program == Program::kController) return 1;
-  bool far = table_.DistanceBetween(node, monitor) == NodeTable::Distance::kFar;
-  return far ? kHeartbeatsToFarRegion : kHeartbeatsToRegion;
+  bool other_region = table_.DistanceBetween(node, monitor) == NodeTable::Distance::kOtherRegion;
+  return other_region ? kOtherRegionHeartbeatDivisor : kSameRegionHeartbeatDivisor;
 }
 
 void Membership::UpdateMonitors(base::Millis now) {
@@ -51,11 +54,11 @@
     if (heartbeat_count_ % static_cast<uint64_t>(divisor) != 0) continue;
     effects_.heartbeats.emplace_back(table_.Find(id)->address(), heartbeat);
   }
-  if (heartbeat_count_ % kProbeDeadEvery == 0) ProbeDeadNode(heartbeat);
+  if (heartbeat_count_ % kDeadNodeProbeDivisor == 0) ProbeDeadNode(heartbeat);
 }
 
-// Two sides of a partition hold each other for dead, and nobody monitors across it any more:
-// somebody has to look whether it is over.
+// Sends a heartbeat to a random dead node. The two sides of a partition declare each other dead and
+// stop monitoring each other; without these probes neither would notice that the partition healed.
 void Membership::ProbeDeadNode(const Heartbeat& heartbeat) {
   std::vector<const Node*> dead;
   for (const auto& [id, node] : table_.nodes()) {
@@ -75,7 +78,7 @@
   bool same = record && record->boot_id == heartbeat.boot_id &&
               record->incarnation == heartbeat.incarnation;
   if (same && record->state != State::kAlive) {
-    // It is alive and yet held for dead: tell it, so that it refutes.
+    // The sender is recorded as suspected or dead. Receiving the record makes it refute that.
     SendUpdate(from, MembershipUpdate{{*record}, {}});
     return;
   }
@@ -83,14 +86,14 @@
 }
 
 void Membership::DetectFailures(base::Millis now) {
-  SuspectSilent(now);
-  ReviewSuspicions(now);
+  SuspectUnresponsiveNodes(now);
+  ResolveSuspicions(now);
 }
 
-void Membership::SuspectSilent(base::Millis now) {
+void Membership::SuspectUnresponsiveNodes(base::Millis now) {
   for (const auto& [id, last] : last_heartbeat_at_) {
-    base::Millis patience = options_.heartbeat * options_.missed * monitored_.at(id);
-    if (now - last <= patience) continue;
+    base::Millis timeout = options_.heartbeat * options_.missed_heartbeats * monitored_.at(id);
+    if (now - last <= timeout) continue;
     Node node = *table_.Find(id);
     if (IsSuspectedBySelf(node)) continue;
     node.suspecters.push_back(self_.id);
@@ -98,22 +101,23 @@
     bool confirmed = node.suspecters.size() >= SuspectersNeeded(id);
     node.state = confirmed ? State::kDead : State::kSuspect;
     suspected_at_[id] = now;
-    Change(node);
+    StoreAndAnnounce(node);
   }
 }
 
-// Who is alive refutes a suspicion. Where most monitors were lost with the node, as with a region,
-// there is nobody to second it.
-void Membership::ReviewSuspicions(base::Millis now) {
+// Drops this process's suspicions that were refuted. A node that has not refuted in time is
+// declared dead even if no second monitor suspects it: when a whole region is lost, most of the
+// node's monitors are lost with it and can't confirm the suspicion.
+void Membership::ResolveSuspicions(base::Millis now) {
   for (auto suspicion = suspected_at_.begin(); suspicion != suspected_at_.end();) {
     Node node = *table_.Find(suspicion->first);
-    bool stands = node.state == State::kSuspect && IsSuspectedBySelf(node);
-    bool unanswered = now - suspicion->second > options_.heartbeat * options_.missed;
-    if (stands && unanswered) {
+    bool active = node.state == State::kSuspect && IsSuspectedBySelf(node);
+    bool expired = now - suspicion->second > options_.heartbeat * options_.missed_heartbeats;
+    if (active && expired) {
       node.state = State::kDead;
-      Change(node);
+      StoreAndAnnounce(node);
     }
-    suspicion = stands && !unanswered ? std::next(suspicion) : suspected_at_.erase(suspicion);
+    suspicion = active && !expired ? std::next(suspicion) : suspected_at_.erase(suspicion);
   }
 }
 
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -4,14 +4,14 @@
 
 namespace elderkeel::membership {
 namespace {
-constexpr size_t kGossipFanout = 3;      // nodes that are sent a change at once
-constexpr uint64_t kOtherZoneShare = 4;  // one in so many of them is of another zone
-// Between two contacts of seeds: while alone; while a seed is not known yet, for some time after
-// the start; and later.
-constexpr base::Millis kSeedAloneMs = 150;
-constexpr base::Millis kSeedStartupMs = 300;
+constexpr size_t kGossipFanout = 3;        // nodes to which changes are gossiped in one tick
+constexpr uint64_t kOtherZoneDivisor = 4;  // on average one in this many is in another zone
+// Intervals between contacts of seeds: while no other node is reachable; during the startup period,
+// while a seed is not known yet; and otherwise.
+constexpr base::Millis kSeedIntervalAloneMs = 150;
+constexpr base::Millis kSeedIntervalStartupMs = 300;
 constexpr base::Millis kSeedStartupPeriodMs = 5000;
-constexpr base::Millis kSeedMs = 5000;
+constexpr base::Millis kSeedIntervalMs = 5000;
 }  // namespace
 
 Membership::Membership(Options options, std::vector<base::Address> seeds, base::Millis now)
@@ -23,7 +23,7 @@
       now_(now),
       started_at_(now) {
   self_.incarnation = 1;
-  next_seed_ = self_.id;  // not all begin with the same one
+  next_seed_ = self_.id;  // so that nodes don't all contact the same seed first
   table_.Store(self_);
 }
 
@@ -31,7 +31,8 @@
   base::Millis gap = now - now_;
   now_ = now;
   if (gap > options_.heartbeat * 2) {
-    // This process slept: that it received nothing says nothing about the others.
+    // This process was suspended. Heartbeats that it missed meanwhile must not make it suspect
+    // others, so the timeouts start again.
     for (auto& [id, last] : last_heartbeat_at_) last = now;
     for (auto& [id, since] : suspected_at_) since = now;
   }
@@ -103,8 +104,8 @@
   }
 }
 
-// Takes a record that the others are to know of.
-void Membership::Change(const Node& node) {
+// Stores a record, reports it to the caller and queues it for gossip.
+void Membership::StoreAndAnnounce(const Node& node) {
   table_.Store(node);
   effects_.changed.push_back(node);
   QueueGossip(node);
@@ -114,8 +115,9 @@
   effects_.updates.emplace_back(to, std::move(update));
 }
 
-// A suspicion goes to the other monitors, who can confirm it, and to the suspect, who can refute
-// it, at once; to anybody else together with all that changes within a tick.
+// Queues a record for the gossip at the end of the tick. The record of a suspected or dead node is
+// also sent at once to that node, which can refute it, and to its monitors, which can confirm
+// the suspicion.
 void Membership::QueueGossip(const Node& node) {
   gossip_queue_.insert(node.id);
   bool urgent = node.state == State::kSuspect || node.state == State::kDead;
@@ -133,13 +135,14 @@
     if (const Node* node = table_.Find(id)) update.nodes.push_back(*node);
   }
   gossip_queue_.clear();
-  std::vector<const Node*> near, far;
+  std::vector<const Node*> same_zone, other_zones;
   for (const Node* node : ReachableOthers()) {
-    (node->zone == self_.zone ? near : far).push_back(node);
+    (node->zone == self_.zone ? same_zone : other_zones).push_back(node);
   }
-  for (size_t i = 0; i < kGossipFanout && !(near.empty() && far.empty()); ++i) {
-    bool pick_far = near.empty() || (!far.empty() && random_.Below(kOtherZoneShare) == 0);
-    std::vector<const Node*>& from = pick_far ? far : near;
+  for (size_t i = 0; i < kGossipFanout && !(same_zone.empty() && other_zones.empty()); ++i) {
+    bool pick_other_zone =
+        same_zone.empty() || (!other_zones.empty() && random_.Below(kOtherZoneDivisor) == 0);
+    std::vector<const Node*>& from = pick_other_zone ? other_zones : same_zone;
     size_t pick = random_.Below(from.size());
     SendUpdate(from[pick]->address(), update);
     from.erase(from.begin() + static_cast<long>(pick));
@@ -149,15 +152,18 @@
 void Membership::ContactSeeds(base::Millis now) {
   if (now < next_seed_contact_at_ || seeds_.empty()) return;
   bool alone = ReachableOthers().empty();
-  // Seeds of which nobody has sent a record: they and those that know them may be a fleet of their
-  // own.
+  // Seeds whose records this process does not hold. They may belong to a cluster that is separate
+  // from this one and has to be joined with it.
   std::vector<base::Address> unknown;
   for (const base::Address& seed : seeds_) {
     if (!Find(seed)) unknown.push_back(seed);
   }
   bool starting = !unknown.empty() && now - started_at_ < kSeedStartupPeriodMs;
-  next_seed_contact_at_ = now + (alone ? kSeedAloneMs : starting ? kSeedStartupMs : kSeedMs);
-  // One after the other: each answers with all that it knows, which in a large fleet is a lot.
+  next_seed_contact_at_ = now + (alone      ? kSeedIntervalAloneMs
+                                 : starting ? kSeedIntervalStartupMs
+                                            : kSeedIntervalMs);
+  // Seeds are contacted one at a time: each answers with a summary of its whole table, which is
+  // large in a large cluster.
   size_t turn = next_seed_++;
   size_t own_controllers = self_.program == Program::kController ? 1 : 0;
   bool no_controller = CountAlive(Program::kController) == own_controllers;
@@ -171,18 +177,20 @@
 void Membership::OnMembershipUpdate(base::Millis now, const base::Address& from,
                                     const MembershipUpdate& update) {
   now_ = std::max(now_, now);
-  bool newcomer = Find(from) == nullptr;
+  bool sender_unknown = Find(from) == nullptr;
   for (const Node& node : update.nodes) Merge(now, node);
   MembershipUpdate reply;
   for (uint64_t id : update.wanted_ids) {
     if (const Node* node = table_.Find(id)) reply.nodes.push_back(*node);
   }
-  // One that says nothing but who it is may know nobody, and may not know that its earlier start is
-  // still on record: as left in order, say, with a higher incarnation than it begins with now.
-  bool introduces = update.nodes.size() == 1 && update.wanted_ids.empty();
+  // An update with a single record and no requests may come from a process that has just started.
+  // That process may know no other node, and may not know that this one still holds a record of an
+  // earlier start of it: for example as left, with a higher incarnation than it starts with now.
+  // The summary makes it request that record and raise its own incarnation.
+  bool is_introduction = update.nodes.size() == 1 && update.wanted_ids.empty();
   for (const Node& node : update.nodes) {
     bool is_sender = node.address() == from;
-    if (is_sender && (newcomer || introduces)) SendSummary(now, from, UINT32_MAX);
+    if (is_sender && (sender_unknown || is_introduction)) SendSummary(now, from, UINT32_MAX);
   }
   if (!reply.nodes.empty()) SendUpdate(from, std::move(reply));
 }
@@ -194,7 +202,7 @@
   }
   const Node* record = table_.Find(node.id);
   if (!record) {
-    Change(node);
+    StoreAndAnnounce(node);
     return;
   }
   if (node.incarnation < record->incarnation) return;
@@ -203,7 +211,8 @@
       MergeSuspicion(node, *record);
       return;
     }
-    // Two starts at one address: the higher number stands until the live one raises its own.
+    // Two starts of a process at one address. The record with the higher boot id is kept until the
+    // running process raises its incarnation.
     if (node.boot_id < record->boot_id) return;
   }
   bool changed =
@@ -211,20 +220,21 @@
   auto last = last_heartbeat_at_.find(node.id);
   if (last != last_heartbeat_at_.end()) last->second = now;
   if (changed) {
-    Change(node);
+    StoreAndAnnounce(node);
   } else {
     table_.Store(node);
   }
 }
 
-// What others say of this process: refuted if it is wrong.
+// Merges a record of this process that another node sent, and refutes it if it is wrong.
 void Membership::MergeSelf(const Node& node) {
   bool other_boot = node.boot_id != self_.boot_id;
   bool worse = node.state != State::kAlive && self_.state == State::kAlive;
   if (node.incarnation >= self_.incarnation && (other_boot || worse)) Refute(node.incarnation);
 }
 
-// Two records of one incarnation: the worse state counts, and all who suspect.
+// Merges two records with the same boot id and incarnation: the result has the worse of the two
+// states and the suspecters of both.
 void Membership::MergeSuspicion(const Node& node, const Node& record) {
   Node merged = record;
   merged.suspecters.clear();
@@ -237,7 +247,7 @@
   if (merged.state == record.state) {
     table_.Store(merged);
   } else {
-    Change(merged);
+    StoreAndAnnounce(merged);
   }
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -17,29 +17,37 @@
 
 namespace elderkeel::membership {
 
-// Who is in the fleet, as a pure state machine after SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+// Group membership and failure detection: the state of every process in the cluster, as this
+// process knows it. A pure state machine after SWIM (Das, Gupta, Motivala, "SWIM: Scalable
 // Weakly-consistent Infection-style Process Group Membership Protocol", 2002), with heartbeats in
-// place of its random probes.
+// place of SWIM's random probes.
 //
-// Failure detection: each process sends heartbeats to its monitors, which its position on a hash
-// ring names (NodeTable::MonitorsOf), seldomer the further away they are. A monitor that misses
-// some suspects the process; a second suspecter, or a suspicion that stays unanswered, makes it
-// dead. The process itself refutes a suspicion by a higher incarnation. Dissemination: changes are
-// gossiped to a few nodes at once; tables are compared by digests that ride heartbeats, in parts,
-// so that whatever gossip lost is repaired.
+// Failure detection: each process sends heartbeats to its monitors, which are chosen by its
+// position on a hash ring (NodeTable::MonitorsOf), less often to those in other zones and regions.
+// A monitor that misses several heartbeats suspects the process. The process is declared dead when
+// a second monitor suspects it too, or when it does not refute the suspicion in time; it refutes a
+// suspicion by raising its incarnation.
 //
-// Invariants: of two records of a node the one with the higher incarnation counts, then the worse
-// state; only a node itself raises its incarnation; a process that slept suspects nobody by what it
-// missed. Not thread-safe; after each call the caller sends the effects.
+// Dissemination: changes are gossiped to a few random nodes at once. Each heartbeat carries a
+// digest of the sender's table; where two tables differ they are compared part by part, which
+// repairs any gossip that was lost.
+//
+// Invariants: of two records of a node, the one with the higher incarnation takes precedence, then
+// the one with the worse state. Only a node itself raises its incarnation. A process that was
+// suspended suspects nobody because of heartbeats that it missed meanwhile.
+//
+// Not thread-safe. After each call the caller takes the effects (TakeEffects()) and sends them.
 class Membership {
  public:
   struct Options {
     Node self;
-    base::Millis heartbeat = 250;                // interval
-    int missed = 5;                              // heartbeats, before a monitor suspects
-    std::map<std::string, std::string> regions;  // of zones; those not named form one of their own
+    base::Millis heartbeat = 250;  // interval
+    int missed_heartbeats = 5;     // a monitor suspects a node after this many without one
+    // Region by zone. All zones that are not listed form one region of their own.
+    std::map<std::string, std::string> regions;
     uint64_t seed = 1;
   };
+  // Messages to send, with their destinations, and changes to report.
   struct Effects {
     std::vector<std::pair<base::Address, Heartbeat>> heartbeats;
     std::vector<std::pair<base::Address, MembershipUpdate>> updates;
@@ -52,20 +60,22 @@
     }
   };
 
-  // `seeds`: nodes that are contacted while nobody else is known.
+  // `seeds`: nodes to contact until this process holds their records, and also while no other node
+  // or no other controller is reachable.
   Membership(Options options, std::vector<base::Address> seeds, base::Millis now);
 
+  // Sends due heartbeats and gossip, contacts seeds and detects failures.
   void Tick(base::Millis now);
-  // When the next tick has something to do.
+  // The time at which Tick() next has work to do.
   base::Millis DueAt() const;
   void OnHeartbeat(base::Millis now, const base::Address& from, const Heartbeat& heartbeat);
   void OnMembershipUpdate(base::Millis now, const base::Address& from,
                           const MembershipUpdate& update);
   void OnPartDigests(base::Millis now, const base::Address& from, const PartDigests& digests);
   void OnSummary(base::Millis now, const base::Address& from, const MembershipSummary& summary);
-  // Whether this process may be given clients.
+  // Announces whether clients may be sent to this process.
   void SetReady(bool ready);
-  // Tells the others that this process stops.
+  // Announces that this process is stopping.
   void Leave(base::Millis now);
   Effects TakeEffects() { return std::exchange(effects_, Effects()); }
 
@@ -73,17 +83,20 @@
   const std::map<uint64_t, Node>& nodes() const { return table_.nodes(); }
   const Node* Find(const base::Address& address) const { return table_.Find(address); }
   std::vector<const Node*> MonitorsOf(uint64_t id) const { return table_.MonitorsOf(id); }
-  // Empty for a zone that the settings don't name.
+  // Empty for a zone that the settings don't list.
   const std::string& RegionOf(const std::string& zone) const { return table_.RegionOf(zone); }
-  // Whether this is the one controller that speaks for its zone: the first with a disk, if any has.
+  // Whether this process is the representative of its zone: of the zone's reachable controllers,
+  // the one with the lowest id, where those with a disk precede those without.
   bool IsZoneRepresentative() const;
-  // Others that are alive or only suspected.
+  // All other nodes that are alive or suspected.
   std::vector<const Node*> ReachableOthers() const;
-  // The nearest other node with a disk: one that is alive, or with `suspects` also one that may be.
+  // The nearest other node with a disk that is alive, or with `suspects` also one that is suspected
+  // if none is alive. Nodes of this process's zone are nearer than all others.
   std::optional<base::Address> NearestDurable(bool suspects) const;
-  // Alive or only suspected, this process included.
+  // The number of nodes that are alive or suspected, this process included.
   size_t CountAlive(Program program) const { return table_.CountReachable(program); }
-  // The dead too: a partition does not tell from a death, and both sides of one go on.
+  // The number of nodes that have not left, dead ones included: a node that was declared dead may
+  // be on the other side of a partition and still run.
   size_t CountNotLeft(Program program) const { return table_.CountNotLeft(program); }
   uint64_t Digest() const { return table_.Digest(); }
 
@@ -94,15 +107,16 @@
   int HeartbeatDivisor(const Node& node, const Node& monitor, size_t rank) const;
   void ProbeDeadNode(const Heartbeat& heartbeat);
   void DetectFailures(base::Millis now);
-  void SuspectSilent(base::Millis now);
-  void ReviewSuspicions(base::Millis now);
+  void SuspectUnresponsiveNodes(base::Millis now);
+  void ResolveSuspicions(base::Millis now);
   bool IsSuspectedBySelf(const Node& node) const;
+  // How many monitors must suspect a node before it is dead: two, or one if it has only one.
   size_t SuspectersNeeded(uint64_t id) const;
   void Refute(uint32_t seen_incarnation);
 
-  // membership.cc: records, gossip, seeds.
+  // membership.cc: records, gossip, seeds
   void StoreSelf();
-  void Change(const Node& node);
+  void StoreAndAnnounce(const Node& node);
   void Merge(base::Millis now, const Node& node);
   void MergeSelf(const Node& node);
   void MergeSuspicion(const Node& node, const Node& record);
@@ -124,15 +138,16 @@
   NodeTable table_;
   base::Millis now_ = 0;
 
-  // One of how many heartbeats goes to each monitor, by its id and in order of distance.
+  // The monitors of this process, the nearest first, as pairs of id and heartbeat divisor: a
+  // divisor of n means that every n-th heartbeat is sent.
   std::vector<std::pair<uint64_t, int>> monitors_;
-  std::map<uint64_t, int> monitored_;  // the same of the nodes that this process monitors
-  std::map<uint64_t, base::Millis> last_heartbeat_at_;  // of those
-  std::map<uint64_t, base::Millis> suspected_at_;       // by this process
+  std::map<uint64_t, int> monitored_;  // divisors of the nodes that this process monitors, by id
+  std::map<uint64_t, base::Millis> last_heartbeat_at_;  // of the nodes in monitored_
+  std::map<uint64_t, base::Millis> suspected_at_;       // when this process suspected each node
   base::Millis next_heartbeat_at_ = 0;
   uint64_t heartbeat_count_ = 0;
 
-  std::set<uint64_t> gossip_queue_;  // nodes whose records changed and are to be sent
+  std::set<uint64_t> gossip_queue_;  // nodes whose changed records have yet to be gossiped
   SentTimes part_digests_sent_at_, summary_sent_at_;
   base::Millis started_at_ = 0;
   base::Millis next_seed_contact_at_ = 0;
--- a/src/membership/node.cc
+++ b/src/membership/node.cc
@@ -18,7 +18,7 @@
   return "unknown";
 }
 
-// Part of the protocol: nodes compare these numbers.
+// The computation is part of the protocol: nodes compare each other's digests.
 uint32_t Node::ViewDigest() const {
   uint64_t view = static_cast<uint64_t>(state) + 4 * suspecters.size() + (ready ? 1024 : 0);
   return static_cast<uint32_t>(
--- a/src/membership/node_table.cc
+++ b/src/membership/node_table.cc
@@ -59,18 +59,19 @@
 }
 
 const std::string& NodeTable::RegionOf(const std::string& zone) const {
-  static const std::string kUnnamed;
+  static const std::string kNoRegion;
   auto region = regions_.find(zone);
-  return region == regions_.end() ? kUnnamed : region->second;
+  return region == regions_.end() ? kNoRegion : region->second;
 }
 
 NodeTable::Distance NodeTable::DistanceBetween(const Node& a, const Node& b) const {
-  if (a.zone == b.zone) return Distance::kZone;
-  return RegionOf(a.zone) == RegionOf(b.zone) ? Distance::kRegion : Distance::kFar;
+  if (a.zone == b.zone) return Distance::kSameZone;
+  return RegionOf(a.zone) == RegionOf(b.zone) ? Distance::kSameRegion : Distance::kOtherRegion;
 }
 
-// Clockwise from `id`, over the end of the ring. More than these from one zone are never chosen, so
-// the cost hardly grows with the fleet.
+// The next nodes clockwise from `id` in each zone, wrapping around the end of the ring, in order of
+// their distance on it. MonitorsOf() never chooses more than these from one zone, so the cost
+// depends on the number of zones and hardly on the number of nodes.
 std::vector<const Node*> NodeTable::MonitorCandidates(uint64_t id) const {
   std::vector<const Node*> candidates;
   for (const auto& [zone, ring] : zone_rings_) {
@@ -86,22 +87,22 @@
 }
 
 std::vector<const Node*> NodeTable::MonitorsOf(uint64_t id) const {
-  std::vector<const Node*> monitors, spare;
+  std::vector<const Node*> monitors, remaining;
   const Node* monitored = Find(id);
   if (!monitored) return monitors;
   size_t count[3] = {0, 0, 0};  // by distance
   for (const Node* node : MonitorCandidates(id)) {
     Distance distance = DistanceBetween(*monitored, *node);
-    size_t wanted = distance == Distance::kZone ? kMonitorsInZone : 1;
+    size_t wanted = distance == Distance::kSameZone ? kMonitorsInZone : 1;
     size_t& chosen = count[static_cast<size_t>(distance)];
     if (chosen < wanted) {
       ++chosen;
       monitors.push_back(node);
     } else {
-      spare.push_back(node);
+      remaining.push_back(node);
     }
   }
-  for (const Node* node : spare) {
+  for (const Node* node : remaining) {
     if (monitors.size() > kMonitorsInZone) break;
     monitors.push_back(node);
   }
--- a/src/membership/table_sync.cc
+++ b/src/membership/table_sync.cc
@@ -1,4 +1,5 @@
-// Anti-entropy: tables of records are compared by digests, and what differs is sent.
+// Anti-entropy: two nodes compare their tables of records by digests and send the records that
+// differ.
 #include <algorithm>
 #include <map>
 
@@ -6,13 +7,14 @@
 
 namespace elderkeel::membership {
 namespace {
-constexpr base::Millis kCompareEveryMs = 300;  // with one peer, at the most
+constexpr base::Millis kMinSendIntervalMs = 300;  // between two messages of a kind to one peer
 }  // namespace
 
-// Whether something was sent there a moment ago; if not, it is taken to be sent now.
+// Returns whether a message was sent to `to` less than kMinSendIntervalMs ago. If not, records
+// `now` as the time of sending.
 bool Membership::RecentlySent(base::Millis now, const base::Address& to, SentTimes* sent_at) {
   base::Millis& sent = (*sent_at)[to];
-  if (sent != 0 && now - sent < kCompareEveryMs) return true;
+  if (sent != 0 && now - sent < kMinSendIntervalMs) return true;
   sent = now;
   return false;
 }
@@ -32,7 +34,7 @@
   if (different != 0) SendSummary(now, from, different);
 }
 
-// Of the parts whose bits are set.
+// Sends a summary of the parts whose bits are set in `parts`.
 void Membership::SendSummary(base::Millis now, const base::Address& to, uint32_t parts) {
   if (RecentlySent(now, to, &summary_sent_at_)) return;
   MembershipSummary summary;
@@ -47,14 +49,15 @@
                            const MembershipSummary& summary) {
   now_ = std::max(now_, now);
   MembershipUpdate update;
-  std::map<uint64_t, uint32_t> theirs(summary.view_digests.begin(), summary.view_digests.end());
+  std::map<uint64_t, uint32_t> peer_digests(summary.view_digests.begin(),
+                                            summary.view_digests.end());
   for (const auto& [id, node] : table_.nodes()) {
     if (!summary.Covers(id)) continue;
-    auto digest = theirs.find(id);
-    bool same = digest != theirs.end() && digest->second == node.ViewDigest();
+    auto digest = peer_digests.find(id);
+    bool same = digest != peer_digests.end() && digest->second == node.ViewDigest();
     if (!same) update.nodes.push_back(node);
   }
-  for (const auto& [id, digest] : theirs) {
+  for (const auto& [id, digest] : peer_digests) {
     const Node* own = table_.Find(id);
     if (!own || own->ViewDigest() != digest) update.wanted_ids.push_back(id);
   }
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -28,8 +28,9 @@
   return options;
 }
 
-// As docs/membership.md says it, by a walk over the whole ring.
-std::vector<uint64_t> ByWalking(const Membership& m, uint64_t id) {
+// Reference implementation of the choice of monitors that docs/membership.md describes: walks over
+// the whole ring.
+std::vector<uint64_t> MonitorsByFullWalk(const Membership& m, uint64_t id) {
   std::vector<const Node*> chosen[3], spare;
   const Node& of = m.nodes().at(id);
   auto at = m.nodes().find(id);
@@ -62,7 +63,10 @@
   return ids;
 }
 
-TEST(MembershipTest, NamesTheMonitorsThatAWalkOverTheRingNames) {
+// MonitorsOf() looks at a few nodes of each zone only. It must choose the same monitors as a walk
+// over the whole ring does, for random numbers of zones, regions and nodes, as nodes die and
+// return.
+TEST(MembershipTest, MonitorsOfMatchesAWalkOverTheWholeRing) {
   base::Random random(5);
   for (int round = 0; round < 40; ++round) {
     size_t zones = 1 + random.Below(7), count = 1 + random.Below(60);
@@ -76,7 +80,7 @@
         std::vector<uint64_t> ids;
         for (const Node* monitor : m.MonitorsOf(id)) ids.push_back(monitor->id);
         std::sort(ids.begin(), ids.end());
-        ASSERT_EQ(ids, ByWalking(m, id)) << count << " nodes in " << zones << " zones";
+        ASSERT_EQ(ids, MonitorsByFullWalk(m, id)) << count << " nodes in " << zones << " zones";
       }
       // Some die, some return.
       MembershipUpdate update;
@@ -92,8 +96,9 @@
   }
 }
 
-// A cut does not tell from a death: what all share goes by those that may exist.
-TEST(MembershipTest, CountsThoseThatMayExist) {
+// A node that was declared dead may run on the other side of a partition. Limits that all nodes
+// share are split by CountNotLeft(), which must include it; CountAlive() must not.
+TEST(MembershipTest, CountsDeadNodesAsNotLeftButNotAsAlive) {
   Membership m(OptionsOf(Member(0, 2), 1), {}, 0);
   MembershipUpdate update;
   State states[] = {State::kAlive, State::kSuspect, State::kDead, State::kDead, State::kLeft};
@@ -106,9 +111,9 @@
   EXPECT_EQ(m.CountNotLeft(Program::kProxy), 5u);
 }
 
-// Two tables of three hundred nodes that differ in a few records become one for about those records
-// alone.
-TEST(MembershipTest, TablesThatDifferLittleAreBroughtTogetherForLittle) {
+// Two tables of 300 nodes that differ in a few records must become equal, with traffic that grows
+// with the number of those records and not with the number of nodes.
+TEST(MembershipTest, TableSyncTrafficIsBoundedByTheRecordsThatDiffer) {
   constexpr size_t kNodes = 300;
   for (size_t differ : {1u, 5u}) {
     Membership a(OptionsOf(Member(0, 5), 1), {}, 0), b(OptionsOf(Member(1, 5), 1), {}, 0);
@@ -152,17 +157,20 @@
   }
 }
 
-TEST(MembershipTest, NamesTheNearestThatHasADiskAndIsNotSuspected) {
+TEST(MembershipTest, NearestDurablePrefersAliveNodesThenTheOwnZone) {
   struct Case {
     const char* name;
     std::vector<std::pair<size_t, State>> durable;  // zones: 0 and 2 "a", 1 and 3 "b"
-    int alive, any;                                 // which of them; -1 for none
+    int alive, any;  // the expected nodes without and with suspects; -1 for none
   } cases[] = {
-      {"none has a disk", {}, -1, -1},
-      {"the own zone first", {{1, State::kAlive}, {2, State::kAlive}}, 2, 2},
-      {"one elsewhere rather than a suspect", {{1, State::kAlive}, {2, State::kSuspect}}, 1, 1},
-      {"suspects alone", {{1, State::kSuspect}, {2, State::kSuspect}}, -1, 2},
-      {"the dead are nobody", {{1, State::kDead}, {3, State::kLeft}}, -1, -1},
+      {"no node has a disk", {}, -1, -1},
+      {"own zone first", {{1, State::kAlive}, {2, State::kAlive}}, 2, 2},
+      {"alive in another zone before suspected in the own zone",
+       {{1, State::kAlive}, {2, State::kSuspect}},
+       1,
+       1},
+      {"all suspected", {{1, State::kSuspect}, {2, State::kSuspect}}, -1, 2},
+      {"all dead or left", {{1, State::kDead}, {3, State::kLeft}}, -1, -1},
   };
   for (const Case& c : cases) {
     Membership membership(OptionsOf(Member(0, 2), 1), {}, 0);
@@ -187,9 +195,9 @@
 namespace elderkeel::simulation {
 namespace {
 
-// A third of three hundred nodes dies and returns. The others and the list of news come through,
-// all know all in the end, and no node sends more than it could over a narrow link.
-TEST(Simulation, AThirdOfThreeHundredNodesGoesAndReturns) {
+// A third of 300 nodes crashes and restarts, while the list of servers changes. All nodes must
+// converge on the same state, and no proxy may use more than its share of a slow link.
+TEST(Simulation, ConvergesWithBoundedTrafficAfterAThirdOf300NodesRestarts) {
   World::Options options;
   options.controllers = 5;
   options.proxies = 295;
@@ -210,7 +218,7 @@
   for (size_t i = 5; i < world.size(); i += 3) world.Start(i);
   world.Run(2500);
   EXPECT_EQ(world.Converged(), "");
-  // 4.5 s; a link of 2 Mbit/s carries 1.1 MB in that time. Membership and news may take a fifth.
+  // A link of 2 Mbit/s carries 1.1 MB in these 4.5 s. Membership and dissemination may use a fifth.
   size_t most = 0;
   for (size_t i = 5; i < world.size(); ++i) most = std::max(most, world.bytes_of(i));
   EXPECT_LT(most, 225000u);
