--- a/src/load/load_tracker.cc
+++ b/src/load/load_tracker.cc
@@ -6,88 +6,94 @@
 
 namespace elderkeel::load {
 namespace {
-constexpr double kMeasureWeight = 0.3;    // of what was measured since the last tick
-constexpr double kPullToOwn = 0.08;       // of the mean towards this proxy's own, at each tick
-constexpr base::Millis kForgetMs = 5000;  // what was received of a zone counts for so long
-constexpr base::Millis kLeastMs = 100;    // between two ticks: less measures nothing
-constexpr size_t kMostNames = 256;        // services and zones that a report may name
+constexpr double kMeasurementWeight = 0.3;      // of a tick's measurement in the smoothed load
+constexpr double kOwnLoadCorrection = 0.08;     // per tick, of the mean towards the own load
+constexpr base::Millis kReportExpiryMs = 5000;  // reports of another zone are valid for this long
+constexpr base::Millis kMinTickMs = 100;        // a shorter span between ticks measures too little
+constexpr size_t kMaxReportEntries = 256;       // zones, and services of each zone
 }  // namespace
 
 uint32_t Key(const std::string& name) { return static_cast<uint32_t>(base::Hash(name)); }
 
 void LoadTracker::Count(base::Millis now, uint32_t service, int change) {
-  Measured& m = measured_[service];
-  base::Millis since = std::max(m.at, tick_at_);
-  if (now > since) m.area += static_cast<double>(m.in_flight) * static_cast<double>(now - since);
-  m.at = std::max(m.at, now);
-  m.in_flight += change;
+  OwnLoad& load = own_loads_[service];
+  base::Millis since = std::max(load.updated_at, tick_at_);
+  if (now > since)
+    load.in_flight_ms += static_cast<double>(load.in_flight) * static_cast<double>(now - since);
+  load.updated_at = std::max(load.updated_at, now);
+  load.in_flight += change;
 }
 
 void LoadTracker::Tick(base::Millis now) {
   if (tick_at_ == 0) tick_at_ = now;
-  if (now - tick_at_ < kLeastMs) return;
+  if (now - tick_at_ < kMinTickMs) return;
   double span = static_cast<double>(now - tick_at_);
-  for (const auto& [service, mean] : own_) measured_[service];
-  for (auto& [service, m] : measured_) {
+  for (const auto& [service, mean] : own_means_) own_loads_[service];
+  for (auto& [service, load] : own_loads_) {
     Count(now, service, 0);
-    double measured = m.area / span;
-    m.area = 0;
-    // What changes here changes the mean at once; levelling then spreads it over the zone. What got
-    // lost on the way, or went with a proxy that ended, the pull mends.
-    auto [own, added] = own_.emplace(service, measured);
-    double& mean = own->second;
-    if (!m.known) {
-      // A mean that was received before counts this proxy's clients already, as well as anybody's.
-      m.known = true;
-      m.smooth = measured;
+    double measured = load.in_flight_ms / span;
+    load.in_flight_ms = 0;
+    // A change of this proxy's own load goes into its estimate of the mean at once; averaging with
+    // peers then spreads it over the zone. The correction towards the own load removes the errors
+    // that lost reports leave behind, and the load of proxies that have ended.
+    auto [estimate, added] = own_means_.emplace(service, measured);
+    double& mean = estimate->second;
+    if (!load.initialized) {
+      // A mean that a peer reported before this first measurement is an average over all proxies
+      // of the zone, this one included, so the own load is not added to it.
+      load.initialized = true;
+      load.smoothed = measured;
       continue;
     }
-    double before = m.smooth;
-    m.smooth += kMeasureWeight * (measured - m.smooth);
-    mean = std::max(0.0, mean + m.smooth - before + kPullToOwn * (m.smooth - mean));
+    double before = load.smoothed;
+    load.smoothed += kMeasurementWeight * (measured - load.smoothed);
+    mean =
+        std::max(0.0, mean + load.smoothed - before + kOwnLoadCorrection * (load.smoothed - mean));
   }
-  known_ = true;
+  has_ticked_ = true;
   tick_at_ = now;
 }
 
 LoadReport LoadTracker::MakeReport(base::Millis now, size_t proxies) const {
   LoadReport report;
-  auto add = [&](uint32_t zone, base::Millis age, size_t of, const auto& means) {
+  auto add = [&](uint32_t zone, base::Millis age, size_t zone_proxies, const auto& means) {
     report.push_back({zone,
                       static_cast<uint32_t>(age),
-                      static_cast<uint16_t>(std::min<size_t>(of, UINT16_MAX)),
+                      static_cast<uint16_t>(std::min<size_t>(zone_proxies, UINT16_MAX)),
                       {}});
     for (const auto& [service, mean] : means) {
       report.back().means.push_back({service, static_cast<float>(mean)});
     }
   };
-  if (known_) add(zone_, 0, proxies, own_);
-  for (const auto& [key, zone] : others_) {
-    if (now - zone.at <= kForgetMs) add(key, now - zone.at, zone.proxies, zone.means);
+  if (has_ticked_) add(zone_, 0, proxies, own_means_);
+  for (const auto& [key, zone] : other_zones_) {
+    if (now - zone.measured_at <= kReportExpiryMs)
+      add(key, now - zone.measured_at, zone.proxies, zone.means);
   }
   return report;
 }
 
 void LoadTracker::MergeReport(base::Millis now, const LoadReport& report) {
-  if (report.size() > kMostNames) return;
+  if (report.size() > kMaxReportEntries) return;
   for (const ZoneLoad& received : report) {
-    if (received.means.size() > kMostNames) continue;
+    if (received.means.size() > kMaxReportEntries) continue;
     if (received.zone == zone_) {
-      if (received.age_ms > 0) continue;  // this zone's own mean comes from its proxies alone
+      // This zone's mean is accepted only first-hand, from the zone's own proxies.
+      if (received.age_ms > 0) continue;
       for (const auto& [service, mean] : received.means) {
         if (!(mean >= 0)) continue;
-        auto [at, added] = own_.emplace(service, mean);
+        auto [at, added] = own_means_.emplace(service, mean);
         if (!added) at->second = (at->second + static_cast<double>(mean)) / 2;
       }
       continue;
     }
     base::Millis at = now - static_cast<base::Millis>(received.age_ms);
-    if (now - at > kForgetMs) continue;
-    auto known = others_.find(received.zone);
-    if (known == others_.end() && others_.size() >= kMostNames) continue;
-    Zone& zone = others_[received.zone];
-    if (known != others_.end() && at <= zone.at) continue;
-    zone.at = at;
+    if (now - at > kReportExpiryMs) continue;
+    auto known = other_zones_.find(received.zone);
+    if (known == other_zones_.end() && other_zones_.size() >= kMaxReportEntries) continue;
+    ZoneReport& zone = other_zones_[received.zone];
+    if (known != other_zones_.end() && at <= zone.measured_at) continue;
+    zone.measured_at = at;
     zone.proxies = received.proxies;
     zone.means.clear();
     for (const auto& [service, mean] : received.means) {
@@ -99,11 +105,11 @@
 double LoadTracker::Of(base::Millis now, uint32_t zone, uint32_t service,
                        size_t own_proxies) const {
   if (zone == zone_) {
-    auto at = own_.find(service);
-    return at == own_.end() ? 0 : at->second * static_cast<double>(own_proxies);
+    auto at = own_means_.find(service);
+    return at == own_means_.end() ? 0 : at->second * static_cast<double>(own_proxies);
   }
-  auto at = others_.find(zone);
-  if (at == others_.end() || now - at->second.at > kForgetMs) return -1;
+  auto at = other_zones_.find(zone);
+  if (at == other_zones_.end() || now - at->second.measured_at > kReportExpiryMs) return -1;
   auto mean = at->second.means.find(service);
   return mean == at->second.means.end() ? 0 : mean->second * at->second.proxies;
 }
@@ -118,22 +124,22 @@
     slots += zone.slots;
     load += zone.load;
   }
-  double wanted = zones[home].load;
-  if (slots <= 0 || wanted <= 0) return shares;
-  double level = std::max(home_share, load / slots);
-  double beyond = wanted - level * zones[home].slots;
-  if (beyond <= 0) return shares;
-  auto room = [&](size_t i) {
+  double home_load = zones[home].load;
+  if (slots <= 0 || home_load <= 0) return shares;
+  double threshold = std::max(home_share, load / slots);
+  double excess = home_load - threshold * zones[home].slots;
+  if (excess <= 0) return shares;
+  auto headroom = [&](size_t i) {
     if (i == home || zones[i].load < 0) return 0.0;
-    return std::max(0.0, level * zones[i].slots - zones[i].load);
+    return std::max(0.0, threshold * zones[i].slots - zones[i].load);
   };
-  double total_room = 0;
-  for (size_t i = 0; i < zones.size(); ++i) total_room += room(i);
-  if (total_room <= 0) return shares;
-  double diverted = std::min(1.0, std::min(beyond, total_room) / wanted);
+  double total_headroom = 0;
+  for (size_t i = 0; i < zones.size(); ++i) total_headroom += headroom(i);
+  if (total_headroom <= 0) return shares;
+  double diverted = std::min(1.0, std::min(excess, total_headroom) / home_load);
   shares[home] = 1 - diverted;
   for (size_t i = 0; i < zones.size(); ++i) {
-    if (i != home) shares[i] = diverted * room(i) / total_room;
+    if (i != home) shares[i] = diverted * headroom(i) / total_headroom;
   }
   return shares;
 }
--- a/tests/load/load_tracker_test.cc
+++ b/tests/load/load_tracker_test.cc
@@ -9,7 +9,7 @@
 namespace elderkeel::load {
 namespace {
 
-TEST(SplitByCapacity, FillsItsOwnZoneFirstThenWhereThereIsRoom) {
+TEST(SplitByCapacity, FillsTheHomeZoneFirstThenZonesWithHeadroom) {
   struct Case {
     const char* name;
     std::vector<ZoneCapacity> zones;  // home first
@@ -17,12 +17,14 @@
   } cases[] = {
       {"enough at home", {{10, 6}, {10, 1}}, {1, 0}},
       {"no demand", {{10, 0}, {10, 9}}, {1, 0}},
-      {"up to the mark, the rest where there is room",
+      {"home up to the threshold, the excess in proportion to headroom",
        {{10, 14}, {10, 2}, {20, 4}},
        {0.5, 0.5 * 5 / 15, 0.5 * 10 / 15}},
-      {"no room is seen where nothing is known", {{10, 14}, {10, -1}}, {1, 0}},
-      {"all are full: all are filled alike", {{10, 30}, {10, 10}}, {20.0 / 30, 10.0 / 30}},
-      {"others are fuller", {{10, 9}, {10, 20}}, {1, 0}},
+      {"a zone of unknown load gets no excess", {{10, 14}, {10, -1}}, {1, 0}},
+      {"all zones over the threshold are filled equally",
+       {{10, 30}, {10, 10}},
+       {20.0 / 30, 10.0 / 30}},
+      {"other zones have no headroom", {{10, 9}, {10, 20}}, {1, 0}},
       {"no slots at home", {{0, 4}, {10, 1}}, {0, 1}},
       {"no slots anywhere", {{0, 4}, {0, 1}}, {1, 0}},
   };
@@ -35,8 +37,9 @@
   }
 }
 
-// All that flows to a zone by everybody's shares stays at the common mark, wherever it comes from.
-TEST(SplitByCapacity, TheSumOverAllZonesStaysAtTheThreshold) {
+// Each zone splits its requests on its own. The sum of what all zones send to one zone must not
+// exceed the common threshold there.
+TEST(SplitByCapacity, TheLoadFromAllZonesDoesNotExceedTheThreshold) {
   base::Random random(3);
   for (int round = 0; round < 500; ++round) {
     std::vector<ZoneCapacity> zones(2 + random.Below(6));
@@ -62,9 +65,10 @@
   }
 }
 
-// Five zones of forty proxies with uneven loads, peers drawn by chance, some reports lost,
-// some proxies started anew: everybody comes to know every zone's demand, and its change.
-TEST(LoadTracker, AllComeToKnowWhatEachZoneAsksFor) {
+// Five zones of 40 proxies with uneven loads exchange reports with random peers; some reports are
+// lost, and some proxies restart. Every proxy must estimate every zone's load closely, also after
+// the load has changed.
+TEST(LoadTracker, EveryProxyEstimatesTheLoadOfEveryZone) {
   constexpr size_t kZones = 5, kProxies = 40;
   base::Random random(7);
   uint32_t service = Key("orders");
@@ -115,19 +119,19 @@
   run(8000);
   check("first");
   load(now, 3);
-  for (size_t i = 0; i < nodes.size(); i += 9) {  // lives anew, with what they had in flight gone
+  for (size_t i = 0; i < nodes.size(); i += 9) {  // restarts, and loses its attempts in flight
     start(i);
     truth[zone_of(i)] -= nodes[i].in_flight;
     nodes[i].in_flight = 0;
   }
   run(8000);
   check("after the change");
-  // Of a zone that nobody hears of any more nothing is claimed.
+  // The load of a zone without recent reports is unknown.
   EXPECT_LT(nodes[0].load->Of(now + 6000, Key(name(1)), service, kProxies), 0);
 }
 
-// What a proxy that died had told stays in the means of its peers; it must wear off.
-TEST(LoadTracker, ForgetsTheReportsOfADeadProxy) {
+// The load that a dead proxy reported remains in the estimates of its peers, and must decay.
+TEST(LoadTracker, TheLoadOfADeadProxyDecays) {
   LoadTracker busy("here"), idle("here");
   uint32_t service = Key("orders");
   base::Millis now = 1000;
@@ -144,7 +148,7 @@
   EXPECT_LT(idle.Of(now, Key("here"), service, 1), 0.1);
 }
 
-TEST(LoadTracker, TakesNothingAbsurdFromAPeer) {
+TEST(LoadTracker, IgnoresNegativeLoadsAndOversizedReports) {
   LoadTracker load("here");
   LoadReport report{{Key("there"), 0, 10, {{1, -5.0f}}}, {Key("here"), 0, 10, {{1, -5.0f}}}};
   load.MergeReport(1000, report);
