--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -8,9 +8,10 @@
 namespace elderkeel::directory {
 namespace {
 
-constexpr size_t kMaxValue = 256;
-// A place that has lost more than this part of its proxies is helped out by the next wider one.
-constexpr size_t kHelpNumerator = 2, kHelpDenominator = 3;
+constexpr size_t kMaxValueBytes = 256;
+// An area where fewer than this share of the known proxies are usable is supplemented with proxies
+// of the next wider area.
+constexpr size_t kMinUsableNumerator = 2, kMinUsableDenominator = 3;
 
 int HexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
@@ -19,7 +20,8 @@
   return -1;
 }
 
-// False for a malformed escape, or a value that can be no name.
+// Decodes %-escapes of a parameter's value. False if an escape is malformed, or if the value is not
+// a valid name: longer than kMaxValueBytes, or with a space or control character.
 bool Unescape(std::string_view text, std::string* out) {
   for (size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '%') {
@@ -32,9 +34,9 @@
       out->push_back(text[i]);
     }
   }
-  return out->size() <= kMaxValue && std::all_of(out->begin(), out->end(), [](unsigned char c) {
-           return c > 0x20 && c != 0x7f;
-         });
+  return out->size() <= kMaxValueBytes &&
+         std::all_of(out->begin(), out->end(),
+                     [](unsigned char c) { return c > 0x20 && c != 0x7f; });
 }
 
 }  // namespace
@@ -49,94 +51,102 @@
     std::string_view pair = query.substr(0, end);
     query = end == std::string_view::npos ? std::string_view() : query.substr(end + 1);
     size_t equals = pair.find('=');
-    if (equals == std::string_view::npos) return bad("malformed query");
+    if (equals == std::string_view::npos) return bad("query: parameter without '='");
     std::string_view key = pair.substr(0, equals);
     std::string* value = key == "label"    ? &resolution.label
                          : key == "region" ? &resolution.region
                          : key == "zone"   ? &resolution.zone
                                            : nullptr;
-    if (!value) continue;  // new fields may appear
-    if (!value->empty()) return bad(std::string(key) + ": stands twice");
-    if (!Unescape(pair.substr(equals + 1), value)) return bad(std::string(key) + ": is malformed");
+    if (!value) continue;  // newer clients may send parameters that this version doesn't know
+    if (!value->empty()) return bad(std::string(key) + ": is given twice");
+    if (!Unescape(pair.substr(equals + 1), value)) {
+      return bad(std::string(key) +
+                 ": malformed %-escape, space or control character, or more than 256 bytes");
+    }
   }
   if (resolution.label.empty()) return bad("label: is missing");
-  if (resolution.region.empty() && resolution.zone.empty()) return bad("region, zone: are missing");
+  if (resolution.region.empty() && resolution.zone.empty())
+    return bad("region, zone: one is required");
   return resolution;
 }
 
-// Most monitors of a region's nodes stand in the region; when it is lost as a whole, each of its
-// nodes is noticed by one far monitor alone, and late. Its controllers are noticed within a second
-// or so. If controllers are alive nowhere, that says nothing about any region.
-std::set<std::string> Directory::DarkRegions() const {
-  std::set<std::string> seen, unseen;
+// Most monitors of a region's nodes are in that region. When the whole region is lost, each of its
+// proxies has a single monitor left, in another region, which detects the failure late. The failure
+// of its controllers is detected within about a second, so the state of a region is derived from
+// them. A region without controllers is never in the result.
+std::set<std::string> Directory::UnreachableRegions() const {
+  std::set<std::string> alive, unreachable;
   for (const auto& [id, node] : members_->nodes()) {
     if (node.program != membership::Program::kController || node.state == membership::State::kLeft)
       continue;
     const std::string& region = members_->RegionOf(node.zone);
-    (node.state == membership::State::kAlive ? seen : unseen).insert(region);
+    (node.state == membership::State::kAlive ? alive : unreachable).insert(region);
   }
-  for (const std::string& region : seen) unseen.erase(region);
-  return unseen;
+  for (const std::string& region : alive) unreachable.erase(region);
+  return unreachable;
 }
 
 Directory::Choice Directory::Choose(base::Millis now, const Resolution& resolution) {
-  std::set<std::string> dark = DarkRegions();
-  // Rings of places, near ones first: the zone, its region, everywhere. A zone that is not known is
-  // judged by the region; with neither known, everywhere is as near.
+  std::set<std::string> unreachable_regions = UnreachableRegions();
+  // Areas around the client, nearest first: its zone, the rest of its region, all other regions.
+  // The region is that of the zone, or the one in the query if the zone is not known.
   std::string region = members_->RegionOf(resolution.zone);
   if (region.empty()) region = resolution.region;
-  struct Ring {
-    std::vector<const membership::Node*> good, doubtful, lost;
-    size_t known = 0;
-  } rings[3];
+  struct Area {
+    std::vector<const membership::Node*> usable;     // alive and ready, in a reachable region
+    std::vector<const membership::Node*> uncertain;  // alive or suspected, but not usable
+    std::vector<const membership::Node*> dead;
+    size_t known = 0;  // all of these
+  } areas[3];
   for (const auto& [id, node] : members_->nodes()) {
     if (node.program != membership::Program::kProxy || node.front == 0) continue;
     if (node.state == membership::State::kLeft) continue;
-    Ring& ring = rings[node.zone == resolution.zone              ? 0
+    Area& area = areas[node.zone == resolution.zone              ? 0
                        : members_->RegionOf(node.zone) == region ? 1
                                                                  : 2];
-    ++ring.known;
+    ++area.known;
     if (node.state == membership::State::kAlive && node.ready &&
-        !dark.count(members_->RegionOf(node.zone))) {
-      ring.good.push_back(&node);
+        !unreachable_regions.count(members_->RegionOf(node.zone))) {
+      area.usable.push_back(&node);
     } else if (node.reachable()) {
-      ring.doubtful.push_back(&node);
+      area.uncertain.push_back(&node);
     } else {
-      ring.lost.push_back(&node);
+      area.dead.push_back(&node);
     }
   }
   Choice choice;
   std::vector<const membership::Node*>& chosen = choice.nodes;
-  auto take = [&](std::vector<const membership::Node*>* from, size_t most) {
-    for (size_t i = 0; i < most && !from->empty() && chosen.size() < options_.most; ++i) {
+  auto take = [&](std::vector<const membership::Node*>* from, size_t limit) {
+    for (size_t i = 0; i < limit && !from->empty() && chosen.size() < options_.max_addresses; ++i) {
       size_t pick = random_.Below(from->size());
       chosen.push_back((*from)[pick]);
       (*from)[pick] = from->back();
       from->pop_back();
     }
   };
-  // What a crushed zone lacks is borrowed, as many as it has lost, from those next to it; so it
-  // gets its clients back one by one, as its proxies return.
-  size_t lacking = 0;
-  for (Ring& ring : rings) {
-    size_t have = ring.good.size();
+  // The nearest area with a usable proxy is the primary one. If it has too few, as many as it has
+  // lost are taken from the wider areas as well, so that clients return to it gradually, as its
+  // proxies do.
+  size_t missing = 0;
+  for (Area& area : areas) {
+    size_t have = area.usable.size();
     bool first = chosen.empty();
-    take(&ring.good, first ? options_.most : lacking);
+    take(&area.usable, first ? options_.max_addresses : missing);
     if (first && have > 0) {
-      bool crushed = have * kHelpDenominator < ring.known * kHelpNumerator;
-      lacking = crushed ? ring.known - have : 0;
+      bool degraded = have * kMinUsableDenominator < area.known * kMinUsableNumerator;
+      missing = degraded ? area.known - have : 0;
     } else {
-      lacking -= std::min(lacking, have);
+      missing -= std::min(missing, have);
     }
-    if (!chosen.empty() && lacking == 0) break;
+    if (!chosen.empty() && missing == 0) break;
   }
-  choice.elsewhere = !chosen.empty() && rings[0].known + rings[1].known > 0 &&
-                     members_->RegionOf(chosen.front()->zone) != region;
-  if (chosen.empty() && now - started_ < options_.patience) return choice;
-  // Doubtful knowledge: what was last known to serve is better than nothing.
-  for (auto kind : {&Ring::doubtful, &Ring::lost}) {
-    for (Ring& ring : rings) {
-      if (chosen.empty()) take(&(ring.*kind), options_.most);
+  choice.in_other_region = !chosen.empty() && areas[0].known + areas[1].known > 0 &&
+                           members_->RegionOf(chosen.front()->zone) != region;
+  if (chosen.empty() && now - started_ < options_.startup_wait) return choice;
+  // No proxy is known to be usable: the nearest ones that may still serve are named instead.
+  for (auto kind : {&Area::uncertain, &Area::dead}) {
+    for (Area& area : areas) {
+      if (chosen.empty()) take(&(area.*kind), options_.max_addresses);
     }
   }
   return choice;
@@ -155,7 +165,7 @@
   if (!resolution) return http::OwnAnswer(400, resolution.error().reason);
   Choice choice = Choose(now, *resolution);
   if (choice.nodes.empty()) {
-    http::Message answer = http::OwnAnswer(503, "no proxy is known yet");
+    http::Message answer = http::OwnAnswer(503, "no usable proxy is known yet");
     answer.headers.push_back({"Retry-After", "0.2"});
     return answer;
   }
@@ -169,9 +179,9 @@
   }
   w.EndArray();
   w.Key("ttl-s");
-  // A client whose region is lost has waited for that region's directories first; it should not
-  // have to do so again at every turn.
-  w.Int64(choice.elsewhere ? options_.ttl_most_s : options_.ttl_s);
+  // A client whose region is lost had to wait until the calls to that region's directories timed
+  // out. A longer time to live saves it from waiting again at each renewal.
+  w.Int64(choice.in_other_region ? options_.ttl_most_s : options_.ttl_s);
   w.EndObject();
   http::Message answer;
   answer.status = 200;
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -12,44 +12,53 @@
 
 namespace elderkeel::directory {
 
-constexpr int64_t kTtlS = 1;  // of an answer
+constexpr int64_t kTtlS = 1;  // default time to live of an answer
 
-// Where a client stands and which host it wants, from the query of its call.
+// The query of a client's call: the host that it wants to reach, and where the client is located.
 struct Resolution {
   std::string label;
   std::string region;
   std::string zone;
 
+  // Parses the part of the target behind the '?'. Unknown parameters are ignored. An error if a
+  // parameter is malformed or given twice, if there is no label, or neither region nor zone.
   static base::Result<Resolution> Parse(std::string_view query);
 };
 
-// Answers where clients may go: the addresses of proxies that can serve, near ones first. Derived
-// from the membership at each call; pure but for the order in which addresses are drawn.
+// Answers clients' calls with the addresses of proxies that can serve them, nearest first. A
+// controller's directory server calls it for each request. Its answers are computed from the
+// membership at each call, and its only own state is a random generator that picks the addresses.
 class Directory {
  public:
   struct Options {
-    size_t most = 64;  // addresses in an answer
+    size_t max_addresses = 64;  // in an answer
     int64_t ttl_s = kTtlS;
-    int64_t ttl_most_s = kTtlS;    // of an answer that sends a client to another region
-    base::Millis patience = 1000;  // a directory just started waits so long to hear of its zone
+    int64_t ttl_most_s = kTtlS;  // of an answer that sends a client to another region
+    // For so long after the start, requests get 503 rather than proxies that may not be able to
+    // serve: the membership may not include the usable ones yet.
+    base::Millis startup_wait = 1000;
   };
 
   Directory(Options options, const membership::Membership* members, uint64_t seed, base::Millis now)
       : options_(options), members_(members), random_(seed), started_(now) {}
 
   static constexpr std::string_view kPath = "/elderkeel/resolution";
+  // Returns the answer to a client's call: 200 with addresses and their time to live, 400 if the
+  // query is not valid, 404 or 405 for another path or method, 503 if there is no proxy to name.
   http::Message Answer(base::Millis now, const http::Message& request);
 
   struct Choice {
-    std::vector<const membership::Node*>
-        nodes;               // empty only if no proxy is known, or too little as yet
-    bool elsewhere = false;  // the client's region can't serve it
+    // Empty only if no proxy is known, or if none is usable and the directory has just started.
+    std::vector<const membership::Node*> nodes;
+    bool in_other_region = false;  // no proxy of the client's own region is usable
   };
+  // Chooses the proxies to name in an answer.
   Choice Choose(base::Millis now, const Resolution& resolution);
 
  private:
-  // Regions of whose controllers none is alive: of their proxies nothing is known for sure.
-  std::set<std::string> DarkRegions() const;
+  // Regions that have controllers but none that is alive. The states of their proxies can't be
+  // relied on.
+  std::set<std::string> UnreachableRegions() const;
 
   Options options_;
   const membership::Membership* members_;
--- a/tests/directory/directory_test.cc
+++ b/tests/directory/directory_test.cc
@@ -9,13 +9,14 @@
 
 class DirectoryTest : public ::testing::Test {
  protected:
-  DirectoryTest() : members_(Options(), {}, 0), directory_(Limits(), &members_, 1, 0) {}
-  static Directory::Options Limits() {
+  DirectoryTest()
+      : members_(MembershipOptions(), {}, 0), directory_(DirectoryOptions(), &members_, 1, 0) {}
+  static Directory::Options DirectoryOptions() {
     Directory::Options options;
     options.ttl_most_s = 5;
     return options;
   }
-  static membership::Membership::Options Options() {
+  static membership::Membership::Options MembershipOptions() {
     membership::Membership::Options options;
     options.self.id = 1;
     options.self.program = membership::Program::kController;
@@ -45,8 +46,8 @@
     request.target = target;
     return directory_.Answer(now, request);
   }
-  // The last parts of the addresses that it names.
-  std::set<std::string> Named(const std::string& zone, const std::string& region = "a") {
+  // The last parts of the addresses in the answer to a client of the zone.
+  std::set<std::string> NamedProxies(const std::string& zone, const std::string& region = "a") {
     http::Message answer =
         Call("/elderkeel/resolution?label=h.example&region=" + region + "&zone=" + zone);
     std::set<std::string> named;
@@ -61,7 +62,7 @@
   Directory directory_;
 };
 
-TEST_F(DirectoryTest, RefusesWhatItCannotRead) {
+TEST_F(DirectoryTest, RejectsMalformedQueriesOtherMethodsAndPaths) {
   Put(1, "a1");
   struct Case {
     const char* method;
@@ -85,59 +86,61 @@
     EXPECT_EQ(Call(c.target, 5000, c.method).status, c.status) << c.target;
 }
 
-TEST_F(DirectoryTest, NamesTheNearestThatCanServe) {
-  EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1").status, 503);  // nothing known
+// Clients must be sent to usable proxies as near as possible, to proxies in an uncertain state only
+// if there are no usable ones, and never to proxies that have left.
+TEST_F(DirectoryTest, NamesTheNearestUsableProxies) {
+  EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1").status, 503);  // no proxy known
   for (int n : {1, 2, 3}) Put(n, "a1");
   for (int n : {4, 5}) Put(n, "a2");
   for (int n : {6, 7}) Put(n, "b1");
   using Set = std::set<std::string>;
-  EXPECT_EQ(Named("a1"), (Set{"1", "2", "3"}));
-  EXPECT_EQ(Named("b1"), (Set{"6", "7"}));
-  EXPECT_EQ(Named("new", "a"), (Set{"1", "2", "3", "4", "5"}));  // its region, at least
-  EXPECT_EQ(Named("new", "mars").size(), 7u);
+  EXPECT_EQ(NamedProxies("a1"), (Set{"1", "2", "3"}));
+  EXPECT_EQ(NamedProxies("b1"), (Set{"6", "7"}));
+  EXPECT_EQ(NamedProxies("new", "a"), (Set{"1", "2", "3", "4", "5"}));  // unknown zone: its region
+  EXPECT_EQ(NamedProxies("new", "mars").size(), 7u);
   Put(3, "a1", membership::State::kAlive, false);  // not ready
-  EXPECT_EQ(Named("a1"), (Set{"1", "2"}));
+  EXPECT_EQ(NamedProxies("a1"), (Set{"1", "2"}));
   Put(2, "a1", membership::State::kDead);
-  // A zone that lost most of what it had is helped out by its region.
-  Set named = Named("a1");
+  // Two of the zone's three proxies are lost: two of its region's are added.
+  Set named = NamedProxies("a1");
   EXPECT_EQ(named.count("1"), 1u);
   EXPECT_EQ(named.size(), 3u);
   EXPECT_EQ(named.count("6") + named.count("7"), 0u);
   Put(1, "a1", membership::State::kLeft);
-  EXPECT_EQ(Named("a1"), (Set{"4", "5"}));
+  EXPECT_EQ(NamedProxies("a1"), (Set{"4", "5"}));
   for (int n : {4, 5}) Put(n, "a2", membership::State::kSuspect);
-  EXPECT_EQ(Named("a1"), (Set{"6", "7"}));
-  // With nobody surely well, what may be is named; never nothing, and never who left.
+  EXPECT_EQ(NamedProxies("a1"), (Set{"6", "7"}));
+  // No proxy is known to be usable: those that may still serve are named, but none that has left.
   for (int n : {6, 7}) Put(n, "b1", membership::State::kDead);
-  EXPECT_EQ(Named("a1"), (Set{"3"}));
+  EXPECT_EQ(NamedProxies("a1"), (Set{"3"}));
   for (int n : {3, 4, 5}) Put(n, n == 3 ? "a1" : "a2", membership::State::kDead);
-  EXPECT_EQ(Named("a1"), (Set{"2", "3"}));
+  EXPECT_EQ(NamedProxies("a1"), (Set{"2", "3"}));
 }
 
-// Found in an incident: a region was lost, and for the six seconds that it was away the directories
-// elsewhere named its proxies.
-TEST_F(DirectoryTest, ARegionWithoutAReachableControllerIsDoubtful) {
+// In an incident a region was lost, and for the six seconds that it was unreachable the directories
+// of other regions went on naming its proxies, whose failure was detected late.
+TEST_F(DirectoryTest, NamesProxiesOfARegionWithoutALiveControllerLast) {
   for (int n : {1, 2}) Put(n, "a1");
   for (int n : {6, 7}) Put(n, "b1");
-  auto core = [&](int n, const char* zone, membership::State state) {
+  auto put_controller = [&](int n, const char* zone, membership::State state) {
     Put(n, zone, state, false, membership::Program::kController);
   };
   using Set = std::set<std::string>;
-  core(20, "b1", membership::State::kAlive);
-  core(21, "b2", membership::State::kSuspect);
-  EXPECT_EQ(Named("b1", "b"), (Set{"6", "7"}));
-  core(20, "b1", membership::State::kSuspect);
-  core(21, "b1", membership::State::kDead);
-  EXPECT_EQ(Named("b1", "b"), (Set{"1", "2"}));
+  put_controller(20, "b1", membership::State::kAlive);
+  put_controller(21, "b2", membership::State::kSuspect);
+  EXPECT_EQ(NamedProxies("b1", "b"), (Set{"6", "7"}));
+  put_controller(20, "b1", membership::State::kSuspect);
+  put_controller(21, "b1", membership::State::kDead);
+  EXPECT_EQ(NamedProxies("b1", "b"), (Set{"1", "2"}));
   std::string target = "/elderkeel/resolution?label=h&zone=";
   EXPECT_NE(Call(target + "b1").body.find("\"ttl-s\":5"), std::string::npos);
   EXPECT_NE(Call(target + "a1").body.find("\"ttl-s\":1"), std::string::npos);
-  // Nobody is well anywhere: the nearest again.
+  // No proxy is usable in any region: the nearest ones are named again.
   for (int n : {1, 2}) Put(n, "a1", membership::State::kSuspect);
-  EXPECT_EQ(Named("b1", "b"), (Set{"6", "7"}));
+  EXPECT_EQ(NamedProxies("b1", "b"), (Set{"6", "7"}));
 }
 
-TEST_F(DirectoryTest, WaitsBrieflyForDoubtfulKnowledgeOnly) {
+TEST_F(DirectoryTest, NamesUncertainProxiesOnlyAfterTheStartupWait) {
   Put(1, "a1", membership::State::kAlive, false);
   EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1", 100).status, 503);
   EXPECT_EQ(Call("/elderkeel/resolution?label=h&zone=a1", 2000).status, 200);
