--- a/src/lifecycle/settings_watcher.cc
+++ b/src/lifecycle/settings_watcher.cc
@@ -7,20 +7,20 @@
 
 namespace elderkeel::lifecycle {
 namespace {
-constexpr base::Millis kCheckEveryMs = 2000;
+constexpr base::Millis kCheckIntervalMs = 2000;
 }  // namespace
 
 SettingsWatcher::SettingsWatcher(base::Loop* loop, std::string path, Changed changed)
     : path_(std::move(path)), changed_(std::move(changed)) {
   if (auto text = base::ReadFile(path_)) text_ = *text;
   loop->OnSignal(SIGHUP, [this] { Check(Cause::kSignal); });
-  timer_.Repeat(loop, kCheckEveryMs, [this] { Check(Cause::kTimer); });
+  timer_.Repeat(loop, kCheckIntervalMs, [this] { Check(Cause::kTimer); });
 }
 
 void SettingsWatcher::Check(Cause cause) {
   auto text = base::ReadFile(path_);
   if (!text) {
-    // Without a signal the file may just be written anew.
+    // At the timer, the file may be unreadable only because it is being replaced: not logged.
     if (cause == Cause::kSignal) base::Warn("settings.rejected", text.error());
     return;
   }
--- a/src/lifecycle/settings_watcher.h
+++ b/src/lifecycle/settings_watcher.h
@@ -8,10 +8,12 @@
 
 namespace elderkeel::lifecycle {
 
-// Reads the settings file again on SIGHUP, and when it has changed by itself. A file that can't be
-// read or is not valid is logged, and the settings in force stay. On the event loop's thread.
+// Reloads the settings file on SIGHUP, and when a regular check finds that it has changed. If the
+// file can't be read on SIGHUP or is not valid, an error is logged and the settings in force stay.
+// Runs on the event loop's thread.
 class SettingsWatcher {
  public:
+  // Called with the new settings after each valid change of the file.
   using Changed = std::function<void(const base::Settings&)>;
 
   SettingsWatcher(base::Loop* loop, std::string path, Changed changed);
@@ -22,7 +24,7 @@
 
   std::string path_;
   Changed changed_;
-  std::string text_;  // of the file, as last read
+  std::string text_;  // contents of the file when it was last read
   base::Timer timer_;
 };
 
--- a/src/lifecycle/shutdown_schedule.h
+++ b/src/lifecycle/shutdown_schedule.h
@@ -6,31 +6,33 @@
 
 namespace elderkeel::lifecycle {
 
-// When what happens in a graceful shutdown, in milliseconds since SIGTERM. Pure.
+// The times at which the phases of a graceful shutdown begin, in milliseconds since SIGTERM.
 //
-// A request may be cut only if it was sent soon after the signal and its server is still at work on
-// it in the last sixth of the grace time. So requests are accepted only while they may still be
-// cut, and nothing is cut before the last sixth.
+// A request may be failed without a server's answer only if it was sent soon after SIGTERM and its
+// server is still processing it in the last sixth of the grace time. So requests are accepted only
+// while they may still be failed, and none is failed before the last sixth.
 //
 // Invariant, for any grace time: accept_until < last_sixth < give_up_at < exit_at < grace.
 struct ShutdownSchedule {
-  // Of a request that may still be cut: how long after SIGTERM it was sent at the latest.
+  // How long after SIGTERM a request may be sent and still be failed by the shutdown.
   static constexpr base::Millis kLastCuttableRequestMs = 3000;
 
-  ShutdownSchedule(base::Millis grace, base::Millis longest_notice)
-      : notice_until(std::min(longest_notice, grace / 2)),
-        // A little earlier than allowed, since the signal is noticed a little late.
+  // `grace`: from SIGTERM until the platform kills the process. `max_notice`: how long the platform
+  // may send clients after the process has reported that it is not ready.
+  ShutdownSchedule(base::Millis grace, base::Millis max_notice)
+      : notice_until(std::min(max_notice, grace / 2)),
+        // A little earlier than allowed, since the process handles the signal with a delay.
         accept_until(std::min(kLastCuttableRequestMs, grace / 2) * 11 / 12),
         last_sixth(grace - grace / 6),
-        // Half of the last sixth for answers that are on their way, half for the proxy's own.
+        // Half of the last sixth is for answers from servers, half for the process's own.
         give_up_at(grace - grace / 12),
         exit_at(grace - grace / 60) {}
 
-  base::Millis notice_until;  // the platform may not have noticed yet: the process stays
-  base::Millis accept_until;  // what comes later is rejected
-  base::Millis last_sixth;    // begins
-  base::Millis give_up_at;    // what is still in flight gets its final answer
-  base::Millis exit_at;       // the process ends, whatever is left
+  base::Millis notice_until;  // until then the process stays even if idle: clients may still come
+  base::Millis accept_until;  // later requests are rejected
+  base::Millis last_sixth;    // start of the last sixth of the grace time
+  base::Millis give_up_at;    // requests that are still in flight are failed
+  base::Millis exit_at;       // the process ends, even with requests in flight
 };
 
 }  // namespace elderkeel::lifecycle
--- a/tests/lifecycle/lifecycle_test.cc
+++ b/tests/lifecycle/lifecycle_test.cc
@@ -9,7 +9,7 @@
 
 using Phase = Lifecycle::Phase;
 
-// From the least that a settings file may hold to the most.
+// From the shortest grace time that a settings file may hold to the longest.
 constexpr base::Millis kGraceTimes[] = {100, 500, 1000, 2500, 6000, 8000, 30000, 600000};
 
 Lifecycle Leaving(base::Millis grace) {
@@ -22,13 +22,13 @@
   return lifecycle;
 }
 
-TEST(Lifecycle, IsReadyOnceItsStateIsConfirmedOrNobodyCanConfirmIt) {
+TEST(Lifecycle, IsReadyOnceConfirmedOrAfterTheConfirmTimeout) {
   Lifecycle unconfirmed;
   EXPECT_FALSE(unconfirmed.IsReady(0));
   unconfirmed.SetServable(100);
   EXPECT_FALSE(unconfirmed.IsReady(1000));
-  // Through a cut of twenty seconds nothing unconfirmed is served; for good, what others serve by
-  // must do.
+  // Serves nothing unconfirmed during a network partition of 20 s. After the timeout it serves with
+  // the state that other nodes have.
   EXPECT_FALSE(unconfirmed.IsReady(1600));
   EXPECT_FALSE(unconfirmed.IsServing(25000));
   EXPECT_TRUE(unconfirmed.IsServing(30100));
@@ -39,21 +39,21 @@
   EXPECT_TRUE(confirmed.IsReady(101));
 }
 
-TEST(Lifecycle, PhasesOfAShutdown) {
+TEST(Lifecycle, EachShutdownPhaseBeginsOnTimeAndEndsEarlyWhenIdle) {
   Lifecycle lifecycle;
   lifecycle.SetServable(100);
   lifecycle.SetConfirmed();
   EXPECT_EQ(lifecycle.accept_until(), -1);
   lifecycle.Leave(10000);
   EXPECT_FALSE(lifecycle.IsReady(10000));
-  EXPECT_TRUE(lifecycle.IsServing(10000));  // what is here is finished
+  EXPECT_TRUE(lifecycle.IsServing(10000));  // requests in flight are finished
   EXPECT_EQ(lifecycle.accept_until(), 12750);
   struct Case {
     base::Millis at;
     size_t busy;
     Phase phase;
   } cases[] = {
-      {10100, 0, Phase::kNotReady},  // the platform may still send, idle or not
+      {10100, 0, Phase::kNotReady},  // clients may still come, also if idle
       {12499, 0, Phase::kNotReady},  {12500, 3, Phase::kDraining},  {12500, 0, Phase::kStopped},
       {12749, 1, Phase::kDraining},  {12750, 1, Phase::kRejecting}, {12750, 0, Phase::kStopped},
       {15499, 2, Phase::kRejecting}, {15500, 2, Phase::kAnswering}, {15500, 0, Phase::kStopped},
@@ -62,16 +62,17 @@
   for (const Case& k : cases) EXPECT_EQ(lifecycle.PhaseAt(k.at, k.busy), k.phase) << k.at;
 }
 
-// A request in flight was cut at four fifths of the grace time, and one that came between three
-// seconds and five eighths of it was accepted though nothing excused its loss.
-TEST(Lifecycle, CutsOnlyInTheLastSixthAndOnlyWhatCameSoonAfterTheSignal) {
+// Requests in flight were failed at four fifths of the grace time, and requests that came between
+// three seconds and five eighths of the grace time were accepted. The shutdown may fail a request
+// only in the last sixth, and only if the request was sent at most three seconds after SIGTERM.
+TEST(Lifecycle, FailsRequestsOnlyInTheLastSixthAndAcceptsNoneAfterThreeSeconds) {
   for (base::Millis grace : kGraceTimes) {
     Lifecycle lifecycle = Leaving(grace);
     for (base::Millis at = 0; at <= grace; at += std::max<base::Millis>(1, grace / 6000)) {
       Phase phase = lifecycle.PhaseAt(at, 1);
-      bool cuts = phase == Phase::kAnswering || phase == Phase::kStopped;
-      // 6 x at > 5 x grace: in the last sixth.
-      EXPECT_TRUE(!cuts || 6 * at > 5 * grace) << grace << ": cut at " << at;
+      bool fails_requests = phase == Phase::kAnswering || phase == Phase::kStopped;
+      // The last sixth: 6 x at > 5 x grace.
+      EXPECT_TRUE(!fails_requests || 6 * at > 5 * grace) << grace << ": failed at " << at;
       bool accepts = at < lifecycle.accept_until();
       EXPECT_TRUE(!accepts || at <= 3000) << grace << ": accepted at " << at;
       EXPECT_EQ(accepts, phase == Phase::kNotReady || phase == Phase::kDraining)
@@ -80,14 +81,14 @@
   }
 }
 
-TEST(Lifecycle, LeavesTimeBetweenThePhasesOfAnyGraceTime) {
+TEST(Lifecycle, PhasesAreInOrderAndFarEnoughApartForAnyGraceTime) {
   for (base::Millis grace : kGraceTimes) {
     for (base::Millis notice : {base::Millis{0}, base::Millis{2500}, base::Millis{90000}}) {
       ShutdownSchedule schedule(grace, notice);
       EXPECT_LE(schedule.notice_until, notice) << grace;
       EXPECT_LT(0, schedule.accept_until) << grace;
       EXPECT_LT(schedule.accept_until, schedule.last_sixth) << grace;
-      // For answers that servers gave before the last sixth, and for the last answers to go out.
+      // Time for answers that servers sent before the last sixth, and for writing the last answers.
       EXPECT_GE(schedule.give_up_at - schedule.last_sixth, grace / 13) << grace;
       EXPECT_GE(grace - schedule.give_up_at, grace / 13) << grace;
       EXPECT_LT(schedule.give_up_at, schedule.exit_at) << grace;
@@ -96,8 +97,9 @@
   }
 }
 
-// Phases of some ten milliseconds would be missed by a timer that fires each tenth of a second.
-TEST(Lifecycle, NamesTheMomentAtWhichTheNextPhaseBegins) {
+// With a short grace time a phase lasts some 10 ms, which a timer that fires every 100 ms would
+// miss.
+TEST(Lifecycle, UntilNextPhaseEndsExactlyWhenTheNextPhaseBegins) {
   for (base::Millis grace : kGraceTimes) {
     Lifecycle lifecycle = Leaving(grace);
     base::Millis now = 0;
