--- a/src/proxy/fallback_reader.h
+++ b/src/proxy/fallback_reader.h
@@ -7,24 +7,25 @@
 
 namespace elderkeel::proxy {
 
-// Reads the platform's list for this proxy alone, when no update of it comes any more: an old list
-// is worse than a few calls. So seldom, and staggered, that all nodes together stay below the
-// platform's rate.
+// Reads the platform's list of servers directly when no update of it has reached this proxy for too
+// long: an outdated list is worse than a few more calls to the platform. Reads are staggered, and
+// spaced by the number of nodes so that all nodes together stay below the platform's rate limit.
 class FallbackReader {
  public:
   // All pointers outlive this object.
   FallbackReader(base::Loop* loop, const base::Settings* settings, cluster::ClusterNode* node);
 
-  // Reads the list if that is due.
+  // Starts a read if one is due. Called regularly by the proxy.
   void Tick(base::Millis now);
 
  private:
-  base::Millis ReadEvery() const;
+  // The minimum time between two reads of this proxy.
+  base::Millis ReadInterval() const;
 
   const base::Settings* settings_;
   cluster::ClusterNode* node_;
   discovery::PlatformClient platform_;
-  base::Millis next_read_at_ = 0;  // 0 for not chosen yet
+  base::Millis next_read_at_ = 0;  // 0 before the first Tick()
 };
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -14,7 +14,8 @@
 constexpr base::Millis kTickMs = 100;
 constexpr size_t kMaxReadinessConnections = 64;
 constexpr size_t kTelemetryFileBytes = 4u << 20;
-constexpr int64_t kDirectoryCacheFactor = 3;  // clients keep an answer so many times its TTL
+// Clients may use a directory's answer for up to this many times its time to live.
+constexpr int64_t kDirectoryCacheFactor = 3;
 
 lifecycle::Lifecycle::Options LifecycleOptions(const base::Settings& settings) {
   lifecycle::Lifecycle::Options options;
@@ -71,6 +72,7 @@
   options.flush_ms = settings_.telemetry_flush_ms;
   recorder_ = std::make_unique<telemetry::Recorder>(options, MakeSink());
   router_ = std::make_unique<forwarding::RequestRouter>(loop_, settings_, recorder_.get());
+  // The router may deny that a route exists only while the configuration log is known to be recent.
   router_->SetDenialGuard([this] {
     base::Millis age = node_->disseminator().log_age(base::SteadyMillis());
     return age >= 0 && age <= settings_.PropagationMs();
@@ -120,13 +122,14 @@
 
 http::Message Proxy::AnswerReadiness(const http::Message& request) const {
   if (request.Path() != "/elderkeel/ready") return http::OwnAnswer(404, "no such path");
-  if (!lifecycle_.IsReady(base::SteadyMillis())) return http::OwnAnswer(503, "not ready");
+  if (!lifecycle_.IsReady(base::SteadyMillis())) return http::OwnAnswer(503, "proxy is not ready");
   http::Message answer = http::OwnAnswer(200, "");
   answer.body = "{}";
   return answer;
 }
 
-// By the patch that led to it, where the table in force is of the patch's base.
+// Applies the disseminator's configuration to the router: as a patch if the routing table in force
+// has the patch's base revision, otherwise by building a table from the whole text.
 void Proxy::ApplyConfiguration() {
   using configuration::RoutingTable;
   const dissemination::Disseminator& disseminator = node_->disseminator();
@@ -151,7 +154,8 @@
   base::Info("configuration.adopted", {{"revision", disseminator.revision()}});
 }
 
-// How many proxies share the servers, and which of its zone's proxies this one is.
+// Updates the router with the number of proxies that share the servers, and with this proxy's rank
+// among the proxies of its zone.
 void Proxy::OnNodesChanged() {
   const membership::Membership& membership = node_->membership();
   router_->SetProxies(membership.CountAlive(membership::Program::kProxy),
@@ -161,8 +165,9 @@
   zone_proxies.self = membership.self().id;
   for (const auto& [id, node] : membership.nodes()) {
     if (node.program != membership::Program::kProxy || node.zone != settings_.zone) continue;
-    // A proxy held for dead keeps its part of the servers in slow start: it may be the one that
-    // sees others as dead, and what both would send adds up.
+    // A proxy that is recorded as dead keeps its share of the servers in slow start. It may be on
+    // the other side of a partition and record this proxy as dead: if each took over the other's
+    // share, both would send, and together exceed the servers' limit.
     bool left = node.state == membership::State::kLeft;
     (left ? zone_proxies.left : zone_proxies.present).push_back(id);
     if (!node.reachable()) continue;
@@ -216,7 +221,8 @@
     node_->mesh().Send(from, transport::Kind::kQueryReply, DescribeState(query.nonce));
     return;
   }
-  // Taken and searched on the exporter's thread; only the reply comes back to this one.
+  // The records are taken and searched on the exporter's thread. The reply is posted to the event
+  // loop's thread, which sends it.
   recorder_->TakeRecords([this, from, query](const telemetry::Recorder::Kept& kept) {
     diagnosis::Question question;
     question.about = query.about;
@@ -246,7 +252,7 @@
   }
   rollout_reporter_->Tick(now);
   if (lifecycle_.leaving()) {
-    confirmation_->Review(now);
+    confirmation_->UpdateServing(now);
   } else {
     confirmation_->Tick(now);
     fallback_reader_->Tick(now);
@@ -260,20 +266,21 @@
   lifecycle_.Leave(base::SteadyMillis());
   router_->SetLeaving(lifecycle_.accept_until());
   node_->Leave();
-  ShutDown();
+  RunShutdownPhase();
 }
 
-// By a timer of its own, since phases begin between ticks.
-void Proxy::ShutDown() {
+// Runs on a timer of its own, since phases also begin between ticks.
+void Proxy::RunShutdownPhase() {
   base::Millis now = base::SteadyMillis();
   lifecycle::Lifecycle::Phase phase = lifecycle_.PhaseAt(now, router_->busy());
-  shutdown_log_.Note(now, lifecycle_.LeavingFor(now), phase, *router_);
+  shutdown_log_.Log(now, lifecycle_.LeavingFor(now), phase, *router_);
   if (AdvanceShutdown(phase, router_.get())) {
     base::Info("proxy.stopped", {{"busy", router_->busy()}});
     loop_->Stop();
     return;
   }
-  shutdown_timer_.Start(loop_, lifecycle_.UntilNextPhase(now, kTickMs), [this] { ShutDown(); });
+  shutdown_timer_.Start(loop_, lifecycle_.UntilNextPhase(now, kTickMs),
+                        [this] { RunShutdownPhase(); });
 }
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -19,19 +19,22 @@
 
 namespace elderkeel::proxy {
 
-// The data plane's process: takes updates, forwards requests, and says when it is ready. It builds
-// the parts, hands them messages and time, and ends in order.
+// The process of the data plane. It creates the router, the cluster node and their helpers,
+// connects them, passes messages and ticks to them, answers readiness checks, and carries out the
+// graceful shutdown. Runs on the event loop's thread.
 class Proxy {
  public:
   Proxy(base::Loop* loop, base::Settings settings, std::string settings_path);
   ~Proxy();
 
+  // Opens the listeners and starts all parts. Fails if an address can't be listened on.
   base::Status Start();
-  // Begins an orderly end, as on SIGTERM; the event loop stops when it is done.
+  // Begins a graceful shutdown, as on SIGTERM. The event loop stops when it is complete. Further
+  // calls have no effect.
   void Terminate();
 
  private:
-  // Of Start().
+  // Parts of Start().
   void MakeRouter();
   void MakeNode();
   base::Status StartReadinessServer();
@@ -44,8 +47,8 @@
   diagnosis::Reply DescribeState(uint64_t nonce) const;
   http::Message AnswerReadiness(const http::Message& request) const;
   void Tick();
-  // Carries out the phase of the shutdown that is due, and waits for the next.
-  void ShutDown();
+  // Carries out the current phase of the shutdown, and schedules itself for the next one.
+  void RunShutdownPhase();
 
   base::Loop* loop_;
   base::Settings settings_;
@@ -58,7 +61,7 @@
   std::unique_ptr<FallbackReader> fallback_reader_;
   std::unique_ptr<RolloutReporter> rollout_reporter_;
   std::unique_ptr<http::HttpServer> readiness_server_;
-  bool nodes_changed_ = true;  // since the router was updated
+  bool nodes_changed_ = true;  // since the router's view of the nodes was updated
   base::Timer tick_timer_;
   ShutdownLog shutdown_log_;
   base::Timer shutdown_timer_;
--- a/src/proxy/rollout_reporter.cc
+++ b/src/proxy/rollout_reporter.cc
@@ -5,20 +5,21 @@
 
 namespace elderkeel::proxy {
 namespace {
-constexpr base::Millis kReportEveryMs = 250;
-constexpr base::Millis kShiftingReportEveryMs = 100;  // while traffic moves to a new version
-constexpr base::Millis kRenewLeaseEveryMs = 600;
+constexpr base::Millis kReportIntervalMs = 250;
+constexpr base::Millis kShiftingReportIntervalMs = 100;  // while traffic shifts to a new version
+constexpr base::Millis kLeaseRenewalIntervalMs = 600;
 }  // namespace
 
 void RolloutReporter::Tick(base::Millis now) {
   if (!router_->rolling_out() || now < next_report_at_) return;
   const membership::Membership& membership = node_->membership();
-  // The observers receive from all proxies; with many, each reports more seldom.
+  // Each observer receives the reports of all proxies. The interval is at least 1 ms per proxy,
+  // which limits an observer to about one report per millisecond for each roll-out.
   size_t proxies = membership.CountNotLeft(membership::Program::kProxy);
-  base::Millis every = router_->IsShifting() ? kShiftingReportEveryMs : kReportEveryMs;
-  next_report_at_ = now + std::max(every, static_cast<base::Millis>(proxies));
-  bool wants_renewal = now >= renew_lease_at_;
-  if (wants_renewal) renew_lease_at_ = now + kRenewLeaseEveryMs;
+  base::Millis interval = router_->IsShifting() ? kShiftingReportIntervalMs : kReportIntervalMs;
+  next_report_at_ = now + std::max(interval, static_cast<base::Millis>(proxies));
+  bool wants_renewal = now >= next_renewal_at_;
+  if (wants_renewal) next_renewal_at_ = now + kLeaseRenewalIntervalMs;
   for (auto& [report, observers] : router_->MakeProxyReports()) {
     report.node = membership.self().id;
     report.boot_id = membership.self().boot_id;
--- a/src/proxy/rollout_reporter.h
+++ b/src/proxy/rollout_reporter.h
@@ -5,24 +5,24 @@
 
 namespace elderkeel::proxy {
 
-// Reports to the observers of roll-outs under way what this proxy counts, and asks them to renew
-// its lease on versions that are not proven.
+// Sends this proxy's request counts to the observers of the roll-outs in progress, and asks them to
+// renew its leases on versions that are not proven yet. Owned and ticked by the proxy.
 class RolloutReporter {
  public:
   // Both outlive this object.
   RolloutReporter(cluster::ClusterNode* node, forwarding::RequestRouter* router)
       : node_(node), router_(router) {}
 
-  // Reports if that is due.
+  // Sends the reports if they are due.
   void Tick(base::Millis now);
-  // The state of the roll-outs changed: the next tick reports.
+  // Makes the next tick send reports. Called when the state of the roll-outs has changed.
   void ReportSoon() { next_report_at_ = 0; }
 
  private:
   cluster::ClusterNode* node_;
   forwarding::RequestRouter* router_;
   base::Millis next_report_at_ = 0;
-  base::Millis renew_lease_at_ = 0;
+  base::Millis next_renewal_at_ = 0;  // when to ask for the next lease renewal
 };
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/shutdown.cc
+++ b/src/proxy/shutdown.cc
@@ -4,7 +4,7 @@
 
 namespace elderkeel::proxy {
 namespace {
-constexpr base::Millis kLogEveryMs = 1000;
+constexpr base::Millis kLogIntervalMs = 1000;
 }  // namespace
 
 bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::RequestRouter* router) {
@@ -24,17 +24,18 @@
       return false;
     case Phase::kStopped:
       router->StopListening();
-      // What gets its answer only now, since the process was suspended, has yet to be written.
+      // If the process was suspended through kAnswering, requests get their answers only here. The
+      // process must not end before these are written.
       return !router->FailAll();
   }
   return true;
 }
 
-void ShutdownLog::Note(base::Millis now, base::Millis elapsed, lifecycle::Lifecycle::Phase phase,
-                       const forwarding::RequestRouter& router) {
-  if (phase == phase_ && now < next_at_) return;
+void ShutdownLog::Log(base::Millis now, base::Millis elapsed, lifecycle::Lifecycle::Phase phase,
+                      const forwarding::RequestRouter& router) {
+  if (phase == phase_ && now < next_log_at_) return;
   phase_ = phase;
-  next_at_ = now + kLogEveryMs;
+  next_log_at_ = now + kLogIntervalMs;
   http::HttpServer::Occupancy occupancy = router.GetOccupancy();
   forwarding::RequestRouter::InFlight in_flight = router.GetInFlight();
   base::Info("shutdown.phase", {{"phase", lifecycle::PhaseName(phase)},
--- a/src/proxy/shutdown.h
+++ b/src/proxy/shutdown.h
@@ -5,19 +5,22 @@
 
 namespace elderkeel::proxy {
 
-// Does what a phase of a graceful shutdown asks of the router. Called again and again; true when
-// the process may end: nothing is here any more, or there is no time left.
+// Carries out the actions that a phase of the graceful shutdown requires of the router. Called
+// repeatedly during the shutdown. Returns true when the process may end: the phase is kStopped and
+// no request is in flight.
 bool AdvanceShutdown(lifecycle::Lifecycle::Phase phase, forwarding::RequestRouter* router);
 
-// Logs each phase as it begins, and what the process still waits for in it, once a second.
+// Logs the beginning of each phase of a shutdown and, once a second, the connections and requests
+// for which the process still waits.
 class ShutdownLog {
  public:
-  void Note(base::Millis now, base::Millis elapsed, lifecycle::Lifecycle::Phase phase,
-            const forwarding::RequestRouter& router);
+  // Logs if that is due. `elapsed`: since SIGTERM.
+  void Log(base::Millis now, base::Millis elapsed, lifecycle::Lifecycle::Phase phase,
+           const forwarding::RequestRouter& router);
 
  private:
   lifecycle::Lifecycle::Phase phase_ = lifecycle::Lifecycle::Phase::kServing;
-  base::Millis next_at_ = 0;
+  base::Millis next_log_at_ = 0;
 };
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -8,10 +8,11 @@
 
 namespace elderkeel::proxy {
 namespace {
-constexpr base::Millis kAskEveryMs = 250;
-constexpr base::Millis kConfirmEveryMs = 100;  // the leader answers all proxies that just started
-constexpr base::Millis kProbeEveryMs = 25;
-constexpr base::Millis kProbeForMs = 3000;  // by then controllers with a leader have confirmed
+constexpr base::Millis kRequestIntervalMs = 250;
+constexpr base::Millis kConfirmIntervalMs =
+    100;  // limits the load on the leader, which answers all
+constexpr base::Millis kProbeIntervalMs = 25;
+constexpr base::Millis kProbePeriodMs = 3000;  // controllers that have a leader confirm within it
 }  // namespace
 
 StartupConfirmation::StartupConfirmation(base::Loop* loop, const base::Settings* settings,
@@ -32,12 +33,12 @@
 
 void StartupConfirmation::Probe() {
   base::Millis now = base::SteadyMillis();
-  bool waited_enough = now - started_at_ > kProbeForMs;
-  bool done = router_->able() && (lifecycle_->confirmed() || waited_enough);
+  bool timed_out = now - started_at_ > kProbePeriodMs;
+  bool done = router_->able() && (lifecycle_->confirmed() || timed_out);
   if (done || lifecycle_->leaving()) return;
-  ask_at_ = std::min(ask_at_, now + kProbeEveryMs);
+  next_request_at_ = std::min(next_request_at_, now + kProbeIntervalMs);
   Tick(now);
-  probe_timer_.Start(loop_, kProbeEveryMs, [this] { Probe(); });
+  probe_timer_.Start(loop_, kProbeIntervalMs, [this] { Probe(); });
 }
 
 dissemination::Versions StartupConfirmation::OwnVersions() const {
@@ -46,7 +47,7 @@
           disseminator.rollouts().version()};
 }
 
-void StartupConfirmation::Review(base::Millis now) {
+void StartupConfirmation::UpdateServing(base::Millis now) {
   if (!lifecycle_->confirmed() && confirmation_.Holds(now, OwnVersions())) {
     lifecycle_->SetConfirmed();
     node_->VouchForLog(confirmation_.known_at());
@@ -57,26 +58,26 @@
 }
 
 void StartupConfirmation::Tick(base::Millis now) {
-  Review(now);
-  if (lifecycle_->confirmed() || now < ask_at_) return;
-  ask_at_ = now + kAskEveryMs;
+  UpdateServing(now);
+  if (lifecycle_->confirmed() || now < next_request_at_) return;
+  next_request_at_ = now + kRequestIntervalMs;
   std::vector<base::Address> controllers = node_->Controllers();
   if (controllers.empty()) return;
   const base::Address& to = controllers[next_controller_++ % controllers.size()];
-  if (now >= confirm_at_) {
-    confirm_at_ = now + kConfirmEveryMs;
+  if (now >= next_confirm_at_) {
+    next_confirm_at_ = now + kConfirmIntervalMs;
     node_->mesh().Send(to, transport::Kind::kConfirm, confirmation_.Ask(now));
   }
-  // What it lacks it asks of the first that says to have it: the whole of it is large, and must not
-  // come from several at once.
+  // Missing state is requested by digest: the node asks only the first peer that reports to have it
+  // for the state itself, which is large and must not be sent by several peers at once.
   if (LacksState()) node_->RequestDigest(to);
 }
 
 bool StartupConfirmation::LacksState() const {
-  dissemination::Versions held = OwnVersions();
+  dissemination::Versions own = OwnVersions();
   const dissemination::Versions& wanted = confirmation_.wanted();
-  return held.revision < std::max<int64_t>(1, wanted.revision) ||
-         held.zone_drains < wanted.zone_drains || held.rollouts < wanted.rollouts ||
+  return own.revision < std::max<int64_t>(1, wanted.revision) ||
+         own.zone_drains < wanted.zone_drains || own.rollouts < wanted.rollouts ||
          !node_->disseminator().has_endpoints() ||
          (settings_->VersionsByOrder() && !router_->versions_known());
 }
@@ -85,7 +86,7 @@
   if (auto leader = confirmation_.OnReply(now, reply)) {
     node_->mesh().Send(*leader, transport::Kind::kConfirm, dissemination::Confirm{reply.nonce});
   }
-  Review(now);
+  UpdateServing(now);
 }
 
 }  // namespace elderkeel::proxy
--- a/src/proxy/startup_confirmation.h
+++ b/src/proxy/startup_confirmation.h
@@ -11,24 +11,30 @@
 
 namespace elderkeel::proxy {
 
-// The part of a proxy that has just started: asks controllers whether what it holds is current,
-// asks for what it lacks, and lets the router serve once both are done.
+// Confirms the state of a proxy that has just started: asks the controllers whether its state is
+// current, requests the state that it lacks, and lets the router serve once the state is complete
+// and confirmed, or once the lifecycle allows it without a confirmation. Owned by the proxy, which
+// ticks it and passes replies to it; runs on the event loop's thread.
 class StartupConfirmation {
  public:
   // All pointers outlive this object.
   StartupConfirmation(base::Loop* loop, const base::Settings* settings, cluster::ClusterNode* node,
                       forwarding::RequestRouter* router, lifecycle::Lifecycle* lifecycle);
 
-  // Looks and asks often, for a while.
+  // Begins to tick at short intervals by a timer of its own, until the state is complete and either
+  // it is confirmed or a few seconds have passed.
   void Start();
-  // Looks, and asks if that is due.
+  // Updates the state, and sends the next requests to a controller if they are due.
   void Tick(base::Millis now);
-  // Notes if what is held is confirmed as current by now, and serves by it.
-  void Review(base::Millis now);
+  // Reports to the lifecycle whether the proxy's state is confirmed and complete, and lets the
+  // router serve or not accordingly.
+  void UpdateServing(base::Millis now);
+  // A controller's reply. If it names the leader, the same question is sent to the leader.
   void OnReply(base::Millis now, const dissemination::ConfirmReply& reply);
 
  private:
   void Probe();
+  // Whether a part of the state is missing or older than the controllers report.
   bool LacksState() const;
   dissemination::Versions OwnVersions() const;
 
@@ -40,8 +46,8 @@
   dissemination::Confirmation confirmation_;
   base::Timer probe_timer_;
   base::Millis started_at_ = 0;
-  base::Millis ask_at_ = 0;      // when the next controller is asked
-  base::Millis confirm_at_ = 0;  // when a confirmation is asked for next
+  base::Millis next_request_at_ = 0;  // when the next controller is asked
+  base::Millis next_confirm_at_ = 0;  // not before this is a confirmation requested
   size_t next_controller_ = 0;
 };
 
--- a/tests/proxy/shutdown_test.cc
+++ b/tests/proxy/shutdown_test.cc
@@ -14,15 +14,15 @@
 using forwarding::OpenConnection;
 using Phase = lifecycle::Lifecycle::Phase;
 
-std::string Silence(const std::string&) { return ""; }
+std::string NoAnswer(const std::string&) { return ""; }
 
 class ShutdownTest : public forwarding::RequestRouterTest {
  protected:
   static constexpr base::Millis kGraceMs = 6000;
 
-  // A server that is silent until the test sends its answers.
-  forwarding::StandIn* ServeSilently(int64_t capacity = 100) {
-    forwarding::StandIn* server = Serve("i-1", Silence);
+  // Starts a server that does not answer until the test sends its answers.
+  forwarding::StandIn* ServeWithoutAnswers(int64_t capacity = 100) {
+    forwarding::StandIn* server = Serve("i-1", NoAnswer);
     endpoints_.servers.back().capacity = capacity;
     Configure(9000, 9000);
     return server;
@@ -30,7 +30,7 @@
   std::string AskFor(const std::string& id, const std::string& kind = "get") {
     return Ask(kind, id, "9000");
   }
-  // What the process does `elapsed` milliseconds after SIGTERM.
+  // Carries out the phase `elapsed` milliseconds after SIGTERM; true if the process may end.
   bool AdvanceAt(base::Millis elapsed) {
     lifecycle::Lifecycle::Options options;
     options.grace = kGraceMs;
@@ -52,9 +52,9 @@
 };
 
 // Requests in flight were answered 502 at four fifths of the grace time, though their servers would
-// have answered before its last sixth (review/2).
+// have answered before the last sixth of it.
 TEST_F(ShutdownTest, WaitsForServersUntilTheLastSixthOfTheGraceTime) {
-  forwarding::StandIn* server = ServeSilently();
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("early"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
@@ -67,10 +67,10 @@
   EXPECT_NE(client.answers().find("Connection: close"), std::string::npos);
 }
 
-// Requests that came from three seconds after the signal on were passed on, and nothing excuses
-// their loss.
-TEST_F(ShutdownTest, RejectsWhatComesLateOnOpenConnections) {
-  forwarding::StandIn* server = ServeSilently();
+// Requests that came more than three seconds after SIGTERM were sent to servers. The shutdown may
+// not fail such late requests, so they must be rejected instead.
+TEST_F(ShutdownTest, RejectsLateRequestsOnOpenConnections) {
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection used = Open(AskFor("before"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   OpenConnection idle(settings_.front);
@@ -79,7 +79,7 @@
   ASSERT_TRUE(WaitForAnswers(&idle, 1));
   EXPECT_EQ(Status(idle.answers()), 503) << idle.answers();
   EXPECT_NE(idle.answers().find("Retry-After: "), std::string::npos);
-  // Behind one that is in flight it waits for its turn, and is answered as well.
+  // Late requests behind one that is in flight wait for their turn, and are answered as well.
   ASSERT_TRUE(used.TrySend(AskFor("behind-1") + AskFor("behind-2", "post")));
   RunUntil([end = base::SteadyMillis() + 50] { return base::SteadyMillis() > end; });
   server->SendLate(0, Good(server->requests[0]));
@@ -89,10 +89,10 @@
   EXPECT_EQ(server->requests.size(), 1u);
 }
 
-// What a client had sent behind a request in flight was read, and lost as the connection closed
-// with the answer to the one in front.
-TEST_F(ShutdownTest, AnswersWhatWasReadBehindARequestInFlight) {
-  forwarding::StandIn* server = ServeSilently();
+// A request that a client had sent behind one in flight was read, and lost when the connection
+// closed with the answer to the first one.
+TEST_F(ShutdownTest, AnswersARequestThatWasReadBehindOneInFlight) {
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("first"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
@@ -106,10 +106,10 @@
   EXPECT_NE(client.answers().find("Connection: close"), std::string::npos) << client.answers();
 }
 
-// Failing one request made room at its server for one that waited, which was sent there and failed
-// at once.
-TEST_F(ShutdownTest, OffersNothingToAServerAsItGivesUp) {
-  forwarding::StandIn* server = ServeSilently(2);
+// Failing one request freed a slot at its server for a waiting request, which was sent there and
+// failed at once.
+TEST_F(ShutdownTest, SendsNoWaitingRequestWhileFailingRequestsInFlight) {
+  forwarding::StandIn* server = ServeWithoutAnswers(2);
   std::deque<OpenConnection> clients;
   for (int i = 0; i < 24; ++i) clients.push_back(Open(AskFor(std::to_string(i), "post")));
   ASSERT_TRUE(WaitForRequests(*server, 2));
@@ -125,10 +125,10 @@
   EXPECT_EQ(server->requests.size(), 2u);
 }
 
-// A process that had slept through the phase of the last answers wrote and dropped them in one
-// pass.
-TEST_F(ShutdownTest, SendsTheLastAnswersThoughTheProcessWasSuspended) {
-  forwarding::StandIn* server = ServeSilently();
+// A process that was suspended throughout the answering phase ended in the same pass in which it
+// wrote the last answers, and they were lost.
+TEST_F(ShutdownTest, SendsTheLastAnswersAfterASuspensionOfTheProcess) {
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("a"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
@@ -138,12 +138,12 @@
   EXPECT_TRUE(AdvanceAt(kGraceMs * 2));
 }
 
-// Giving up a streamed answer breaks its connection and takes the requests behind it along, which
-// were given up once more.
-TEST_F(ShutdownTest, GivesUpStreamsAndWhatWaitsBehindThem) {
+// Failing a request whose answer is streamed closes its connection, which ends the requests behind
+// it as well. These were then failed a second time.
+TEST_F(ShutdownTest, FailsStreamsAndTheRequestsBehindThemOnce) {
   constexpr size_t kBehind = 5;
   settings_.held_body_bytes = 2048;
-  forwarding::StandIn* server = ServeSilently();
+  forwarding::StandIn* server = ServeWithoutAnswers();
   std::deque<OpenConnection> clients;
   for (int i = 0; i < 4; ++i) {
     std::string requests = AskFor("stream");
@@ -170,11 +170,11 @@
   EXPECT_TRUE(AdvanceAt(kGraceMs));
 }
 
-// An answer that is on its way when the others are given up goes on, whether its server or its
-// client is slow.
-TEST_F(ShutdownTest, GoesOnWithAnAnswerThatIsOnItsWay) {
+// An answer that is being streamed when the unanswered requests are failed must be continued,
+// whether its server or its client is slow.
+TEST_F(ShutdownTest, ContinuesAnAnswerThatIsBeingStreamed) {
   settings_.held_body_bytes = 2048;
-  forwarding::StandIn* server = ServeSilently();
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("stream"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   constexpr size_t kBodyBytes = 3000000;
@@ -190,15 +190,16 @@
   ASSERT_TRUE(RunUntil([&] {
     client.Receive(20000);
     EXPECT_FALSE(AdvanceAt(kGraceMs * 23 / 24)) << client.answers().size();
-    // Read once it may be whole: to read it at each step takes seconds.
-    bool may_be_whole = client.answers().size() > kBodyBytes;
-    return (may_be_whole && ReadAnswer(client.answers()) == 1) || HasFailure();
+    // Parsed only once it may be complete: parsing it at each step takes seconds.
+    bool may_be_complete = client.answers().size() > kBodyBytes;
+    return (may_be_complete && ReadAnswer(client.answers()) == 1) || HasFailure();
   }));
 }
 
-// A body that was begun in time and is whole only later is answered, and not passed on.
-TEST_F(ShutdownTest, RejectsABodyThatIsWholeTooLate) {
-  forwarding::StandIn* server = ServeSilently();
+// A request that begins in time but whose body is complete only after accept_until must be answered
+// 503, and not sent to a server.
+TEST_F(ShutdownTest, RejectsARequestWhoseBodyIsCompleteTooLate) {
+  forwarding::StandIn* server = ServeWithoutAnswers();
   std::string request = AskFor("long", "post");
   OpenConnection client = Open(request.substr(0, request.size() - 2));
   ASSERT_TRUE(RunUntil([&] { return router_->busy() == 1; }));
@@ -210,11 +211,11 @@
   EXPECT_TRUE(server->requests.empty());
 }
 
-// What was accepted in time may still be sent to a second server, late as it is.
-TEST_F(ShutdownTest, RetriesLateWhatWasAcceptedInTime) {
-  forwarding::StandIn* near = Serve("i-1", Silence);
+// A request that was accepted in time may be retried at a second server, even after accept_until.
+TEST_F(ShutdownTest, RetriesARequestLateThatWasAcceptedInTime) {
+  forwarding::StandIn* near = Serve("i-1", NoAnswer);
   endpoints_.servers.back().capacity = 100;
-  forwarding::StandIn* far = Serve("i-2", Silence);
+  forwarding::StandIn* far = Serve("i-2", NoAnswer);
   Configure(9000, 9000);
   std::deque<OpenConnection> clients;  // several, so that the budget has a retry
   for (const char* id : {"a", "b", "c", "d"}) clients.push_back(Open(AskFor(id)));
@@ -234,10 +235,10 @@
   }
 }
 
-// A configuration without the route and the service of a request in flight, or with less time for
-// it, and a list without its server take nothing from it.
-TEST_F(ShutdownTest, KeepsARequestWhoseRouteServiceAndServerAreGone) {
-  forwarding::StandIn* server = ServeSilently();
+// A request in flight must be completed even if a new configuration shortens its timeout or removes
+// its route and service, and a new list of endpoints removes its server.
+TEST_F(ShutdownTest, KeepsARequestWhoseRouteServiceAndServerAreRemoved) {
+  forwarding::StandIn* server = ServeWithoutAnswers();
   OpenConnection shortened = Open(AskFor("a")), removed = Open(AskFor("b", "post"));
   ASSERT_TRUE(WaitForRequests(*server, 2));
   Configure(50, 50);
@@ -254,15 +255,15 @@
   EXPECT_EQ(Status(removed.answers()), 200) << removed.answers();
 }
 
-// Clients come to a proxy that ends until it is gone, each on a connection of its own, and its
-// server never answers. Whatever was offered to the server gets an answer before the end, and what
-// comes late is rejected without being offered.
+// Clients connect to a stopping proxy until it ends, each with one request, and its server never
+// answers. Each request that was sent to the server must be answered before the end, and late
+// requests must be rejected without being sent to it.
 TEST_F(ShutdownTest, AStoppingProxyAnswersEveryRequestThatItAccepts) {
-  forwarding::StandIn* server = ServeSilently();
+  forwarding::StandIn* server = ServeWithoutAnswers();
   struct Client {
     int fd = -1;
     std::string id;
-    base::Millis begun = 0;  // since the end began
+    base::Millis begun = 0;  // since the shutdown began
     bool sent = false;
     std::string answer = "";
   };
@@ -303,7 +304,7 @@
     }
   }
   EXPECT_TRUE(ended);
-  router_.reset();  // as a process that ends
+  router_.reset();  // as when the process ends
   int offered = 0, rejected = 0;
   for (Client& client : clients) {
     receive(&client);
