--- a/src/transport/frame.h
+++ b/src/transport/frame.h
@@ -16,7 +16,8 @@
 
 namespace elderkeel::transport {
 
-// The kinds of message that our own processes send each other. One byte on the wire.
+// The type of a message between elderkeel processes, one byte in frames and datagrams. The values
+// are part of the wire format.
 enum class Kind : uint8_t {
   kConsensus = 1,
   kJoin,
@@ -42,9 +43,11 @@
   kSyncReply,
 };
 
+// Largest payload of a frame, in bytes.
 constexpr size_t kMaxFrame = 8u << 20;
 
 namespace internal {
+// A stream buffer that appends to a string, so that Encode() needs no copy.
 class StringSink : public std::streambuf {
  public:
   explicit StringSink(std::string* out) : out_(out) {}
@@ -63,6 +66,7 @@
   std::string* out_;
 };
 
+// A stream buffer that reads from a view without a copy.
 class ViewSource : public std::streambuf {
  public:
   explicit ViewSource(std::string_view in) {
@@ -72,8 +76,8 @@
 };
 }  // namespace internal
 
-// A text on the wire with a length of two bytes; cereal's own takes eight, which would be most of a
-// record of names.
+// Serializes a string with a length prefix of two bytes. cereal's own prefix has eight, more than
+// most names in a record. Text beyond 65535 bytes is cut off.
 class Short {
  public:
   explicit Short(std::string& text) : text_(&text) {}
@@ -95,9 +99,10 @@
   std::string* text_;
 };
 
-// Whether a message has fields that earlier versions of the program neither send nor read: they
-// follow those of `serialize`, and only if `has_later_fields()`. Who does not know them ignores
-// them; where they are missing they keep their defaults.
+// Whether a message type has fields that were added after its first version. SerializeLaterFields()
+// writes them after those of `serialize`, and only if `has_later_fields()` returns true. Versions
+// that don't have these fields ignore the bytes; where the bytes are missing, the fields keep their
+// defaults.
 template <class Message, class = void>
 struct HasLaterFields : std::false_type {};
 template <class Message>
@@ -105,6 +110,7 @@
                       std::void_t<decltype(std::declval<const Message&>().has_later_fields())>>
     : std::true_type {};
 
+// Returns the payload of a frame or datagram for `message`.
 template <class Message>
 std::string Encode(const Message& message) {
   std::string out;
@@ -118,7 +124,7 @@
   return out;
 }
 
-// cereal reports short or damaged input by an exception; it ends here.
+// Returns nullopt if `bytes` are truncated or invalid, which cereal reports by an exception.
 template <class Message>
 std::optional<Message> Decode(std::string_view bytes) {
   try {
--- a/src/transport/mesh.cc
+++ b/src/transport/mesh.cc
@@ -16,35 +16,39 @@
 namespace elderkeel::transport {
 namespace {
 
-constexpr int kUserTimeoutMs = 2000;
+constexpr int kUserTimeoutMs = 2000;  // a connection fails if sent bytes stay unacknowledged longer
 constexpr base::Millis kConnectMs = 700;
-constexpr base::Millis kRetryMs = 50;
-constexpr base::Millis kIdleMs = 20000;
-constexpr base::Millis kDropEventMs = 1000;
-constexpr size_t kMaxQueued = 8u << 20;
-constexpr size_t kMaxIncoming = 512;
-constexpr size_t kHeader = 9;  // length, check, kind
-constexpr size_t kMaxDatagram = 1400;
+constexpr base::Millis kRetryMs = 50;    // back-off after a link has failed
+constexpr base::Millis kIdleMs = 20000;  // links that were unused for longer are closed
+constexpr base::Millis kDropLogIntervalMs = 1000;
+constexpr size_t kMaxQueuedBytes = 8u << 20;  // per link
+constexpr size_t kMaxIncomingConnections = 512;
+constexpr size_t kFrameHeaderBytes = 9;     // payload size (4), checksum (4), kind (1)
+constexpr int kDatagramHeaderBytes = 5;     // checksum (4), kind (1)
+constexpr size_t kMaxDatagramBytes = 1400;  // including the header
 
-void Put32(std::string* out, uint32_t n) {
+// Both in little-endian byte order.
+void AppendUint32(std::string* out, uint32_t n) {
   for (int i = 0; i < 4; ++i) out->push_back(static_cast<char>(n >> (8 * i)));
 }
-uint32_t Get32(const unsigned char* bytes) {
+uint32_t ReadUint32(const unsigned char* bytes) {
   return bytes[0] | bytes[1] << 8 | bytes[2] << 16 | static_cast<uint32_t>(bytes[3]) << 24;
 }
-uint32_t Check(Kind kind, std::string_view payload) {
+uint32_t Checksum(Kind kind, std::string_view payload) {
   return static_cast<uint32_t>(base::Hash(payload, static_cast<uint64_t>(kind)));
 }
 
 }  // namespace
 
+// The outgoing connection to one peer. It stays in links_ after a failure, for its back-off.
 struct Mesh::Link {
   BuffereventPtr socket;
   bool connected = false;
-  base::Millis used = 0;
-  base::Millis retry_at = 0;
+  base::Millis last_used = 0;
+  base::Millis retry_at = 0;  // no new connection before
   base::Timer connect_timer;
 
+  // Closes the connection with the frames queued on it and starts the back-off.
   void Fail() {
     connect_timer.Cancel();
     if (socket) bufferevent_setcb(socket.get(), nullptr, nullptr, nullptr, nullptr);
@@ -54,11 +58,12 @@
   }
 };
 
-struct Mesh::Incoming {
+// A connection that a peer has opened. Only receives.
+struct Mesh::IncomingConnection {
   Mesh* mesh = nullptr;
   uint64_t id = 0;
   BuffereventPtr socket;
-  base::Address from;  // port 0 until the peer has said which one it listens on
+  base::Address from;  // port 0 until the peer has sent the port that it listens on
 };
 
 Mesh::Mesh(base::Loop* loop, const base::Address& self, Handler handler)
@@ -88,7 +93,7 @@
   idle_timer_.Repeat(loop_, kIdleMs / 4, [this] {
     base::Millis now = base::SteadyMillis();
     for (auto at = links_.begin(); at != links_.end();) {
-      at = now - at->second->used > kIdleMs ? links_.erase(at) : std::next(at);
+      at = now - at->second->last_used > kIdleMs ? links_.erase(at) : std::next(at);
     }
   });
   return {};
@@ -96,17 +101,18 @@
 
 void Mesh::ReadDatagrams() {
   char bytes[2048];
-  for (int i = 0; i < 64; ++i) {
+  for (int i = 0; i < 64; ++i) {  // bounded, so that other events are not delayed
     sockaddr_in from{};
     socklen_t size = sizeof from;
     ssize_t n = recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
-    if (n < 5) {
+    if (n < kDatagramHeaderBytes) {
       if (n < 0) return;
       continue;
     }
     Kind kind = static_cast<Kind>(bytes[4]);
-    std::string_view payload(bytes + 5, static_cast<size_t>(n) - 5);
-    if (Get32(reinterpret_cast<unsigned char*>(bytes)) != Check(kind, payload)) continue;
+    std::string_view payload(bytes + kDatagramHeaderBytes,
+                             static_cast<size_t>(n) - kDatagramHeaderBytes);
+    if (ReadUint32(reinterpret_cast<unsigned char*>(bytes)) != Checksum(kind, payload)) continue;
     char text[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, &from.sin_addr, text, sizeof text);
     handler_({text, ntohs(from.sin_port)}, kind, payload);
@@ -114,10 +120,10 @@
 }
 
 bool Mesh::SendDatagram(const base::Address& to, Kind kind, std::string_view payload) {
-  if (payload.size() + 5 > kMaxDatagram || udp_ < 0) return false;
+  if (payload.size() + kDatagramHeaderBytes > kMaxDatagramBytes || udp_ < 0) return false;
   std::string bytes;
-  bytes.reserve(payload.size() + 5);
-  Put32(&bytes, Check(kind, payload));
+  bytes.reserve(payload.size() + kDatagramHeaderBytes);
+  AppendUint32(&bytes, Checksum(kind, payload));
   bytes.push_back(static_cast<char>(kind));
   bytes.append(payload);
   sockaddr_in at{};
@@ -132,7 +138,7 @@
   std::unique_ptr<Link>& link = links_[to];
   if (!link) link = std::make_unique<Link>();
   base::Millis now = base::SteadyMillis();
-  link->used = now;
+  link->last_used = now;
   if (link->socket) return link.get();
   if (now < link->retry_at) return nullptr;
   int fd = StartConnect(to, kUserTimeoutMs, self_.ip);
@@ -144,7 +150,7 @@
   opened->socket.reset(bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(
       opened->socket.get(),
-      [](bufferevent* b, void*) {  // a link carries nothing back
+      [](bufferevent* b, void*) {  // peers send nothing on a link; discard
         evbuffer* input = bufferevent_get_input(b);
         evbuffer_drain(input, evbuffer_get_length(input));
       },
@@ -162,15 +168,16 @@
   bufferevent_socket_connect(opened->socket.get(), nullptr, 0);
   bufferevent_enable(opened->socket.get(), EV_READ | EV_WRITE);
   opened->connect_timer.Start(loop_, kConnectMs, [opened] { opened->Fail(); });
+  // The peer identifies this process by its listening port, which is the first thing on a link.
   char port[2] = {static_cast<char>(self_.port & 0xff), static_cast<char>(self_.port >> 8)};
   bufferevent_write(opened->socket.get(), port, sizeof port);
   return opened;
 }
 
-// At most one event a second, which counts those between.
-bool Mesh::Drop(const base::Address& to, Kind kind, size_t bytes, const char* why) {
+// Logs at most once per kDropLogIntervalMs, with the number of drops that were not logged since.
+bool Mesh::ReportDropped(const base::Address& to, Kind kind, size_t bytes, const char* why) {
   base::Millis now = base::SteadyMillis();
-  if (drop_logged_at_ != 0 && now - drop_logged_at_ < kDropEventMs) {
+  if (drop_logged_at_ != 0 && now - drop_logged_at_ < kDropLogIntervalMs) {
     ++unlogged_drops_;
     return false;
   }
@@ -185,16 +192,17 @@
 }
 
 bool Mesh::Send(const base::Address& to, Kind kind, std::string_view payload) {
-  if (payload.size() > kMaxFrame) return Drop(to, kind, payload.size(), "too large");
+  if (payload.size() > kMaxFrame)
+    return ReportDropped(to, kind, payload.size(), "larger than the frame limit");
   Link* link = OpenLink(to);
   if (!link) return false;
   evbuffer* out = bufferevent_get_output(link->socket.get());
-  if (evbuffer_get_length(out) + payload.size() > kMaxQueued) {
-    return Drop(to, kind, payload.size(), "the queue is full");
+  if (evbuffer_get_length(out) + payload.size() > kMaxQueuedBytes) {
+    return ReportDropped(to, kind, payload.size(), "send queue is full, the peer does not read");
   }
   std::string header;
-  Put32(&header, static_cast<uint32_t>(payload.size()));
-  Put32(&header, Check(kind, payload));
+  AppendUint32(&header, static_cast<uint32_t>(payload.size()));
+  AppendUint32(&header, Checksum(kind, payload));
   header.push_back(static_cast<char>(kind));
   evbuffer_add(out, header.data(), header.size());
   evbuffer_add(out, payload.data(), payload.size());
@@ -202,31 +210,33 @@
 }
 
 void Mesh::Accepted(int fd) {
-  if (incoming_.size() >= kMaxIncoming) {
+  if (incoming_.size() >= kMaxIncomingConnections) {
     close(fd);
     return;
   }
   TuneSocket(fd, kUserTimeoutMs);
-  int one = 1, idle = 5, gap = 2, count = 2;
+  // An accepted connection sends nothing, so no unacknowledged byte reveals that the peer's host is
+  // lost; keep-alive probes do.
+  int one = 1, idle_s = 5, interval_s = 2, probes = 2;
   setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &gap, sizeof gap);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &count, sizeof count);
-  auto accepted = std::make_unique<Incoming>();
-  Incoming* incoming = accepted.get();
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
+  auto accepted = std::make_unique<IncomingConnection>();
+  IncomingConnection* incoming = accepted.get();
   incoming->mesh = this;
   incoming->id = next_id_++;
-  incoming->from.ip = PeerOf(fd).ip;
+  incoming->from.ip = PeerAddress(fd).ip;
   incoming->socket.reset(bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(
       incoming->socket.get(),
       [](bufferevent*, void* arg) {
-        auto* incoming = static_cast<Incoming*>(arg);
+        auto* incoming = static_cast<IncomingConnection*>(arg);
         if (!incoming->mesh->ReadFrames(incoming)) incoming->mesh->incoming_.erase(incoming->id);
       },
       nullptr,
       [](bufferevent*, short what, void* arg) {
-        auto* incoming = static_cast<Incoming*>(arg);
+        auto* incoming = static_cast<IncomingConnection*>(arg);
         if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) incoming->mesh->incoming_.erase(incoming->id);
       },
       incoming);
@@ -234,8 +244,9 @@
   incoming_.emplace(incoming->id, std::move(accepted));
 }
 
-// False when the connection carries something that is no frame.
-bool Mesh::ReadFrames(Incoming* incoming) {
+// Passes the complete frames to the handler. Returns false if the bytes are not a valid frame; the
+// caller then closes the connection.
+bool Mesh::ReadFrames(IncomingConnection* incoming) {
   evbuffer* buffer = bufferevent_get_input(incoming->socket.get());
   if (incoming->from.port == 0) {
     unsigned char port[2];
@@ -244,16 +255,18 @@
     incoming->from.port = static_cast<uint16_t>(port[0] | port[1] << 8);
   }
   for (;;) {
-    unsigned char header[kHeader];
-    if (evbuffer_copyout(buffer, header, kHeader) < static_cast<ssize_t>(kHeader)) return true;
-    size_t size = Get32(header);
+    unsigned char header[kFrameHeaderBytes];
+    if (evbuffer_copyout(buffer, header, kFrameHeaderBytes) <
+        static_cast<ssize_t>(kFrameHeaderBytes))
+      return true;
+    size_t size = ReadUint32(header);
     if (size > kMaxFrame) return false;
-    if (evbuffer_get_length(buffer) < kHeader + size) return true;
-    evbuffer_drain(buffer, kHeader);
+    if (evbuffer_get_length(buffer) < kFrameHeaderBytes + size) return true;
+    evbuffer_drain(buffer, kFrameHeaderBytes);
     std::string payload(size, '\0');
     evbuffer_remove(buffer, payload.data(), size);
     Kind kind = static_cast<Kind>(header[8]);
-    if (Get32(header + 4) != Check(kind, payload)) {
+    if (ReadUint32(header + 4) != Checksum(kind, payload)) {
       base::Warn("frame.damaged", {{"peer", incoming->from.ToString()}});
       return false;
     }
--- a/src/transport/socket.cc
+++ b/src/transport/socket.cc
@@ -14,7 +14,8 @@
 namespace elderkeel::transport {
 namespace {
 
-bool Fill(const base::Address& address, sockaddr_in* out) {
+// Returns false if the IP is not a valid IPv4 address.
+bool FillSockaddr(const base::Address& address, sockaddr_in* out) {
   std::memset(out, 0, sizeof *out);
   out->sin_family = AF_INET;
   out->sin_port = htons(address.port);
@@ -33,12 +34,12 @@
 
 int StartConnect(const base::Address& address, int user_timeout_ms, const std::string& from) {
   sockaddr_in to{};
-  if (!Fill(address, &to)) return -1;
+  if (!FillSockaddr(address, &to)) return -1;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
   TuneSocket(fd, user_timeout_ms);
   sockaddr_in source{};
-  if (!from.empty() && (!Fill({from, 0}, &source) ||
+  if (!from.empty() && (!FillSockaddr({from, 0}, &source) ||
                         bind(fd, reinterpret_cast<sockaddr*>(&source), sizeof source))) {
     close(fd);
     return -1;
@@ -50,7 +51,7 @@
   return fd;
 }
 
-base::Address PeerOf(int fd) {
+base::Address PeerAddress(int fd) {
   sockaddr_in peer{};
   socklen_t size = sizeof peer;
   if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return {};
@@ -61,9 +62,9 @@
 
 base::Status Listener::Open(base::Loop* loop, const base::Address& address, Accept accept) {
   sockaddr_in at{};
-  if (!Fill(address, &at))
+  if (!FillSockaddr(address, &at))
     return base::Failure(base::ErrorCode::kInvalidArgument, "listen", address.ToString(),
-                         "is not an address");
+                         "is not an IPv4 address");
   accept_ = std::move(accept);
   listener_.reset(evconnlistener_new_bind(
       loop->base(),
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -22,20 +22,25 @@
 using EvbufferPtr = std::unique_ptr<evbuffer, EvbufferFree>;
 using BuffereventPtr = std::unique_ptr<bufferevent, BuffereventFree>;
 
-// No delay, and a bound on how long sent bytes may stay unacknowledged: a peer without power gives
-// no answer at all, and only this notices.
+// Sets TCP_NODELAY and, if `user_timeout_ms` > 0, TCP_USER_TIMEOUT: the connection fails if sent
+// bytes stay unacknowledged for longer. Nothing else detects a peer host that lost power, since
+// such a host neither acknowledges nor resets.
 void TuneSocket(int fd, int user_timeout_ms);
 
-// A TCP socket that has begun to connect; -1 if even that failed. `from`: the address to connect
-// from, where the other end takes it for who is calling; empty leaves the choice to the kernel.
+// Returns a non-blocking TCP socket that has started to connect, -1 if that failed at once. `from`:
+// the IP address to connect from, for peers that identify this process by it; empty lets the kernel
+// choose.
 int StartConnect(const base::Address& address, int user_timeout_ms, const std::string& from = "");
 
-// The address of the other end.
-base::Address PeerOf(int fd);
+// Returns the address of the remote end; empty with port 0 if the socket is not connected.
+base::Address PeerAddress(int fd);
 
+// A listening TCP socket on the event loop, closed by the destructor.
 class Listener {
  public:
   using Accept = std::function<void(int fd)>;
+  // Calls `accept` with each accepted socket, which it then owns. Returns an error if `address` is
+  // not valid or can't be bound.
   base::Status Open(base::Loop* loop, const base::Address& address, Accept accept);
   void Close() { listener_.reset(); }
   bool open() const { return listener_ != nullptr; }
