--- a/src/http/http.cc
+++ b/src/http/http.cc
@@ -6,7 +6,7 @@
 namespace elderkeel::http {
 namespace {
 
-constexpr size_t kMaxHeaders = 256;
+constexpr size_t kMaxHeaders = 256;  // of one message; its trailers have the same limit
 
 bool IsTokenByte(unsigned char c) {
   return std::isalnum(c) ||
@@ -20,28 +20,29 @@
   return text;
 }
 
-// What http-parser would let pass in a head: line ends without CR, folded lines, control bytes, a
-// name that is no token or stands apart from its colon.
-const char* HeadFault(std::string_view head) {
-  size_t at = 0;
+// Returns what is wrong with a head, nullptr if nothing is. Finds what http-parser accepts: lines
+// that end without CR, folded headers, control bytes, and header names that are not tokens or have
+// space before their colon.
+const char* FindHeadError(std::string_view head) {
+  size_t position = 0;
   bool first = true;
-  while (at < head.size()) {
-    size_t end = head.find("\r\n", at);
-    if (end == std::string_view::npos) return "line without an end";
-    std::string_view line = head.substr(at, end - at);
-    at = end + 2;
+  while (position < head.size()) {
+    size_t end = head.find("\r\n", position);
+    if (end == std::string_view::npos) return "line without CRLF in the head";
+    std::string_view line = head.substr(position, end - position);
+    position = end + 2;
     for (unsigned char c : line) {
-      if ((c < 0x20 && c != '\t') || c == 0x7f) return "control byte in the head";
+      if ((c < 0x20 && c != '\t') || c == 0x7f) return "control character in the head";
     }
     if (line.empty()) return first ? "blank line before the head" : nullptr;
     if (first) {
       first = false;
       if (line.find("  ") != std::string_view::npos || line.find('\t') != std::string_view::npos) {
-        return "malformed first line";
+        return "malformed request or status line";
       }
       continue;
     }
-    if (line[0] == ' ' || line[0] == '\t') return "folded header";
+    if (line[0] == ' ' || line[0] == '\t') return "folded header line";
     size_t colon = line.find(':');
     if (colon == 0 || colon == std::string_view::npos) return "header without a name";
     for (size_t i = 0; i < colon; ++i) {
@@ -53,14 +54,14 @@
 
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 
-// Whether a status line stands anywhere behind the start of an answer's head: then a piece of
-// another answer, cut off in its first line or in a header, stands in front of this one's, and its
-// status is not this one's.
-bool HoldsSecondStatusLine(std::string_view head) {
-  constexpr std::string_view kName = "HTTP/";
-  for (size_t at = head.find(kName, 1); at != std::string_view::npos;
-       at = head.find(kName, at + 1)) {
-    std::string_view rest = head.substr(at + kName.size());  // 1.1 200
+// Whether a response head contains a status line after its start. Such a head begins with a
+// fragment of another response that was cut off in its status line or in a header, so the status
+// that it starts with belongs to that other response.
+bool ContainsSecondStatusLine(std::string_view head) {
+  constexpr std::string_view kProtocol = "HTTP/";
+  for (size_t position = head.find(kProtocol, 1); position != std::string_view::npos;
+       position = head.find(kProtocol, position + 1)) {
+    std::string_view rest = head.substr(position + kProtocol.size());  // 1.1 200
     if (rest.size() >= 7 && IsDigit(rest[0]) && rest[1] == '.' && IsDigit(rest[2]) &&
         rest[3] == ' ' && IsDigit(rest[4]) && IsDigit(rest[5]) && IsDigit(rest[6])) {
       return true;
@@ -112,7 +113,8 @@
 
 MessageReader::MessageReader(http_parser_type type) : type_(type), parser_() {
   static const bool kOnce = [] {
-    // Our own limit on the head is judged first and exactly; this one must only not be below it.
+    // ReadHead() enforces Limits::header_bytes exactly before http-parser sees the head. The limit
+    // of http-parser only has to be at least as large.
     http_parser_set_max_header_size(16u << 20);
     return true;
   }();
@@ -120,54 +122,54 @@
   Reset();
 }
 
-void MessageReader::Reset(bool to_head) {
+void MessageReader::Reset(bool head_request) {
   http_parser_init(&parser_, type_);
   parser_.data = this;
   message_ = Message();
   started_ = head_done_ = complete_ = value_seen_ = wants_continue_ = too_large_ = skip_body_ =
       false;
-  to_head_ = to_head;
+  head_request_ = head_request;
   self_delimited_ = true;
   trailers_ = 0;
-  stated_length_ = -1;
+  content_length_ = -1;
   sink_ = nullptr;
-  bad_status_ = 0;
-  bad_reason_ = "";
+  error_status_ = 0;
+  error_reason_ = "";
 }
 
-MessageReader::Progress MessageReader::Bad(int status, const char* reason) {
-  bad_status_ = status;
-  bad_reason_ = reason;
+MessageReader::Progress MessageReader::Fail(int status, const char* reason) {
+  error_status_ = status;
+  error_reason_ = reason;
   return Progress::kBad;
 }
 
-int MessageReader::OnField(http_parser* p, const char* at, size_t n) {
+int MessageReader::OnField(http_parser* p, const char* data, size_t n) {
   MessageReader* r = Self(p);
-  if (r->head_done_) return ++r->trailers_ > kMaxHeaders;  // trailers are read past and dropped
+  if (r->head_done_) return ++r->trailers_ > kMaxHeaders;  // trailers are discarded
   if (r->message_.headers.empty() || r->value_seen_) {
     if (r->message_.headers.size() >= kMaxHeaders) return 1;
     r->message_.headers.emplace_back();
     r->value_seen_ = false;
   }
-  r->message_.headers.back().name.append(at, n);
+  r->message_.headers.back().name.append(data, n);
   return 0;
 }
 
-int MessageReader::OnValue(http_parser* p, const char* at, size_t n) {
+int MessageReader::OnValue(http_parser* p, const char* data, size_t n) {
   MessageReader* r = Self(p);
   if (r->head_done_) return 0;
-  r->message_.headers.back().value.append(at, n);
+  r->message_.headers.back().value.append(data, n);
   r->value_seen_ = true;
   return 0;
 }
 
-int MessageReader::OnUrl(http_parser* p, const char* at, size_t n) {
-  Self(p)->message_.target.append(at, n);
+int MessageReader::OnUrl(http_parser* p, const char* data, size_t n) {
+  Self(p)->message_.target.append(data, n);
   return 0;
 }
 
-int MessageReader::OnStatus(http_parser* p, const char* at, size_t n) {
-  Self(p)->message_.reason.append(at, n);
+int MessageReader::OnStatus(http_parser* p, const char* data, size_t n) {
+  Self(p)->message_.reason.append(data, n);
   return 0;
 }
 
@@ -175,13 +177,13 @@
   MessageReader* r = Self(p);
   r->head_done_ = true;
   Message& m = r->message_;
-  m.minor = p->http_minor;
+  m.minor_version = p->http_minor;
   m.status = p->status_code;
   if (r->type_ == HTTP_REQUEST) m.method = http_method_str(static_cast<http_method>(p->method));
   m.keep_alive = http_should_keep_alive(p) != 0;
   if (r->type_ == HTTP_RESPONSE) {
-    // Whatever length such a head states, no body follows it.
-    bool bodyless = r->to_head_ || m.status == 204 || m.status == 304 || m.status / 100 == 1;
+    // No body follows such a head, even if it has a Content-Length.
+    bool bodyless = r->head_request_ || m.status == 204 || m.status == 304 || m.status / 100 == 1;
     bool chunked = (p->flags & F_CHUNKED) != 0;
     bool length = p->content_length != UINT64_MAX;
     r->self_delimited_ = bodyless || chunked || length;
@@ -191,17 +193,17 @@
   return 0;
 }
 
-int MessageReader::OnBody(http_parser* p, const char* at, size_t n) {
+int MessageReader::OnBody(http_parser* p, const char* data, size_t n) {
   MessageReader* r = Self(p);
   if (r->sink_) {
-    r->sink_(std::string_view(at, n));
+    r->sink_(std::string_view(data, n));
     return 0;
   }
   if (r->message_.body.size() + n > r->body_limit_) {
     r->too_large_ = true;
     return 1;
   }
-  r->message_.body.append(at, n);
+  r->message_.body.append(data, n);
   return 0;
 }
 
@@ -231,41 +233,42 @@
   const Message& m = message_;
   size_t lengths = m.Count("Content-Length");
   size_t codings = m.Count("Transfer-Encoding");
-  if (lengths > 1) return Bad(400, "more than one length");
-  if (lengths && codings) return Bad(400, "a length with chunks");
-  if (codings > 1) return Bad(400, "more than one transfer coding");
+  if (lengths > 1) return Fail(400, "more than one Content-Length header");
+  if (lengths && codings) return Fail(400, "both Content-Length and Transfer-Encoding");
+  if (codings > 1) return Fail(400, "more than one Transfer-Encoding header");
   if (codings && !EqualNoCase(TrimSpace(*m.Find("Transfer-Encoding")), "chunked")) {
-    return Bad(400, "unknown transfer coding");
+    return Fail(400, "transfer coding other than chunked");
   }
-  if (codings && m.minor == 0) return Bad(400, "chunks in HTTP/1.0");
+  if (codings && m.minor_version == 0) return Fail(400, "Transfer-Encoding in HTTP/1.0");
   if (lengths) {
     std::string_view text = TrimSpace(*m.Find("Content-Length"));
     int64_t length = ParseDecimal(text);
     if (length < 0) {
       bool digits = !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
-      return digits ? Bad(413, "body too large") : Bad(400, "malformed length");
+      return digits ? Fail(413, "body too large") : Fail(400, "malformed Content-Length");
     }
-    stated_length_ = length;
+    content_length_ = length;
     if (static_cast<size_t>(length) > limits.body_bytes && !skip_body_) {
-      return Bad(413, "body too large");
+      return Fail(413, "body too large");
     }
   }
   if (type_ == HTTP_REQUEST) {
-    if (m.minor > 0 && m.Count("Host") != 1) return Bad(400, "needs exactly one Host");
-    if (m.Count("Host") > 1) return Bad(400, "needs exactly one Host");
+    if (m.minor_version > 0 && m.Count("Host") != 1)
+      return Fail(400, "exactly one Host header is required");
+    if (m.Count("Host") > 1) return Fail(400, "exactly one Host header is required");
     const std::string* expect = m.Find("Expect");
     wants_continue_ = expect && EqualNoCase(*expect, "100-continue");
   } else if (m.status < 100 || m.status > 599) {
-    return Bad(502, "status of no class");
+    return Fail(502, "status outside 100 to 599");
   } else if (!self_delimited_) {
-    return Bad(502, "answer without an end of its own");
+    return Fail(502, "response without Content-Length or chunks");
   }
   return Progress::kMore;
 }
 
 MessageReader::Progress MessageReader::ReadHead(evbuffer* in, const Limits& limits) {
   if (type_ == HTTP_REQUEST && !started_) {
-    // Blank lines before a request are allowed; they are not a start.
+    // Empty lines before a request are allowed and do not count as its first bytes.
     char two[2];
     while (evbuffer_copyout(in, two, 2) == 2 && two[0] == '\r' && two[1] == '\n') {
       evbuffer_drain(in, 2);
@@ -275,35 +278,36 @@
   if (available == 0) return Progress::kMore;
   char first;
   if (!started_ && available == 1 && evbuffer_copyout(in, &first, 1) == 1 && first == '\r') {
-    return Progress::kMore;  // may become another blank line
+    return Progress::kMore;  // may be the first half of an empty line
   }
   started_ = true;
   evbuffer_ptr end = evbuffer_search(in, "\r\n\r\n", 4, nullptr);
   if (end.pos < 0) {
-    if (available > limits.header_bytes) return Bad(431, "head too large");
-    // A head that can no longer become well-formed need not be waited for.
-    if (evbuffer_search(in, "\n\n", 2, nullptr).pos >= 0) return Bad(400, "line without CR");
+    if (available > limits.header_bytes) return Fail(431, "head too large");
+    // Bare line feeds make the head invalid; it is rejected without waiting for the rest.
+    if (evbuffer_search(in, "\n\n", 2, nullptr).pos >= 0)
+      return Fail(400, "line that ends without CR");
     return Progress::kMore;
   }
   size_t size = static_cast<size_t>(end.pos) + 4;
-  if (size > limits.header_bytes) return Bad(431, "head too large");
+  if (size > limits.header_bytes) return Fail(431, "head too large");
   std::string head(size, '\0');
   evbuffer_remove(in, head.data(), size);
-  if (const char* fault = HeadFault(head)) return Bad(400, fault);
-  if (type_ == HTTP_RESPONSE && HoldsSecondStatusLine(head)) {
-    return Bad(400, "two answers in one head");
+  if (const char* error_text = FindHeadError(head)) return Fail(400, error_text);
+  if (type_ == HTTP_RESPONSE && ContainsSecondStatusLine(head)) {
+    return Fail(400, "two status lines in one response head");
   }
   body_limit_ = limits.body_bytes;
   size_t parsed = http_parser_execute(&parser_, &Callbacks(), head.data(), head.size());
   http_errno error = HTTP_PARSER_ERRNO(&parser_);
-  if (error == HPE_INVALID_METHOD) return Bad(501, "unknown method");
-  if (error != HPE_OK && error != HPE_PAUSED) return Bad(400, http_errno_description(error));
-  if (parsed != size || !head_done_) return Bad(400, "malformed head");
+  if (error == HPE_INVALID_METHOD) return Fail(501, "unknown method");
+  if (error != HPE_OK && error != HPE_PAUSED) return Fail(400, http_errno_description(error));
+  if (parsed != size || !head_done_) return Fail(400, "malformed head");
   return CheckHead(limits);
 }
 
 MessageReader::Progress MessageReader::Read(evbuffer* in, const Limits& limits) {
-  if (bad_status_) return Progress::kBad;
+  if (error_status_) return Progress::kBad;
   for (;;) {
     if (!head_done_) {
       Progress progress = ReadHead(in, limits);
@@ -316,12 +320,12 @@
                                           static_cast<const char*>(span.iov_base), span.iov_len);
       http_errno error = HTTP_PARSER_ERRNO(&parser_);
       evbuffer_drain(in, std::min(parsed, span.iov_len));
-      if (too_large_) return Bad(413, "body too large");
-      if (error != HPE_OK && error != HPE_PAUSED) return Bad(400, http_errno_description(error));
+      if (too_large_) return Fail(413, "body too large");
+      if (error != HPE_OK && error != HPE_PAUSED) return Fail(400, http_errno_description(error));
     }
-    // An interim answer (1xx) is no answer yet.
+    // An interim response (1xx) is discarded; the final one follows.
     if (type_ == HTTP_RESPONSE && message_.status / 100 == 1) {
-      Reset(to_head_);
+      Reset(head_request_);
       continue;
     }
     return Progress::kDone;
@@ -346,16 +350,18 @@
 
 namespace {
 
-// The status line and all headers that go on; `length` is where a length was found.
-std::string HeadOf(const Message& answer, const std::string** length) {
+// Returns the status line and the headers without hop-by-hop headers and Content-Length. If there
+// is a Content-Length, `*length` points to its value.
+std::string SerializeHead(const Message& response, const std::string** length) {
   std::string head;
   head.reserve(512);
-  head += "HTTP/1.1 " + std::to_string(answer.status) + ' ';
-  head += answer.reason.empty() ? ReasonPhrase(answer.status) : answer.reason;
+  head += "HTTP/1.1 " + std::to_string(response.status) + ' ';
+  head += response.reason.empty() ? ReasonPhrase(response.status) : response.reason;
   head += "\r\n";
-  const std::string* named = answer.Find("Connection");
-  std::string_view connection = named ? std::string_view(*named) : std::string_view();
-  for (const Header& header : answer.headers) {
+  const std::string* connection_header = response.Find("Connection");
+  std::string_view connection =
+      connection_header ? std::string_view(*connection_header) : std::string_view();
+  for (const Header& header : response.headers) {
     if (EqualNoCase(header.name, "Content-Length")) {
       *length = &header.value;
       continue;
@@ -368,9 +374,9 @@
 
 }  // namespace
 
-void WriteHead(evbuffer* out, const Message& answer, bool close, int64_t length) {
+void WriteResponseHead(evbuffer* out, const Message& response, bool close, int64_t length) {
   const std::string* ignored = nullptr;
-  std::string head = HeadOf(answer, &ignored);
+  std::string head = SerializeHead(response, &ignored);
   head += length >= 0 ? "Content-Length: " + std::to_string(length) + "\r\n"
                       : std::string("Transfer-Encoding: chunked\r\n");
   if (close) head += "Connection: close\r\n";
@@ -378,15 +384,16 @@
   evbuffer_add(out, head.data(), head.size());
 }
 
-void WriteAnswer(evbuffer* out, const Message& answer, bool close, bool to_head,
-                 int64_t keep_alive_s) {
+void WriteResponse(evbuffer* out, const Message& response, bool close, bool head_request,
+                   int64_t keep_alive_s) {
   const std::string* length = nullptr;
-  std::string head = HeadOf(answer, &length);
-  // No length stands where no body may; for HEAD the length is that of the body it stands for.
-  if (to_head && length) {
+  std::string head = SerializeHead(response, &length);
+  // Responses that never have a body (204, 304) get no Content-Length. The response to HEAD keeps
+  // the length of the body that GET would return.
+  if (head_request && length) {
     head += "Content-Length: " + *length + "\r\n";
-  } else if (answer.status != 204 && answer.status != 304) {
-    head += "Content-Length: " + std::to_string(answer.body.size()) + "\r\n";
+  } else if (response.status != 204 && response.status != 304) {
+    head += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
   }
   if (close) {
     head += "Connection: close\r\n";
@@ -395,8 +402,8 @@
   }
   head += "\r\n";
   evbuffer_add(out, head.data(), head.size());
-  if (!to_head && answer.status != 204 && answer.status != 304) {
-    evbuffer_add(out, answer.body.data(), answer.body.size());
+  if (!head_request && response.status != 204 && response.status != 304) {
+    evbuffer_add(out, response.body.data(), response.body.size());
   }
 }
 
@@ -412,16 +419,16 @@
 }
 
 Message OwnAnswer(int status, std::string_view reason) {
-  Message answer;
-  answer.status = status;
-  answer.headers.push_back({"Content-Type", "application/json"});
-  answer.body = "{\"error\":\"";
+  Message response;
+  response.status = status;
+  response.headers.push_back({"Content-Type", "application/json"});
+  response.body = "{\"error\":\"";
   for (char c : reason) {
-    if (c == '"' || c == '\\') answer.body.push_back('\\');
-    answer.body.push_back(static_cast<unsigned char>(c) < 0x20 ? ' ' : c);
+    if (c == '"' || c == '\\') response.body.push_back('\\');
+    response.body.push_back(static_cast<unsigned char>(c) < 0x20 ? ' ' : c);
   }
-  answer.body += "\"}";
-  return answer;
+  response.body += "\"}";
+  return response;
 }
 
 }  // namespace elderkeel::http
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -16,10 +16,11 @@
   }
   socket_.reset(bufferevent_socket_new(loop->base(), fd, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(socket_.get(), &OnReadable, nullptr, &OnEvent, this);
-  // The connect is under way on this descriptor; libevent reports its end.
+  // StartConnect() has started connecting; without an address libevent only reports the result.
   bufferevent_socket_connect(socket_.get(), nullptr, 0);
   bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
-  // Counts what the kernel took: from the first such byte on a request may have arrived.
+  // Bytes leave the output buffer when the kernel takes them. From the first one on the server may
+  // have received the request, so the outcome can no longer be kNotSent.
   evbuffer_add_cb(
       bufferevent_get_output(socket_.get()),
       [](evbuffer*, const evbuffer_cb_info* info, void* self) {
@@ -45,11 +46,11 @@
   }
 }
 
-void HttpConnection::Send(std::string bytes, bool to_head, Done done) {
+void HttpConnection::Send(std::string bytes, bool head_request, Done done) {
   done_ = std::move(done);
   any_sent_ = streaming_ = false;
-  to_head_ = to_head;
-  reader_.Reset(to_head);
+  head_request_ = head_request;
+  reader_.Reset(head_request);
   if (closed_) {
     connect_timer_.Start(loop_, 0, [this] { Finish(Ending::kNotSent, "connect refused"); });
     return;
@@ -78,7 +79,7 @@
 void HttpConnection::OnReadable(bufferevent*, void* arg) {
   auto* self = static_cast<HttpConnection*>(arg);
   if (!self->busy()) {
-    // Bytes that no request asked for.
+    // No request is in flight: these bytes would be taken for the response to the next one.
     self->Close();
     if (self->lost_) self->lost_();
     return;
@@ -86,27 +87,27 @@
   self->Read();
 }
 
-HttpConnection::Owner HttpConnection::OwnerOf(const Message& answer) const {
-  if (!expect_header_) return Owner::kOurs;
-  if (answer.Count(expect_header_) != 1) return Owner::kUnknown;
-  const std::string* value = answer.Find(expect_header_);
-  return *value == expect_value_ ? Owner::kOurs : Owner::kAnother;
+HttpConnection::Match HttpConnection::MatchResponse(const Message& response) const {
+  if (!expect_header_) return Match::kThisRequest;
+  if (response.Count(expect_header_) != 1) return Match::kUnknown;
+  const std::string* value = response.Find(expect_header_);
+  return *value == expect_value_ ? Match::kThisRequest : Match::kOtherRequest;
 }
 
 void HttpConnection::Read() {
   evbuffer* in = bufferevent_get_input(socket_.get());
   Limits limits = limits_;
-  if (large_) limits.body_bytes = SIZE_MAX;  // judged below, where the rest can be streamed
+  if (large_) limits.body_bytes = SIZE_MAX;  // checked below, where the rest can be streamed
   MessageReader::Progress progress = reader_.Read(in, limits);
   if (progress == MessageReader::Progress::kMore) {
     if (!large_ || streaming_ || !reader_.head_done()) return;
-    int64_t length = reader_.stated_length();
+    int64_t length = reader_.content_length();
     size_t buffered = limits_.body_bytes;
     if (reader_.body_size() <= buffered && length <= static_cast<int64_t>(buffered)) return;
     BodySink sink = large_(reader_.message(), length);
     if (!sink) {
       Close();
-      Finish(Ending::kBroken, "answer too large");
+      Finish(Ending::kBroken, "response body too large");
       return;
     }
     streaming_ = true;
@@ -115,25 +116,25 @@
   }
   if (progress == MessageReader::Progress::kBad) {
     Close();
-    Finish(Ending::kBroken, reader_.bad_reason());
+    Finish(Ending::kBroken, reader_.error_reason());
     return;
   }
-  // An answer that came before the request was handed over whole answers something else; so may
-  // whatever comes after this one.
+  // A response that arrives before the kernel has taken the whole request may answer another one,
+  // and so may bytes after this response. Either way the connection is closed after this request.
   bool early = evbuffer_get_length(bufferevent_get_output(socket_.get())) > 0;
-  bool extra = evbuffer_get_length(in) > 0;
+  bool trailing = evbuffer_get_length(in) > 0;
   Outcome outcome;
   outcome.answer = reader_.Take();
-  Owner owner = OwnerOf(outcome.answer);
-  if (owner != Owner::kOurs) {
-    if (owner == Owner::kUnknown || streaming_ || spoilt_ || !outcome.answer.keep_alive) {
+  Match match = MatchResponse(outcome.answer);
+  if (match != Match::kThisRequest) {
+    if (match == Match::kUnknown || streaming_ || received_stray_ || !outcome.answer.keep_alive) {
       Close();
       Finish(Ending::kBroken, "answer to another request");
       return;
     }
-    spoilt_ = true;
-    reader_.Reset(to_head_);
-    if (extra) {
+    received_stray_ = true;
+    reader_.Reset(head_request_);
+    if (trailing) {
       Read();
     } else if (stray_) {
       stray_();
@@ -142,15 +143,16 @@
   }
   used_ = true;
   outcome.ending = any_sent_ ? Ending::kAnswer : Ending::kBroken;
-  if (!any_sent_) outcome.reason = "answer before the request";
-  if (early || extra || spoilt_ || !outcome.answer.keep_alive) Close();
-  Pause(false);  // whoever took the body may have stopped the reading at its last bytes
+  if (!any_sent_) outcome.reason = "response received before the request was sent";
+  if (early || trailing || received_stray_ || !outcome.answer.keep_alive) Close();
+  Pause(false);  // the sink may have paused reading at the last bytes of the body
   idle_since_ = base::SteadyMillis();
-  if (const std::string* keep = outcome.answer.Find("Keep-Alive")) {
-    size_t at = keep->find("timeout=");
-    if (at != std::string::npos) {
-      size_t end = keep->find_first_not_of("0123456789", at + 8);
-      int64_t seconds = ParseDecimal(std::string_view(*keep).substr(at + 8, end - at - 8));
+  if (const std::string* keep_alive = outcome.answer.Find("Keep-Alive")) {
+    size_t position = keep_alive->find("timeout=");
+    if (position != std::string::npos) {
+      size_t end = keep_alive->find_first_not_of("0123456789", position + 8);
+      int64_t seconds =
+          ParseDecimal(std::string_view(*keep_alive).substr(position + 8, end - position - 8));
       if (seconds >= 0) keep_alive_ms_ = seconds * 1000;
     }
   }
@@ -172,8 +174,8 @@
     if (self->busy()) {
       self->Finish(self->any_sent_ ? Ending::kBroken : Ending::kNotSent,
                    !was_connected           ? "connect refused"
-                   : (what & BEV_EVENT_EOF) ? "closed before a whole answer"
-                                            : "reset");
+                   : (what & BEV_EVENT_EOF) ? "connection closed before the response was complete"
+                                            : "connection reset");
     } else if (self->lost_) {
       self->lost_();
     }
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -9,65 +9,81 @@
 
 namespace elderkeel::http {
 
-// One connection to a server, carrying one request at a time.
+// One TCP connection from this process to an HTTP server, with at most one request in flight. The
+// constructor starts connecting; the owner may call Send() at once. The connection pool keeps idle
+// connections and checks Usable() before it sends the next request on one.
 class HttpConnection {
  public:
   enum class Ending {
-    kAnswer,   // a whole, self-delimited answer
-    kNotSent,  // failed before one byte of the request was handed to the kernel
-    kBroken,   // failed after that: the request may have arrived
+    kAnswer,   // a complete, self-delimited response
+    kNotSent,  // failed before the kernel took any byte of the request
+    kBroken,   // failed after that: the server may have received the request
   };
   struct Outcome {
     Ending ending = Ending::kBroken;
-    Message answer;
-    std::string reason;
+    Message answer;      // the response, where `ending` is kAnswer
+    std::string reason;  // of the failure, where `ending` is not kAnswer
   };
   using Done = std::function<void(Outcome&&)>;
 
+  // `connect_ms`: the limit on the time until the connection is established.
   HttpConnection(base::Loop* loop, const base::Address& address, base::Millis connect_ms,
                  const Limits& limits);
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Sends one request; `done` is called once, never from inside Send. Only when not busy.
-  void Send(std::string bytes, bool to_head, Done done);
-  // The next answer belongs to the request only if its `header` says `value`. One that names
-  // another answers an earlier request, late: it reaches nobody, and the next one is awaited. One
-  // that names none, or more than one, can't be told from that; the connection is then broken off.
+  // Sends one serialized request. Calls `done` once, never from inside Send(). `head_request`: the
+  // method is HEAD, so the response has no body. REQUIRES: !busy().
+  void Send(std::string bytes, bool head_request, Done done);
+  // Accepts a response to the next request only if its header `header` has the value `value`. A
+  // response with another value is a late one to an earlier request: it is discarded, and the next
+  // response is awaited. A second response of that kind, and one where the header is missing or
+  // repeated so that it can't be attributed to a request, ends the request with kBroken and closes
+  // the connection.
   void Expect(const char* header, std::string value) {
     expect_header_ = header;
     expect_value_ = std::move(value);
   }
-  // Called once when the answer's body is larger than the limit, with the head and what came so
-  // far. If it returns a sink, the rest goes there and `done` gets the answer without its body; if
-  // not, the answer is broken off.
+  // `large` is called once when the body of a response, or its Content-Length, exceeds the limit:
+  // with the head, the part of the body that has arrived, and the Content-Length (-1 if none). If
+  // it returns a sink, the rest of the body is passed to it, and `done` receives the response with
+  // the first part of the body only. If it returns nullptr, the connection is closed and the
+  // request ends with kBroken.
   using BodySink = std::function<void(std::string_view)>;
-  using Large = std::function<BodySink(const Message& so_far, int64_t length)>;
+  using Large = std::function<BodySink(const Message& response, int64_t length)>;
   void OnLarge(Large large) { large_ = std::move(large); }
-  // Called when an answer of another request came, which is a sign that the server stutters.
+  // `stray` is called when a response to another request was discarded and its successor has not
+  // arrived yet. It indicates that the server responds late.
   void OnStray(std::function<void()> stray) { stray_ = std::move(stray); }
-  // Stops reading while whoever takes the body can't keep up, at the longest until its end.
+  // Stops or resumes reading, for a receiver of the body that is slower than the server. Reading
+  // resumes at the end of the response in any case.
   void Pause(bool pause);
-  // Called when the connection, while idle, is closed or can no longer be trusted.
+  // `lost` is called when the connection closes while idle, or receives bytes that answer no
+  // request.
   void OnLost(std::function<void()> lost) { lost_ = std::move(lost); }
 
+  // Whether a request is in flight.
   bool busy() const { return done_ != nullptr; }
   bool connected() const { return connected_; }
-  // Idle, alive and clean right now, as far as the kernel knows.
+  // Whether a request may be sent: not busy, not closed by either side and without unread bytes, as
+  // far as the kernel has received them. True while still connecting.
   bool Usable() const;
   bool closed() const { return closed_; }
-  bool used() const { return used_; }  // an answer came on it before
+  bool used() const { return used_; }  // a response was received on it before
+  // When the last response ended, on the steady clock; 0 before the first.
   base::Millis idle_since() const { return idle_since_; }
-  // How long the server says it keeps an idle connection; 0 if it did not say.
+  // The timeout of the server's last Keep-Alive header; 0 if it sent none.
   base::Millis keep_alive_ms() const { return keep_alive_ms_; }
   const base::Address& address() const { return address_; }
 
  private:
+  // Ends the request in flight with a failure; if there is none, calls OnLost()'s callback.
   void Finish(Ending ending, std::string reason);
   void Close();
-  enum class Owner { kOurs, kAnother, kUnknown };
-  Owner OwnerOf(const Message& answer) const;
+  // Which request a response answers, by the header given to Expect().
+  enum class Match { kThisRequest, kOtherRequest, kUnknown };
+  Match MatchResponse(const Message& response) const;
   void Read();
   static void OnReadable(bufferevent*, void* self);
   static void OnEvent(bufferevent*, short what, void* self);
@@ -84,22 +100,24 @@
   std::function<void()> stray_;
   const char* expect_header_ = nullptr;
   std::string expect_value_;
-  bool spoilt_ = false;  // an answer of another request came; not to be used again
+  bool received_stray_ = false;  // a response to another request came; close after this request
   bool streaming_ = false;
   bool connected_ = false;
   bool closed_ = false;
-  bool any_sent_ = false;
+  bool any_sent_ = false;  // the kernel took a byte of the current request
   bool used_ = false;
-  bool to_head_ = false;
+  bool head_request_ = false;
   base::Millis idle_since_ = 0;
   base::Millis keep_alive_ms_ = 0;
 };
 
-// One request on a connection of its own, with a time limit; for the platform and for the commands.
+// One request on a connection of its own, with a time limit on connecting and the response
+// together. HealthProber and the command-line programs use it. Destroying it cancels the request.
 class HttpCall {
  public:
   HttpCall(base::Loop* loop, const base::Address& address, base::Millis timeout_ms,
            const Limits& limits);
+  // Calls `done` once, on a timeout with Ending::kBroken. REQUIRES: not called before.
   void Start(std::string bytes, HttpConnection::Done done);
 
  private:
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -13,26 +13,28 @@
 
 namespace elderkeel::http {
 namespace {
+// How long a lingering connection waits for the client to close.
 constexpr base::Millis kLingerMs = 1000;
-constexpr base::Millis kAwakeEveryMs = 100;
-constexpr base::Millis kAsleepMs = 400;
-// Bytes of further requests that may wait on a connection while one is being answered.
-constexpr size_t kPipelinedBytes = 64 << 10;
-// When a client may come again that there was no memory for, in seconds.
-constexpr const char* kRetryAfter = "0.1";
+constexpr base::Millis kSuspensionCheckMs = 100;
+// A check that is later than this after the previous one means that the process was suspended.
+constexpr base::Millis kSuspensionMs = 400;
+// Bytes of further requests that are buffered on a connection while no more requests are accepted.
+constexpr size_t kMaxPipelinedBytes = 64 << 10;
+// Retry-After of a request that was rejected because of max_buffered_bytes.
+constexpr const char* kRetryAfterSeconds = "0.1";
 }  // namespace
 
-// A request that was taken, and its answer as far as there is one.
-struct HttpServer::Slot {
+// The response to one request that was accepted, as far as it exists.
+struct HttpServer::PendingResponse {
   Ticket ticket = 0;
   bool keep_alive = true;
-  bool to_head = false;
-  bool close = false;               // the answer ends the connection
-  std::unique_ptr<Message> answer;  // held whole until its turn
+  bool head_request = false;
+  bool close = false;                 // close the connection after this response
+  std::unique_ptr<Message> response;  // complete, kept until the earlier ones are written
   enum class Stream { kNone, kOpen, kEnded } stream = Stream::kNone;
   bool chunks = false;
-  transport::EvbufferPtr buffered;  // of a streamed answer, until its turn
-  size_t body_bytes = 0;            // of the request, in the server's sum until the answer's turn
+  transport::EvbufferPtr buffered;  // of a streamed response until the earlier ones are written
+  size_t body_bytes = 0;  // of the request; counted in buffered_body_bytes_ until this is written
 };
 
 struct HttpServer::Connection {
@@ -43,33 +45,35 @@
   transport::BuffereventPtr socket;
   MessageReader reader;
   base::Timer timer;
-  enum class Clock { kNone, kIdle, kHeader, kBody } clock = Clock::kNone;
-  std::deque<Slot> slots;            // in the order of the requests; the first may be written
-  std::unique_ptr<Message> waiting;  // read, but not to be begun before all slots are answered
-  size_t waiting_bytes = 0;          // of its body, in the server's sum
-  bool no_more = false;              // nothing behind what was read so far will be taken
-  bool closing = false;              // to be closed once what was written is sent
-  bool lingering = false;
-  bool advancing = false;
-  bool continued = false;
-  size_t counted = 0;  // bytes of the body being read, in the server's sum
+  enum class Timeout { kNone, kIdle, kHeader, kBody } timeout = Timeout::kNone;
+  std::deque<PendingResponse> pending;  // in the order of the requests; only the first is written
+  std::unique_ptr<Message> deferred;    // a request that starts when `pending` is empty
+  size_t deferred_bytes = 0;            // of its body; counted in buffered_body_bytes_
+  bool no_more_requests = false;        // later requests on this connection are not accepted
+  bool closing = false;                 // to be closed once the written bytes are sent
+  bool lingering = false;               // shut down for writing, waits for the client to close
+  bool processing = false;              // inside ProcessRequests()
+  bool sent_continue = false;           // 100 Continue was sent for the request being read
+  size_t counted_bytes = 0;             // of the body being read; counted in buffered_body_bytes_
 };
 
 HttpServer::HttpServer(base::Loop* loop, Options options, Handler handler)
     : loop_(loop), options_(std::move(options)), handler_(std::move(handler)) {
   if (!options_.notice_sleep) return;
-  awake_at_ = base::SteadyMillis();
-  awake_timer_.Repeat(loop_, kAwakeEveryMs, [this] {
+  last_tick_at_ = base::SteadyMillis();
+  suspension_timer_.Repeat(loop_, kSuspensionCheckMs, [this] {
     base::Millis now = base::SteadyMillis();
-    if (now - awake_at_ > kAsleepMs) slept_until_ = now + kAwakeEveryMs;
-    awake_at_ = now;
+    if (now - last_tick_at_ > kSuspensionMs) suspected_until_ = now + kSuspensionCheckMs;
+    last_tick_at_ = now;
   });
 }
 
-bool HttpServer::LeftWhileAsleep(const Connection* c) const {
+// Whether the client has closed the connection although its request may have arrived during a
+// suspension of this process. Without this check a request would run whose client has given up.
+bool HttpServer::ClientLeftDuringSuspension(const Connection* c) const {
   if (!options_.notice_sleep) return false;
   base::Millis now = base::SteadyMillis();
-  if (now - awake_at_ <= kAsleepMs && now >= slept_until_) return false;
+  if (now - last_tick_at_ <= kSuspensionMs && now >= suspected_until_) return false;
   char byte;
   ssize_t n = recv(bufferevent_getfd(c->socket.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
@@ -98,35 +102,38 @@
   connections_.emplace(c->id, std::move(connection));
   bufferevent_setcb(c->socket.get(), &OnReadable, &OnWritten, &OnEvent, c);
   bufferevent_enable(c->socket.get(), EV_READ | EV_WRITE);
-  StartClock(c);
+  UpdateTimeout(c);
 }
 
-// The clock that a connection is under: none while requests of it are under way, else as far as the
-// next request has come.
-void HttpServer::StartClock(Connection* c) {
-  using Clock = Connection::Clock;
+// Sets the timeout of a connection by the state of the next request: partly read body, partly read
+// head, or idle. There is none while requests are in flight and nothing of the next one was read,
+// or while a request is deferred.
+void HttpServer::UpdateTimeout(Connection* c) {
+  using Timeout = Connection::Timeout;
   Limits limits = options_.limits();
-  Clock clock = c->waiting              ? Clock::kNone
-                : c->reader.head_done() ? Clock::kBody
-                : c->reader.started()   ? Clock::kHeader
-                : c->slots.empty()      ? Clock::kIdle
-                                        : Clock::kNone;
-  // A head has its time from its first byte; a body, from its last; an idle client, from its last
-  // answer.
-  if (clock == c->clock && clock != Clock::kBody && clock != Clock::kIdle) return;
-  c->clock = clock;
-  switch (clock) {
-    case Clock::kNone:
+  Timeout timeout = c->deferred             ? Timeout::kNone
+                    : c->reader.head_done() ? Timeout::kBody
+                    : c->reader.started()   ? Timeout::kHeader
+                    : c->pending.empty()    ? Timeout::kIdle
+                                            : Timeout::kNone;
+  // The timeout of a head starts at its first byte. Those of a body and of an idle connection
+  // restart at each call: when bytes of the body arrive, or a response is written.
+  if (timeout == c->timeout && timeout != Timeout::kBody && timeout != Timeout::kIdle) return;
+  c->timeout = timeout;
+  switch (timeout) {
+    case Timeout::kNone:
       c->timer.Cancel();
       break;
-    case Clock::kIdle:
+    case Timeout::kIdle:
       c->timer.Start(loop_, limits.idle_ms, [this, c] { Drop(c); });
       break;
-    case Clock::kHeader:
-      c->timer.Start(loop_, limits.header_ms, [this, c] { Refuse(c, 408, "head too slow"); });
+    case Timeout::kHeader:
+      c->timer.Start(loop_, limits.header_ms,
+                     [this, c] { Reject(c, 408, "request head not received in time"); });
       break;
-    case Clock::kBody:
-      c->timer.Start(loop_, limits.idle_ms, [this, c] { Refuse(c, 408, "body too slow"); });
+    case Timeout::kBody:
+      c->timer.Start(loop_, limits.idle_ms,
+                     [this, c] { Reject(c, 408, "request body not received in time"); });
       break;
   }
 }
@@ -138,240 +145,249 @@
     evbuffer_drain(in, evbuffer_get_length(in));
     return;
   }
-  c->server->Advance(c);
+  c->server->ProcessRequests(c);
 }
 
-// Takes as many requests as may be under way at once.
-void HttpServer::Advance(Connection* c) {
-  if (c->advancing) return;  // an answer given at once; the outer loop goes on
-  c->advancing = true;
+// Reads and starts requests until Options::pipeline are in flight or no complete one is left.
+void HttpServer::ProcessRequests(Connection* c) {
+  if (c->processing) return;  // the handler answered at once; the loop of the outer call continues
+  c->processing = true;
   uint64_t id = c->id;
   for (;;) {
     if (connections_.count(id) == 0) return;  // dropped
-    if (c->closing || c->no_more) break;
-    if (c->waiting) {
-      if (!c->slots.empty()) break;
-      std::unique_ptr<Message> request = std::move(c->waiting);
-      Begin(c, std::move(*request), std::exchange(c->waiting_bytes, 0));
+    if (c->closing || c->no_more_requests) break;
+    if (c->deferred) {
+      if (!c->pending.empty()) break;
+      std::unique_ptr<Message> request = std::move(c->deferred);
+      StartRequest(c, std::move(*request), std::exchange(c->deferred_bytes, 0));
       continue;
     }
-    if (c->slots.size() >= options_.pipeline) break;
-    if (!ReadOne(c)) break;
+    if (c->pending.size() >= options_.pipeline) break;
+    if (!ReadRequest(c)) break;
   }
   if (connections_.count(id) == 0) return;
-  c->advancing = false;
-  // Reading goes on so that a client that leaves is noticed, but not without bound.
-  bool blocked = c->waiting || c->no_more || c->slots.size() >= options_.pipeline;
-  bufferevent_setwatermark(c->socket.get(), EV_READ, 0, blocked ? kPipelinedBytes : 0);
-  if (!c->closing) StartClock(c);
+  c->processing = false;
+  // Reading continues while no request is accepted, since only a read detects that the client
+  // closed the connection; the watermark bounds the memory that this takes.
+  bool blocked = c->deferred || c->no_more_requests || c->pending.size() >= options_.pipeline;
+  bufferevent_setwatermark(c->socket.get(), EV_READ, 0, blocked ? kMaxPipelinedBytes : 0);
+  if (!c->closing) UpdateTimeout(c);
 }
 
-// False if nothing more can be read now.
-bool HttpServer::ReadOne(Connection* c) {
+// Reads one request and starts or defers it. Returns false if none is complete, or if it was
+// rejected or dropped.
+bool HttpServer::ReadRequest(Connection* c) {
   Limits limits = options_.limits();
   evbuffer* in = bufferevent_get_input(c->socket.get());
   MessageReader::Progress progress = c->reader.Read(in, limits);
   size_t size = c->reader.body_size();
-  buffered_ += size - c->counted;
-  c->counted = size;
+  buffered_body_bytes_ += size - c->counted_bytes;
+  c->counted_bytes = size;
   if (progress == MessageReader::Progress::kBad) {
-    Refuse(c, c->reader.bad_status(), c->reader.bad_reason());
+    Reject(c, c->reader.error_status(), c->reader.error_reason());
     return false;
   }
-  if (c->counted > 0 && buffered_ > options_.max_buffered_bytes) {
-    Refuse(c, 503, "no memory for another body");
+  if (c->counted_bytes > 0 && buffered_body_bytes_ > options_.max_buffered_bytes) {
+    Reject(c, 503, "no memory for the request body");
     return false;
   }
   if (progress == MessageReader::Progress::kMore) {
-    // In between the answers of others an interim answer would be taken for one of them.
-    if (c->reader.wants_continue() && !c->continued && c->slots.empty()) {
-      c->continued = true;
+    // While earlier requests are unanswered, the client would take 100 Continue for the response to
+    // one of those.
+    if (c->reader.wants_continue() && !c->sent_continue && c->pending.empty()) {
+      c->sent_continue = true;
       bufferevent_write(c->socket.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25);
     }
     return false;
   }
-  if (LeftWhileAsleep(c)) {
+  if (ClientLeftDuringSuspension(c)) {
     Drop(c);
     return false;
   }
   Message request = c->reader.Take();
   c->reader.Reset();
-  c->continued = false;
-  size_t body_bytes = std::exchange(c->counted, 0);
-  if (!request.keep_alive) c->no_more = true;
-  if (!c->slots.empty() &&
+  c->sent_continue = false;
+  size_t body_bytes = std::exchange(c->counted_bytes, 0);
+  if (!request.keep_alive) c->no_more_requests = true;
+  if (!c->pending.empty() &&
       !(options_.may_run_out_of_order && options_.may_run_out_of_order(request))) {
-    c->waiting = std::make_unique<Message>(std::move(request));
-    c->waiting_bytes = body_bytes;
-    c->no_more = false;  // looked at again when its turn comes
+    c->deferred = std::make_unique<Message>(std::move(request));
+    c->deferred_bytes = body_bytes;
+    c->no_more_requests = false;  // set again when this request starts
     return true;
   }
-  Begin(c, std::move(request), body_bytes);
+  StartRequest(c, std::move(request), body_bytes);
   return true;
 }
 
-void HttpServer::Begin(Connection* c, Message&& request, size_t body_bytes) {
-  Slot slot;
-  slot.body_bytes = body_bytes;
-  slot.ticket = next_ticket_++;
-  slot.keep_alive = request.keep_alive;
-  slot.to_head = request.method == "HEAD";
-  if (!request.keep_alive) c->no_more = true;
-  Ticket ticket = slot.ticket;
-  c->slots.push_back(std::move(slot));
-  waiting_[ticket] = c;
-  StartClock(c);
+void HttpServer::StartRequest(Connection* c, Message&& request, size_t body_bytes) {
+  PendingResponse entry;
+  entry.body_bytes = body_bytes;
+  entry.ticket = next_ticket_++;
+  entry.keep_alive = request.keep_alive;
+  entry.head_request = request.method == "HEAD";
+  if (!request.keep_alive) c->no_more_requests = true;
+  Ticket ticket = entry.ticket;
+  c->pending.push_back(std::move(entry));
+  unanswered_[ticket] = c;
+  UpdateTimeout(c);
   handler_(ticket, std::move(request));
 }
 
-// What can't be a request gets an answer of ours behind those before it, and ends the connection.
-void HttpServer::Refuse(Connection* c, int status, const char* reason) {
+// Responds to a request that is not passed to the handler, after the earlier requests of its
+// connection, and then closes the connection.
+void HttpServer::Reject(Connection* c, int status, const char* reason) {
   if (refused_) refused_(status, reason);
   c->timer.Cancel();
-  c->clock = Connection::Clock::kNone;
-  c->no_more = true;
-  Slot slot;
-  slot.close = true;
-  slot.answer = std::make_unique<Message>(OwnAnswer(status, reason));
-  if (status == 503) slot.answer->headers.push_back({"Retry-After", kRetryAfter});
-  c->slots.push_back(std::move(slot));
-  Flush(c);
+  c->timeout = Connection::Timeout::kNone;
+  c->no_more_requests = true;
+  PendingResponse entry;
+  entry.close = true;
+  entry.response = std::make_unique<Message>(OwnAnswer(status, reason));
+  if (status == 503) entry.response->headers.push_back({"Retry-After", kRetryAfterSeconds});
+  c->pending.push_back(std::move(entry));
+  WriteReadyResponses(c);
 }
 
-HttpServer::Slot* HttpServer::Find(Ticket ticket, Connection** connection) const {
-  auto at = waiting_.find(ticket);
-  if (at == waiting_.end()) return nullptr;
-  for (Slot& slot : at->second->slots) {
-    if (slot.ticket != ticket) continue;
+HttpServer::PendingResponse* HttpServer::Find(Ticket ticket, Connection** connection) const {
+  auto at = unanswered_.find(ticket);
+  if (at == unanswered_.end()) return nullptr;
+  for (PendingResponse& entry : at->second->pending) {
+    if (entry.ticket != ticket) continue;
     *connection = at->second;
-    return &slot;
+    return &entry;
   }
   return nullptr;
 }
 
-evbuffer* HttpServer::OutputOf(Connection* c, Slot* slot) const {
-  if (slot == &c->slots.front()) return bufferevent_get_output(c->socket.get());
-  if (!slot->buffered) slot->buffered.reset(evbuffer_new());
-  return slot->buffered.get();
+// Returns where bytes of a streamed response go: to the socket if it is the first of its
+// connection, otherwise to a buffer of its own.
+evbuffer* HttpServer::OutputBuffer(Connection* c, PendingResponse* entry) const {
+  if (entry == &c->pending.front()) return bufferevent_get_output(c->socket.get());
+  if (!entry->buffered) entry->buffered.reset(evbuffer_new());
+  return entry->buffered.get();
 }
 
-// Writes all answers whose turn has come.
-void HttpServer::Flush(Connection* c) {
+// Writes all responses that are complete and not preceded by an incomplete one.
+void HttpServer::WriteReadyResponses(Connection* c) {
   evbuffer* out = bufferevent_get_output(c->socket.get());
   bool wrote = false;
-  while (!c->slots.empty() && !c->closing) {
-    Slot& slot = c->slots.front();
-    if (slot.buffered) {
-      evbuffer_add_buffer(out, slot.buffered.get());
-      slot.buffered.reset();
+  while (!c->pending.empty() && !c->closing) {
+    PendingResponse& entry = c->pending.front();
+    if (entry.buffered) {
+      evbuffer_add_buffer(out, entry.buffered.get());
+      entry.buffered.reset();
     }
-    if (slot.answer) {
-      slot.close |= !slot.keep_alive || (leaving_ && IsLast(*c, slot));
-      WriteAnswer(out, *slot.answer, slot.close, slot.to_head,
-                  options_.limits().idle_ms / 1000 - 1);
-    } else if (slot.stream != Slot::Stream::kEnded) {
+    if (entry.response) {
+      entry.close |= !entry.keep_alive || (draining_ && IsLast(*c, entry));
+      WriteResponse(out, *entry.response, entry.close, entry.head_request,
+                    options_.limits().idle_ms / 1000 - 1);
+    } else if (entry.stream != PendingResponse::Stream::kEnded) {
       break;
     }
     wrote = true;
-    bool close = slot.close;
-    waiting_.erase(slot.ticket);
-    buffered_ -= slot.body_bytes;
-    c->slots.pop_front();
+    bool close = entry.close;
+    unanswered_.erase(entry.ticket);
+    buffered_body_bytes_ -= entry.body_bytes;
+    c->pending.pop_front();
     if (close) Close(c);
   }
   if (!wrote) return;
   if (c->closing) {
     if (evbuffer_get_length(out) > 0) return;
-    // With nothing left to write no event would tell that it is written.
+    // The output is empty already, so libevent will not call OnWritten(), which starts the linger.
     uint64_t id = c->id;
     loop_->Defer([this, id] {
-      auto still = connections_.find(id);
-      if (still != connections_.end()) OnWritten(nullptr, still->second.get());
+      auto found = connections_.find(id);
+      if (found != connections_.end()) OnWritten(nullptr, found->second.get());
     });
     return;
   }
-  Advance(c);
+  ProcessRequests(c);
 }
 
-// Nothing behind the answer just written will be answered here; the client sends it again.
+// Called after the last response of a connection was written, and by Drop(). Discards the requests
+// that follow it and reports them as gone; Connection: close makes the client send them again.
 void HttpServer::Close(Connection* c) {
   c->closing = true;
-  c->waiting.reset();
-  buffered_ -= std::exchange(c->waiting_bytes, 0);
-  std::deque<Slot> behind = std::move(c->slots);
-  c->slots.clear();
-  for (Slot& slot : behind) {
-    buffered_ -= slot.body_bytes;
-    if (slot.ticket && waiting_.erase(slot.ticket) && gone_) gone_(slot.ticket);
+  c->deferred.reset();
+  buffered_body_bytes_ -= std::exchange(c->deferred_bytes, 0);
+  std::deque<PendingResponse> discarded = std::move(c->pending);
+  c->pending.clear();
+  for (PendingResponse& entry : discarded) {
+    buffered_body_bytes_ -= entry.body_bytes;
+    if (entry.ticket && unanswered_.erase(entry.ticket) && gone_) gone_(entry.ticket);
   }
 }
 
-bool HttpServer::Answer(Ticket ticket, const Message& answer, bool close) {
+bool HttpServer::Answer(Ticket ticket, const Message& response, bool close) {
   Connection* c = nullptr;
-  Slot* slot = Find(ticket, &c);
-  if (!slot || slot->answer) return false;
-  slot->answer = std::make_unique<Message>(answer);
-  slot->close = close;
-  if (slot == &c->slots.front()) Flush(c);
+  PendingResponse* entry = Find(ticket, &c);
+  if (!entry || entry->response) return false;
+  entry->response = std::make_unique<Message>(response);
+  entry->close = close;
+  if (entry == &c->pending.front()) WriteReadyResponses(c);
   return true;
 }
 
-void HttpServer::AnswerAll(const Message& answer) {
+void HttpServer::AnswerAll(const Message& response) {
   std::vector<Ticket> unanswered;
-  for (const auto& [ticket, connection] : waiting_) {
+  for (const auto& [ticket, connection] : unanswered_) {
     Connection* c = nullptr;
-    const Slot* slot = Find(ticket, &c);
-    if (!slot->answer && slot->stream == Slot::Stream::kNone) unanswered.push_back(ticket);
+    const PendingResponse* entry = Find(ticket, &c);
+    if (!entry->response && entry->stream == PendingResponse::Stream::kNone)
+      unanswered.push_back(ticket);
   }
-  for (Ticket ticket : unanswered) Answer(ticket, answer);
+  for (Ticket ticket : unanswered) Answer(ticket, response);
 }
 
 bool HttpServer::BeginAnswer(Ticket ticket, const Message& head, int64_t length) {
   Connection* c = nullptr;
-  Slot* slot = Find(ticket, &c);
-  if (!slot) return false;
-  slot->close = !slot->keep_alive || (leaving_ && IsLast(*c, *slot));
-  if (slot->close) c->no_more = true;  // the client is told so
-  slot->chunks = length < 0;
-  slot->stream = Slot::Stream::kOpen;
-  WriteHead(OutputOf(c, slot), head, slot->close, length);
+  PendingResponse* entry = Find(ticket, &c);
+  if (!entry) return false;
+  entry->close = !entry->keep_alive || (draining_ && IsLast(*c, *entry));
+  if (entry->close) c->no_more_requests = true;  // the head carries Connection: close
+  entry->chunks = length < 0;
+  entry->stream = PendingResponse::Stream::kOpen;
+  WriteResponseHead(OutputBuffer(c, entry), head, entry->close, length);
   return true;
 }
 
 bool HttpServer::WriteBody(Ticket ticket, std::string_view bytes) {
   Connection* c = nullptr;
-  Slot* slot = Find(ticket, &c);
-  if (!slot) return false;
+  PendingResponse* entry = Find(ticket, &c);
+  if (!entry) return false;
   if (bytes.empty()) return true;
-  evbuffer* out = OutputOf(c, slot);
-  if (slot->chunks) evbuffer_add_printf(out, "%zx\r\n", bytes.size());
+  evbuffer* out = OutputBuffer(c, entry);
+  if (entry->chunks) evbuffer_add_printf(out, "%zx\r\n", bytes.size());
   evbuffer_add(out, bytes.data(), bytes.size());
-  if (slot->chunks) evbuffer_add(out, "\r\n", 2);
+  if (entry->chunks) evbuffer_add(out, "\r\n", 2);
   return true;
 }
 
 void HttpServer::EndAnswer(Ticket ticket) {
   Connection* c = nullptr;
-  Slot* slot = Find(ticket, &c);
-  if (!slot) return;
-  if (slot->chunks) evbuffer_add(OutputOf(c, slot), "0\r\n\r\n", 5);
-  slot->stream = Slot::Stream::kEnded;
-  if (slot == &c->slots.front()) Flush(c);
+  PendingResponse* entry = Find(ticket, &c);
+  if (!entry) return;
+  if (entry->chunks) evbuffer_add(OutputBuffer(c, entry), "0\r\n\r\n", 5);
+  entry->stream = PendingResponse::Stream::kEnded;
+  if (entry == &c->pending.front()) WriteReadyResponses(c);
 }
 
 size_t HttpServer::Unsent(Ticket ticket) const {
   Connection* c = nullptr;
-  Slot* slot = Find(ticket, &c);
-  return slot ? evbuffer_get_length(OutputOf(c, slot)) : 0;
+  PendingResponse* entry = Find(ticket, &c);
+  return entry ? evbuffer_get_length(OutputBuffer(c, entry)) : 0;
 }
 
 void HttpServer::Reset(Ticket ticket) {
-  auto at = waiting_.find(ticket);
-  if (at == waiting_.end()) return;
+  auto at = unanswered_.find(ticket);
+  if (at == unanswered_.end()) return;
   Connection* c = at->second;
-  waiting_.erase(at);
-  linger hard{1, 0};
-  setsockopt(bufferevent_getfd(c->socket.get()), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  unanswered_.erase(at);
+  linger reset_on_close{1, 0};
+  setsockopt(bufferevent_getfd(c->socket.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+             sizeof reset_on_close);
   Drop(c);
 }
 
@@ -380,14 +396,15 @@
   HttpServer* server = c->server;
   if (c->closing && !c->lingering) {
     server->Linger(c);
-  } else if (!c->slots.empty() && c->slots.front().stream == Slot::Stream::kOpen &&
+  } else if (!c->pending.empty() && c->pending.front().stream == PendingResponse::Stream::kOpen &&
              server->drained_) {
-    server->drained_(c->slots.front().ticket);
+    server->drained_(c->pending.front().ticket);
   }
 }
 
-// Closing with unread bytes would reset the connection and could take the answer with it: say that
-// no more comes, read what is still on the way, then close.
+// Closing a socket with unread bytes resets the connection, and the client could lose the response.
+// So this shuts down the sending side, discards what the client still sends, and closes when the
+// client closes, at the latest after kLingerMs.
 void HttpServer::Linger(Connection* c) {
   c->lingering = true;
   shutdown(bufferevent_getfd(c->socket.get()), SHUT_WR);
@@ -400,9 +417,9 @@
 void HttpServer::OnEvent(bufferevent*, short what, void* arg) {
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
     auto* c = static_cast<Connection*>(arg);
-    // A client may end its own side and still read the rest of an answer that is on the way.
+    // The client may have shut down only its sending side and still read the rest of a response.
     bool sending = evbuffer_get_length(bufferevent_get_output(c->socket.get())) > 0;
-    if (c->slots.empty() && sending && !c->lingering && !(what & BEV_EVENT_ERROR)) {
+    if (c->pending.empty() && sending && !c->lingering && !(what & BEV_EVENT_ERROR)) {
       c->closing = true;
       return;
     }
@@ -413,7 +430,7 @@
 void HttpServer::Drop(Connection* c) {
   auto at = connections_.find(c->id);
   if (at == connections_.end()) return;
-  buffered_ -= c->counted;
+  buffered_body_bytes_ -= c->counted_bytes;
   c->timer.Cancel();
   bufferevent_setcb(c->socket.get(), nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(c->socket.get(), EV_READ | EV_WRITE);
@@ -433,16 +450,16 @@
   for (Connection* c : idle) Drop(c);
 }
 
-// Whether nothing has been read behind the request of this slot, not even in part.
-bool HttpServer::IsLast(const Connection& c, const Slot& slot) {
-  return &slot == &c.slots.back() && !c.waiting && !c.reader.started() &&
+// Whether no byte of a later request has been received on the connection.
+bool HttpServer::IsLast(const Connection& c, const PendingResponse& entry) {
+  return &entry == &c.pending.back() && !c.deferred && !c.reader.started() &&
          evbuffer_get_length(bufferevent_get_input(c.socket.get())) == 0;
 }
 
-// A connection that lingers is busy, too: if the process ended now, bytes that the client sent
-// meanwhile could reset the connection and take the answer with it.
+// A lingering connection is busy: if the process ended now, bytes that the client sent meanwhile
+// could reset the connection, and the client could lose the response.
 bool HttpServer::Busy(const Connection& c) {
-  return !c.slots.empty() || c.waiting || c.lingering || (c.reader.started() && !c.closing) ||
+  return !c.pending.empty() || c.deferred || c.lingering || (c.reader.started() && !c.closing) ||
          evbuffer_get_length(bufferevent_get_output(c.socket.get())) > 0;
 }
 
@@ -456,7 +473,7 @@
   occupancy.connections = connections_.size();
   for (const auto& [id, c] : connections_) {
     size_t unsent_bytes = evbuffer_get_length(bufferevent_get_output(c->socket.get()));
-    occupancy.waiting += !c->slots.empty();
+    occupancy.waiting += !c->pending.empty();
     occupancy.reading += c->reader.started();
     occupancy.unsent += unsent_bytes > 0;
     occupancy.unsent_bytes += unsent_bytes;
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -10,92 +10,106 @@
 
 namespace elderkeel::http {
 
-// Serves one HTTP listener. Requests come whole; each is answered once through its ticket, now or
-// later. Of pipelined requests some may be begun ahead of their turn; the answers keep the order.
+// Serves one HTTP listener. Calls the handler with each complete request; the owner responds once
+// per request by its ticket, from inside the handler or later. Pipelined requests may be passed to
+// the handler before earlier ones are answered (Options::pipeline); responses are written in the
+// order of the requests. Runs on the event loop.
 class HttpServer {
  public:
-  using Ticket = uint64_t;  // names a request that waits for its answer
+  using Ticket = uint64_t;  // identifies a request that has not been answered; never 0
   struct Options {
-    std::function<Limits()> limits;  // asked anew for each message
-    // After this process slept (was frozen, or had no processor), requests that waited meanwhile
-    // are taken only if their clients still are there.
+    std::function<Limits()> limits;  // called for each message, so that changes apply at once
+    // After this process was suspended (frozen, or without processor time), drops the requests that
+    // arrived meanwhile if their clients have closed the connection.
     bool notice_sleep = false;
     size_t max_connections = 1000;
-    // So many requests of one connection are under way at once, if `may_run_out_of_order` says of
-    // each but the first that it may be begun before those in front of it are answered.
+    // At most this many requests of one connection are in flight. A request is passed to the
+    // handler while earlier ones are unanswered only if `may_run_out_of_order` returns true for it.
     size_t pipeline = 1;
     std::function<bool(const Message&)> may_run_out_of_order;
-    // All bodies of requests together, from their first byte until they are answered.
+    // Limit on the bodies of all requests together, each counted from its first byte until its
+    // response is written. A request beyond the limit is rejected with 503.
     size_t max_buffered_bytes = 64u << 20;
   };
   using Handler = std::function<void(Ticket, Message&&)>;
-  // The client closed before the answer to this request was given.
+  // Called when the response to a request can no longer be sent: the client closed the connection,
+  // or an earlier response on it carried Connection: close.
   using GoneHandler = std::function<void(Ticket)>;
-  // A request that was refused before it was whole: status and reason, for the record.
+  // Called when a request is rejected without the handler, for example because it is malformed.
   using RefusedHandler = std::function<void(int status, const char* reason)>;
 
   HttpServer(base::Loop* loop, Options options, Handler handler);
   ~HttpServer();
 
+  // Returns an error if the address can't be bound.
   base::Status Listen(const base::Address& address);
   void StopListening() { listener_.Close(); }
   void OnGone(GoneHandler gone) { gone_ = std::move(gone); }
   void OnRefused(RefusedHandler refused) { refused_ = std::move(refused); }
 
-  // False if the client is no longer there.
-  bool Answer(Ticket ticket, const Message& answer, bool close = false);
-  // Gives this answer to every request that still waits for one, but for those whose answer was
-  // begun.
-  void AnswerAll(const Message& answer);
-  // An answer too large to be held: its head, its body as it comes, its end. `length` < 0: chunks.
+  // Sends a complete response. `close` closes the connection after it. Returns false if the request
+  // was answered already or its client has closed the connection.
+  bool Answer(Ticket ticket, const Message& response, bool close = false);
+  // Sends this response to every request that has none yet. Streamed responses that have begun are
+  // not affected.
+  void AnswerAll(const Message& response);
+  // Streams a response that is too large to buffer: the head, the body in parts, the end. `length`
+  // is the Content-Length; < 0 selects chunked transfer coding. The first two return false if the
+  // client has closed the connection.
   bool BeginAnswer(Ticket ticket, const Message& head, int64_t length);
   bool WriteBody(Ticket ticket, std::string_view bytes);
   void EndAnswer(Ticket ticket);
-  // Bytes of the answer that the client has not taken yet.
+  // Returns the bytes of a streamed response that the kernel has not taken yet. While the response
+  // is first on its connection, bytes of earlier responses count too.
   size_t Unsent(Ticket ticket) const;
-  // An answer that is being written has gone out as far as it was given.
+  // `drained` is called when the kernel has taken all bytes of a streamed response written so far.
   void OnDrained(std::function<void(Ticket)> drained) { drained_ = std::move(drained); }
-  // For an answer that was begun and can't be completed: the client must see a broken connection.
+  // Resets the connection of a streamed response that can't be completed. A regular close could
+  // look like the end of the response to the client.
   void Reset(Ticket ticket);
-  // While leaving, the last answer that a connection waits for carries Connection: close, and idle
-  // connections are closed by CloseIdle().
-  void SetLeaving(bool leaving) { leaving_ = leaving; }
+  // While this process shuts down, the last response that is due on a connection carries
+  // Connection: close.
+  void SetLeaving(bool draining) { draining_ = draining; }
+  // Closes the connections that have neither a request nor response bytes in flight.
   void CloseIdle();
-  // Connections with a request read or being read, with answer bytes still to be sent, or that wait
-  // for the client to close.
+  // Returns the number of connections with a request in flight or partly read, with unsent response
+  // bytes, or lingering: waiting for the client to close.
   size_t busy() const;
-  // What the connections are at, for whoever asks why the server is still busy. One may count in
-  // several of these.
+  // Counts of connections by state, which show why a shutdown has to wait. One connection may count
+  // in several of them.
   struct Occupancy {
     size_t connections = 0;
-    size_t waiting = 0;  // for the answer to a request
-    size_t reading = 0;  // a request in part
-    size_t unsent = 0;   // with bytes of answers that the kernel has not taken
-    size_t unsent_bytes = 0;
-    size_t lingering = 0;  // for the client to close
+    size_t waiting = 0;       // with a request whose response is not complete
+    size_t reading = 0;       // with a partly read request
+    size_t unsent = 0;        // with response bytes that the kernel has not taken
+    size_t unsent_bytes = 0;  // sum of those bytes
+    size_t lingering = 0;     // waiting for the client to close
   };
   Occupancy GetOccupancy() const;
   size_t connections() const { return connections_.size(); }
-  size_t buffered_bytes() const { return buffered_; }
+  // The bytes that Options::max_buffered_bytes limits.
+  size_t buffered_bytes() const { return buffered_body_bytes_; }
 
  private:
-  struct Slot;
+  struct PendingResponse;
   struct Connection;
   void Accepted(int fd);
+  // Closes the socket at once and reports its unanswered requests as gone.
   void Drop(Connection* c);
-  void Advance(Connection* c);
-  bool ReadOne(Connection* c);
-  void Begin(Connection* c, Message&& request, size_t body_bytes);
-  void Flush(Connection* c);
-  void Refuse(Connection* c, int status, const char* reason);
-  void StartClock(Connection* c);
+  void ProcessRequests(Connection* c);
+  bool ReadRequest(Connection* c);
+  void StartRequest(Connection* c, Message&& request, size_t body_bytes);
+  void WriteReadyResponses(Connection* c);
+  void Reject(Connection* c, int status, const char* reason);
+  void UpdateTimeout(Connection* c);
   void Close(Connection* c);
   void Linger(Connection* c);
-  Slot* Find(Ticket ticket, Connection** connection) const;
-  evbuffer* OutputOf(Connection* c, Slot* slot) const;
-  bool LeftWhileAsleep(const Connection* c) const;
+  // Returns the unfinished response and sets `*connection`; nullptr if there is none.
+  PendingResponse* Find(Ticket ticket, Connection** connection) const;
+  evbuffer* OutputBuffer(Connection* c, PendingResponse* pending) const;
+  bool ClientLeftDuringSuspension(const Connection* c) const;
   static bool Busy(const Connection& c);
-  static bool IsLast(const Connection& c, const Slot& slot);
+  static bool IsLast(const Connection& c, const PendingResponse& pending);
   static void OnReadable(bufferevent*, void* arg);
   static void OnWritten(bufferevent*, void* arg);
   static void OnEvent(bufferevent*, short what, void* arg);
@@ -108,14 +122,15 @@
   RefusedHandler refused_;
   transport::Listener listener_;
   std::unordered_map<uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<Ticket, Connection*> waiting_;
+  std::unordered_map<Ticket, Connection*> unanswered_;
   uint64_t next_id_ = 1;
   Ticket next_ticket_ = 1;
-  size_t buffered_ = 0;
-  bool leaving_ = false;
-  base::Timer awake_timer_;
-  base::Millis awake_at_ = 0;     // the last sign of not being asleep
-  base::Millis slept_until_ = 0;  // till then, what is read may have waited through a sleep
+  size_t buffered_body_bytes_ = 0;
+  bool draining_ = false;
+  base::Timer suspension_timer_;
+  base::Millis last_tick_at_ = 0;  // when suspension_timer_ fired last
+  // Until then, requests that are read may have arrived during a suspension.
+  base::Millis suspected_until_ = 0;
 };
 
 }  // namespace elderkeel::http
--- a/tests/http/http_connection_test.cc
+++ b/tests/http/http_connection_test.cc
@@ -13,29 +13,29 @@
 
 using Ending = HttpConnection::Ending;
 
-// A connection to a listener whose other end the test holds itself, as a blocking socket.
-class ConnectionTest : public ::testing::Test {
+// A connection whose remote end is a blocking socket that the test reads and writes.
+class HttpConnectionTest : public ::testing::Test {
  protected:
-  ConnectionTest() : listener_(socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in any{};
-    any.sin_family = AF_INET;
-    any.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof any;
-    EXPECT_EQ(bind(listener_, reinterpret_cast<sockaddr*>(&any), sizeof any), 0);
+  HttpConnectionTest() : listener_(socket(AF_INET, SOCK_STREAM, 0)) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    EXPECT_EQ(bind(listener_, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     EXPECT_EQ(listen(listener_, 8), 0);
-    getsockname(listener_, reinterpret_cast<sockaddr*>(&any), &size);
+    getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &size);
     limits_.body_bytes = 1000;
     connection_ = std::make_unique<HttpConnection>(
-        &loop_, base::Address{"127.0.0.1", ntohs(any.sin_port)}, 1000, limits_);
-    Turn([this] { return connection_->connected(); });
+        &loop_, base::Address{"127.0.0.1", ntohs(address.sin_port)}, 1000, limits_);
+    RunUntil([this] { return connection_->connected(); });
     peer_ = accept(listener_, nullptr, nullptr);
   }
-  ~ConnectionTest() override {
+  ~HttpConnectionTest() override {
     if (peer_ >= 0) close(peer_);
     close(listener_);
   }
   template <class Condition>
-  bool Turn(Condition done, base::Millis at_most = 1000) {
+  bool RunUntil(Condition done, base::Millis at_most = 1000) {
     base::Millis end = base::SteadyMillis() + at_most;
     base::Timer tick;
     while (!done() && base::SteadyMillis() < end) {
@@ -59,13 +59,13 @@
     connection_->Send(method + " / HTTP/1.1\r\nHost: h\r\nId: " + id + "\r\n\r\n", method == "HEAD",
                       [this](HttpConnection::Outcome&& o) { outcome_ = std::move(o); });
   }
-  static std::string Answer(const std::string& id, const std::string& body,
-                            const std::string& first = "HTTP/1.1 200 OK\r\n") {
+  static std::string ResponseText(const std::string& id, const std::string& body,
+                                  const std::string& first = "HTTP/1.1 200 OK\r\n") {
     return first + "Id: " + id + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
   }
-  bool Ended() {
-    return Turn([this] { return outcome_.has_value(); });
+  bool AwaitOutcome() {
+    return RunUntil([this] { return outcome_.has_value(); });
   }
 
   base::Loop loop_;
@@ -76,113 +76,118 @@
   std::optional<HttpConnection::Outcome> outcome_;
 };
 
-TEST_F(ConnectionTest, AnAnswerCountsOnlyWithOneIdAndThatItsOwn) {
+// Guards against passing the response to one request to the client of another one.
+TEST_F(HttpConnectionTest, ResponseIsAcceptedOnlyWithExactlyOneMatchingId) {
   struct Case {
     const char* name;
     std::string ids;
-    bool counts;
-  } cases[] = {{"its own", "Id: a\r\n", true},
-               {"none", "", false},
-               {"its own twice", "Id: a\r\nId: a\r\n", false},
-               {"its own, then another's", "Id: a\r\nId: b\r\n", false},
-               {"another's, then its own", "Id: b\r\nId: a\r\n", false}};
+    bool accepted;
+  } cases[] = {{"matching", "Id: a\r\n", true},
+               {"missing", "", false},
+               {"matching twice", "Id: a\r\nId: a\r\n", false},
+               {"matching, then another", "Id: a\r\nId: b\r\n", false},
+               {"another, then matching", "Id: b\r\nId: a\r\n", false}};
   for (int status : {200, 404, 421, 429, 500, 503}) {
     for (const Case& c : cases) {
       SCOPED_TRACE(std::string(c.name) + " " + std::to_string(status));
       close(peer_);
       connection_ = std::make_unique<HttpConnection>(&loop_, connection_->address(), 1000, limits_);
-      ASSERT_TRUE(Turn([this] { return connection_->connected(); }));
+      ASSERT_TRUE(RunUntil([this] { return connection_->connected(); }));
       peer_ = accept(listener_, nullptr, nullptr);
       Request("a");
-      Turn([] { return false; }, 5);
+      RunUntil([] { return false; }, 5);
       Write("HTTP/1.1 " + std::to_string(status) + " X\r\n" + c.ids + "Content-Length: 0\r\n\r\n");
-      ASSERT_TRUE(Ended());
-      EXPECT_EQ(outcome_->ending == Ending::kAnswer, c.counts);
-      EXPECT_EQ(connection_->Usable(), c.counts);
+      ASSERT_TRUE(AwaitOutcome());
+      EXPECT_EQ(outcome_->ending == Ending::kAnswer, c.accepted);
+      EXPECT_EQ(connection_->Usable(), c.accepted);
     }
   }
 }
 
-// The connection broke, or brought bytes, while nobody looked: nothing may be sent on it, and what
-// was sent all the same is said to be not sent only if the kernel took no byte.
-TEST_F(ConnectionTest, WhatBecameOfAnIdleConnectionIsSeenAtTheNextRequest) {
-  enum What { kReset, kClosed, kBytes };
-  for (What what : {kReset, kClosed, kBytes}) {
-    SCOPED_TRACE(what);
+// An idle connection is closed, reset or receives bytes before the event loop has processed that.
+// It must not count as usable, and a request that is sent on it nevertheless may end with kNotSent
+// only if the kernel took no byte of it; otherwise a retry could run it twice.
+TEST_F(HttpConnectionTest, ChangesOfAnIdleConnectionAreDetectedAtTheNextRequest) {
+  enum Change { kReset, kClosed, kBytes };
+  for (Change change : {kReset, kClosed, kBytes}) {
+    SCOPED_TRACE(change);
     if (peer_ >= 0) close(peer_);
     connection_ = std::make_unique<HttpConnection>(&loop_, connection_->address(), 1000, limits_);
-    ASSERT_TRUE(Turn([this] { return connection_->connected(); }));
+    ASSERT_TRUE(RunUntil([this] { return connection_->connected(); }));
     peer_ = accept(listener_, nullptr, nullptr);
     EXPECT_TRUE(connection_->Usable());
-    if (what == kBytes) {
-      Write(Answer("other", "x"));
+    if (change == kBytes) {
+      Write(ResponseText("other", "x"));
     } else {
-      linger hard{1, 0};
-      if (what == kReset) setsockopt(peer_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+      linger reset_on_close{1, 0};
+      if (change == kReset)
+        setsockopt(peer_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
       close(peer_);
       peer_ = -1;
     }
     usleep(2000);
     EXPECT_FALSE(connection_->Usable());
     Request("a");
-    if (what == kBytes) {
-      // Of another request; its own answer still may come, but the connection is spoilt.
-      Turn([] { return false; }, 10);
+    if (change == kBytes) {
+      // The bytes answer another request. The matching response may still follow, but the
+      // connection is not used again.
+      RunUntil([] { return false; }, 10);
       EXPECT_FALSE(outcome_.has_value());
-      Write(Answer("a", "mine"));
-      ASSERT_TRUE(Ended());
+      Write(ResponseText("a", "mine"));
+      ASSERT_TRUE(AwaitOutcome());
       EXPECT_EQ(outcome_->answer.body, "mine");
       EXPECT_TRUE(connection_->closed());
       continue;
     }
-    ASSERT_TRUE(Ended());
-    EXPECT_EQ(outcome_->ending, what == kReset ? Ending::kNotSent : Ending::kBroken);
+    ASSERT_TRUE(AwaitOutcome());
+    EXPECT_EQ(outcome_->ending, change == kReset ? Ending::kNotSent : Ending::kBroken);
   }
 }
 
-// Whoever takes a large body may pause at its very last bytes; the next answer is read all the
-// same.
-TEST_F(ConnectionTest, APauseEndsWithItsAnswer) {
+// The receiver of a streamed body may pause the connection at the last bytes. Reading must resume
+// for the next response; otherwise that one would never arrive.
+TEST_F(HttpConnectionTest, PauseEndsWithTheResponse) {
   std::string large(3000, 'x');
   connection_->OnLarge([this](const Message&, int64_t) -> HttpConnection::BodySink {
     return [this](std::string_view) { connection_->Pause(true); };
   });
   Request("a");
-  Turn([] { return false; }, 5);
-  std::string answer = Answer("a", large);
+  RunUntil([] { return false; }, 5);
+  std::string answer = ResponseText("a", large);
   Write(answer.substr(0, 2000));
-  Turn([] { return false; }, 5);
+  RunUntil([] { return false; }, 5);
   Write(answer.substr(2000));
-  ASSERT_TRUE(Ended());
+  ASSERT_TRUE(AwaitOutcome());
   ASSERT_EQ(outcome_->ending, Ending::kAnswer);
   ASSERT_TRUE(connection_->Usable());
   ReadAll();
   Request("b");
-  Turn([] { return false; }, 5);
+  RunUntil([] { return false; }, 5);
   EXPECT_FALSE(ReadAll().empty());
-  Write(Answer("b", "next"));
-  ASSERT_TRUE(Ended()) << "nothing is read any more";
+  Write(ResponseText("b", "next"));
+  ASSERT_TRUE(AwaitOutcome()) << "reading did not resume";
   EXPECT_EQ(outcome_->answer.body, "next");
 }
 
-// Statuses whose answers have no body, whatever length their head states.
-TEST_F(ConnectionTest, ALengthWithoutABodyTakesNothingFromTheNextAnswer) {
+// Responses with status 1xx, 204 and 304 have no body, even with a Content-Length. Reading one
+// would consume the start of the next response.
+TEST_F(HttpConnectionTest, ContentLengthWithoutBodyConsumesNothingOfTheNextResponse) {
   int n = 0;
   for (const char* first : {"HTTP/1.1 304 Not Modified\r\n", "HTTP/1.1 204 No Content\r\n"}) {
     std::string id = "a" + std::to_string(++n);
     Request(id);
-    Turn([] { return false; }, 5);
+    RunUntil([] { return false; }, 5);
     ReadAll();
     Write(std::string(first) + "Id: " + id + "\r\nContent-Length: 7\r\n\r\n");
-    ASSERT_TRUE(Ended()) << first;
+    ASSERT_TRUE(AwaitOutcome()) << first;
     EXPECT_EQ(outcome_->ending, Ending::kAnswer);
     EXPECT_EQ(outcome_->answer.body, "");
     EXPECT_TRUE(connection_->Usable());
   }
   Request("b");
-  Turn([] { return false; }, 5);
-  Write("HTTP/1.1 103 Early\r\nId: other\r\nContent-Length: 9\r\n\r\n" + Answer("b", "mine"));
-  ASSERT_TRUE(Ended());
+  RunUntil([] { return false; }, 5);
+  Write("HTTP/1.1 103 Early\r\nId: other\r\nContent-Length: 9\r\n\r\n" + ResponseText("b", "mine"));
+  ASSERT_TRUE(AwaitOutcome());
   EXPECT_EQ(outcome_->answer.body, "mine");
 }
 
--- a/tests/http/http_server_test.cc
+++ b/tests/http/http_server_test.cc
@@ -9,7 +9,7 @@
 namespace elderkeel::http {
 namespace {
 
-// A server that answers when the test says so, and clients as bare sockets.
+// A server whose requests the test answers by their tickets, and clients that are plain sockets.
 class HttpServerTest : public ::testing::Test {
  protected:
   HttpServerTest()
@@ -43,22 +43,23 @@
     }
     return true;
   }
-  // Sends `count` requests in one piece on a new connection, and waits until they are read.
-  int Ask(size_t count) {
+  // Sends `count` pipelined requests on a new connection and waits until the handler has received
+  // them.
+  int SendRequests(size_t count) {
     int fd = transport::StartConnect(address_, 0);
     clients_.push_back(fd);
     std::string bytes;
     for (size_t i = 0; i < count; ++i) bytes += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-    size_t wanted = tickets_.size() + count;
+    size_t expected_tickets = tickets_.size() + count;
     EXPECT_TRUE(RunUntil([&] {
       return send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
              static_cast<ssize_t>(bytes.size());
     }));
-    EXPECT_TRUE(RunUntil([&] { return tickets_.size() == wanted; }));
+    EXPECT_TRUE(RunUntil([&] { return tickets_.size() == expected_tickets; }));
     return fd;
   }
   // Sends a request with a body on a new connection.
-  int Post(size_t body_bytes) {
+  int SendRequestWithBody(size_t body_bytes) {
     int fd = transport::StartConnect(address_, 0);
     clients_.push_back(fd);
     std::string bytes =
@@ -70,6 +71,7 @@
     }));
     return fd;
   }
+  // Returns the bytes that have arrived, without waiting.
   std::string Receive(int fd) {
     std::string all;
     char buffer[4096];
@@ -78,8 +80,8 @@
     }
     return all;
   }
-  // Waits until so many answers have come on the connection.
-  std::string Await(int fd, size_t answers) {
+  // Waits for `expected` responses and returns all bytes received.
+  std::string AwaitResponses(int fd, size_t expected) {
     std::string all;
     auto count = [&all] {
       size_t n = 0;
@@ -88,7 +90,7 @@
     };
     EXPECT_TRUE(RunUntil([&] {
       all += Receive(fd);
-      return count() >= answers;
+      return count() >= expected;
     })) << all;
     return all;
   }
@@ -100,13 +102,14 @@
   HttpServer server_;
 };
 
-// A process ended, or closed what it took for idle, right behind its last answer: what the client
-// had sent meanwhile reset the connection and could take the answer with it.
-TEST_F(HttpServerTest, IsBusyUntilTheClientHasClosedBehindTheLastAnswer) {
+// Guards against lost responses at shutdown: if the process ends or closes a connection right after
+// its last response, bytes that the client has sent meanwhile reset the connection, and the client
+// may lose the response.
+TEST_F(HttpServerTest, ConnectionStaysBusyUntilTheClientClosesAfterTheLastResponse) {
   server_.SetLeaving(true);
-  int client = Ask(1);
+  int client = SendRequests(1);
   server_.Answer(tickets_[0], OwnAnswer(200, "whole"));
-  std::string answer = Await(client, 1);
+  std::string answer = AwaitResponses(client, 1);
   EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
   EXPECT_EQ(server_.busy(), 1u);
   server_.CloseIdle();
@@ -115,53 +118,54 @@
   EXPECT_TRUE(RunUntil([&] { return server_.busy() == 0; }, 500));
 }
 
-TEST_F(HttpServerTest, WaitsForAClientThatNeverClosesForALimitedTime) {
+TEST_F(HttpServerTest, LingerEndsIfTheClientNeverCloses) {
   server_.SetLeaving(true);
-  int client = Ask(1);
+  int client = SendRequests(1);
   server_.Answer(tickets_[0], OwnAnswer(200, "whole"));
-  Await(client, 1);
+  AwaitResponses(client, 1);
   EXPECT_TRUE(RunUntil([&] { return server_.busy() == 0; }, 3000));
 }
 
-// While leaving, only the last of the answers that are owed ends the connection.
-TEST_F(HttpServerTest, AnswersAllThatWaitAtOnceInTheirOrder) {
+// During shutdown, only the last response that is due on a connection carries Connection: close;
+// otherwise the client would not receive the others.
+TEST_F(HttpServerTest, AnswerAllKeepsTheOrderOfPipelinedRequests) {
   server_.SetLeaving(true);
-  int first = Ask(3), second = Ask(1);
-  server_.Answer(tickets_[1], OwnAnswer(200, "own"));  // waits for its turn
+  int first = SendRequests(3), second = SendRequests(1);
+  server_.Answer(tickets_[1], OwnAnswer(200, "own"));  // is sent after the first one
   server_.AnswerAll(OwnAnswer(503, "end"));
-  std::string answers = Await(first, 3);
-  size_t own = answers.find("HTTP/1.1 200");
-  EXPECT_LT(answers.find("HTTP/1.1 503"), own) << answers;
-  EXPECT_GT(answers.rfind("HTTP/1.1 503"), own) << answers;
-  EXPECT_GT(answers.find("Connection: close"), answers.rfind("HTTP/1.1 503")) << answers;
-  EXPECT_NE(Await(second, 1).find("HTTP/1.1 503"), std::string::npos);
-  // Who answers late finds nobody.
+  std::string responses = AwaitResponses(first, 3);
+  size_t own = responses.find("HTTP/1.1 200");
+  EXPECT_LT(responses.find("HTTP/1.1 503"), own) << responses;
+  EXPECT_GT(responses.rfind("HTTP/1.1 503"), own) << responses;
+  EXPECT_GT(responses.find("Connection: close"), responses.rfind("HTTP/1.1 503")) << responses;
+  EXPECT_NE(AwaitResponses(second, 1).find("HTTP/1.1 503"), std::string::npos);
+  // The request was answered by AnswerAll().
   EXPECT_FALSE(server_.Answer(tickets_[0], OwnAnswer(200, "late")));
 }
 
-// Bodies that were read whole and waited for a server were in no sum: uploads took a proxy beyond
-// the memory that the platform allows it.
-TEST_F(HttpServerTest, BodiesCountUntilTheyAreAnswered) {
-  int first = Post(800);
+// Guards against uploads that take a proxy beyond its memory limit: bodies that were read
+// completely and waited for a server did not count towards max_buffered_bytes.
+TEST_F(HttpServerTest, BodiesCountTowardsTheLimitUntilAnswered) {
+  int first = SendRequestWithBody(800);
   ASSERT_TRUE(RunUntil([&] { return tickets_.size() == 1; }));
   EXPECT_EQ(server_.buffered_bytes(), 800u);
-  std::string refused = Await(Post(800), 1);
+  std::string refused = AwaitResponses(SendRequestWithBody(800), 1);
   EXPECT_NE(refused.find("HTTP/1.1 503"), std::string::npos) << refused;
   EXPECT_NE(refused.find("Retry-After"), std::string::npos) << refused;
   EXPECT_EQ(tickets_.size(), 1u);
-  Ask(1);  // what has no body takes no part in it
+  SendRequests(1);  // requests without a body are not limited
   EXPECT_TRUE(server_.Answer(tickets_[0], OwnAnswer(200, "whole")));
-  Await(first, 1);
+  AwaitResponses(first, 1);
   EXPECT_TRUE(RunUntil([&] { return server_.buffered_bytes() == 0; }));
-  Post(800);
+  SendRequestWithBody(800);
   EXPECT_TRUE(RunUntil([&] { return tickets_.size() == 3; }));
 }
 
-TEST_F(HttpServerTest, BodiesOfClientsThatLeaveCountNoMore) {
-  int client = Post(800);
+TEST_F(HttpServerTest, BodiesOfDisconnectedClientsNoLongerCount) {
+  int client = SendRequestWithBody(800);
   ASSERT_TRUE(RunUntil([&] { return tickets_.size() == 1; }));
-  linger hard{1, 0};
-  setsockopt(client, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  linger reset_on_close{1, 0};
+  setsockopt(client, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close(client);
   clients_.pop_back();
   EXPECT_TRUE(RunUntil([&] { return server_.buffered_bytes() == 0; }));
