--- a/tools/soak/checkers.cc
+++ b/tools/soak/checkers.cc
@@ -9,75 +9,85 @@
 namespace {
 
 using Kind = Disturbance::Kind;
-using RunsByAttempt = std::multimap<std::string, const ServerRun*>;
-
-constexpr base::Millis kLastCuttableRequestMs = 3000;  // after SIGTERM
-constexpr base::Millis kAfterGraceMs = 1000;           // so long a SIGTERM counts as planned work
-constexpr base::Millis kDeadlineSlackMs = 100;  // an answer at the deadline may come so much sooner
-
-constexpr base::Millis kNoticeGoneMs = 500;  // after a client has left
-constexpr size_t kLateAfterGoneAllowed = 3;  // requests: "a few"
-constexpr size_t kKeptClosedAllowed = 3;     // connections
-constexpr size_t kDeniedAllowed = 5;         // requests, and one in so many more
-constexpr size_t kOneInDeniedAllowed = 500;
-
-RunsByAttempt IndexRuns(const RecordData& record) {
-  RunsByAttempt runs;
-  for (const ServerRun& run : record.runs) runs.emplace(run.attempt_id, &run);
-  return runs;
+using ExecutionsByAttempt = std::multimap<std::string, const Execution*>;
+
+// Requests sent up to this time after SIGTERM may be cut off if their work lasts into the last
+// sixth of the grace time.
+constexpr base::Millis kMaxExcusedSendMs = 3000;
+// CheckLost() covers requests that end up to this time after the end of the grace time.
+constexpr base::Millis kAfterGraceMs = 1000;
+// A proxy may send its time-out response this much before the deadline.
+constexpr base::Millis kDeadlineSlackMs = 100;
+
+// Time within which a client's disconnect must have reached proxy and server.
+constexpr base::Millis kDisconnectNoticeMs = 500;
+constexpr size_t kMaxLateExecutions = 3;  // the rule allows "a few"
+constexpr size_t kMaxClosedReusedConnections = 3;
+// Allowed are this many denied requests and one more for each kRequestsPerExtraDenied requests.
+constexpr size_t kMaxDenied = 5;
+constexpr size_t kRequestsPerExtraDenied = 500;
+
+ExecutionsByAttempt IndexExecutions(const RecordData& record) {
+  ExecutionsByAttempt executions;
+  for (const Execution& execution : record.executions)
+    executions.emplace(execution.attempt_id, &execution);
+  return executions;
 }
 
-// Whether between two moments one of the processes that matter, or the machine itself, had no
-// processor.
-bool AnyStall(const RecordData& record, base::Millis first, base::Millis last,
-              const std::function<bool(const std::string&)>& matters) {
+// Whether the whole machine or a process for which `is_relevant` returns true stalled between
+// `first` and `last`.
+bool HasStall(const RecordData& record, base::Millis first, base::Millis last,
+              const std::function<bool(const std::string&)>& is_relevant) {
   return std::any_of(record.stalls.begin(), record.stalls.end(), [&](const Stall& stall) {
     bool within = stall.at <= last && stall.at + stall.for_ms >= first;
-    return within && (stall.process.empty() || matters(stall.process));
+    return within && (stall.process.empty() || is_relevant(stall.process));
   });
 }
 
 bool IsController(const std::string& process) { return process[0] == 'c'; }
 bool IsProxy(const std::string& process) { return process[0] == 'p'; }
 
-// Whether anything unplanned happened anywhere, or the process had no processor.
-bool AnyUnplanned(const RecordData& record, base::Millis first, base::Millis last,
+// Whether an unplanned disturbance of any process, or a stall of this process, happened between
+// `first` and `last`.
+bool HasUnplanned(const RecordData& record, base::Millis first, base::Millis last,
                   const std::string& process) {
   bool unplanned = std::any_of(
       record.disturbances.begin(), record.disturbances.end(),
       [&](const Disturbance& d) { return IsUnplanned(d.kind) && d.at >= first && d.at <= last; });
-  return unplanned || AnyStall(record, first, last,
+  return unplanned || HasStall(record, first, last,
                                [&](const std::string& stalled) { return stalled == process; });
 }
 
+// Whether the disturbance can interrupt the process's contact with the other processes.
 bool DisturbsProcess(const Disturbance& d) {
   return d.kind == Kind::kTerminate || d.kind == Kind::kStart || d.kind == Kind::kExit ||
          IsUnplanned(d.kind);
 }
 
-// Whether nothing befell the process, or the whole fleet unplanned, from `contact-ms` before the
-// first moment to the last.
-bool InTouch(const RecordData& record, const Bounds& bounds, const std::string& process,
-             base::Millis first, base::Millis last) {
+// Whether from `contact-ms` before `first` until `last` the process was not disturbed and no
+// process had an unplanned disturbance.
+bool IsUndisturbed(const RecordData& record, const Bounds& bounds, const std::string& process,
+                   base::Millis first, base::Millis last) {
   base::Millis from = first - bounds.contact_ms;
   bool disturbed = std::any_of(
       record.disturbances.begin(), record.disturbances.end(), [&](const Disturbance& d) {
         return d.target == process && DisturbsProcess(d) && d.at >= from && d.at <= last;
       });
-  return !disturbed && !AnyUnplanned(record, from, last, process);
+  return !disturbed && !HasUnplanned(record, from, last, process);
 }
 
+// Whether the client received a response of the server, rather than the proxy's own.
 bool IsServed(const Request& request) { return !request.seal.empty(); }
 
-// The SIGTERM of the request's proxy around which the request ended; null if none.
-const Disturbance* TerminationAround(const RecordData& record, const Bounds& bounds,
-                                     const Request& request) {
+// The SIGTERM to the request's proxy whose shutdown the request ended in; null if none.
+const Disturbance* FindTermination(const RecordData& record, const Bounds& bounds,
+                                   const Request& request) {
   const Disturbance* found = nullptr;
   for (const Disturbance& d : record.disturbances) {
     if (d.kind != Kind::kTerminate || d.target != request.proxy) continue;
     bool around =
         request.ended_at >= d.at && request.ended_at <= d.at + bounds.grace_ms + kAfterGraceMs;
-    // A second signal begins nothing new: the first of an end counts.
+    // A second SIGTERM doesn't restart the grace time, so the first one of a shutdown counts.
     if (around && !found) found = &d;
   }
   return found;
@@ -93,20 +103,21 @@
 
 std::vector<Violation> CheckLost(const RecordData& record, const Bounds& bounds) {
   std::vector<Violation> violations;
-  RunsByAttempt runs = IndexRuns(record);
+  ExecutionsByAttempt executions = IndexExecutions(record);
   for (const Request& request : record.requests) {
-    auto [first, last] = runs.equal_range(request.attempt_id);
-    if (IsServed(request) || first == last || request.left_at >= 0) continue;
-    const Disturbance* term = TerminationAround(record, bounds, request);
+    auto [first, last] = executions.equal_range(request.attempt_id);
+    if (IsServed(request) || first == last || request.client_closed_at >= 0) continue;
+    const Disturbance* term = FindTermination(record, bounds, request);
     if (!term) continue;
-    base::Millis calm_from = request.sent_at - bounds.contact_ms;
-    if (AnyUnplanned(record, calm_from, request.ended_at, request.proxy)) continue;
+    base::Millis undisturbed_from = request.sent_at - bounds.contact_ms;
+    if (HasUnplanned(record, undisturbed_from, request.ended_at, request.proxy)) continue;
     if (request.ended_at >= request.deadline - kDeadlineSlackMs) continue;
     bool excused = false;
-    for (auto run = first; run != last; ++run) {
-      bool at_work_late = run->second->work_ends_at >= term->at + bounds.grace_ms * 5 / 6;
-      bool sent_in_time = request.sent_at <= term->at + kLastCuttableRequestMs;
-      excused |= run->second->server_broke_off || (at_work_late && sent_in_time);
+    for (auto execution = first; execution != last; ++execution) {
+      bool lasts_into_grace_end =
+          execution->second->work_ends_at >= term->at + bounds.grace_ms * 5 / 6;
+      bool sent_in_time = request.sent_at <= term->at + kMaxExcusedSendMs;
+      excused |= execution->second->aborted_by_server || (lasts_into_grace_end && sent_in_time);
     }
     if (excused) continue;
     violations.push_back({"LOST", request.ended_at,
@@ -121,75 +132,78 @@
   return violations;
 }
 
-std::vector<Violation> CheckKeptConnections(const RecordData& record, const Bounds& bounds) {
-  RunsByAttempt runs = IndexRuns(record);
-  size_t closed = 0;
+std::vector<Violation> CheckReusedConnections(const RecordData& record, const Bounds& bounds) {
+  ExecutionsByAttempt executions = IndexExecutions(record);
+  size_t closed_connections = 0;
   const Request* last = nullptr;
   for (const Request& request : record.requests) {
-    bool cut = request.kept && request.status == 0 && request.any_byte_sent;
+    bool closed = request.on_reused_connection && request.status == 0 && request.any_byte_sent;
     bool in_time = request.ended_at < request.deadline - kDeadlineSlackMs;
-    if (!cut || !in_time || request.left_at >= 0) continue;
-    auto [first, end] = runs.equal_range(request.attempt_id);
-    bool sound = first != end && std::none_of(first, end, [](const auto& run) {
-                   return run.second->server_broke_off;
-                 });
-    if (!sound || !InTouch(record, bounds, request.proxy, request.sent_at, request.ended_at)) {
+    if (!closed || !in_time || request.client_closed_at >= 0) continue;
+    auto [first, end] = executions.equal_range(request.attempt_id);
+    bool server_completed = first != end && std::none_of(first, end, [](const auto& execution) {
+                              return execution.second->aborted_by_server;
+                            });
+    if (!server_completed ||
+        !IsUndisturbed(record, bounds, request.proxy, request.sent_at, request.ended_at)) {
       continue;
     }
-    ++closed;
+    ++closed_connections;
     last = &request;
   }
-  if (closed <= kKeptClosedAllowed) return {};
+  if (closed_connections <= kMaxClosedReusedConnections) return {};
   return {{"LOST", last->ended_at,
-           std::to_string(closed) +
+           std::to_string(closed_connections) +
                " kept connections were closed without an answer to what was "
                "passed on, the last with " +
                last->attempt_id}};
 }
 
 std::vector<Violation> CheckGone(const RecordData& record, const Bounds& bounds) {
-  RunsByAttempt runs = IndexRuns(record);
-  size_t late = 0, long_ones = 0, still_at_work = 0;
+  ExecutionsByAttempt executions = IndexExecutions(record);
+  size_t late = 0, lasting = 0, not_cancelled = 0;
   base::Millis at = 0;
   for (const Request& request : record.requests) {
-    if (request.left_at < 0) continue;
-    base::Millis noticed = request.left_at + kNoticeGoneMs;
-    if (!InTouch(record, bounds, request.proxy, request.sent_at, noticed)) continue;
-    auto [first, last] = runs.equal_range(request.attempt_id);
-    for (auto run = first; run != last; ++run) {
-      late += run->second->began_at > noticed;
-      bool lasts = run->second->work_ends_at > noticed && !run->second->server_broke_off;
+    if (request.client_closed_at < 0) continue;
+    base::Millis notice_until = request.client_closed_at + kDisconnectNoticeMs;
+    if (!IsUndisturbed(record, bounds, request.proxy, request.sent_at, notice_until)) continue;
+    auto [first, last] = executions.equal_range(request.attempt_id);
+    for (auto execution = first; execution != last; ++execution) {
+      late += execution->second->began_at > notice_until;
+      bool lasts =
+          execution->second->work_ends_at > notice_until && !execution->second->aborted_by_server;
       if (request.effectful || !lasts) continue;
-      ++long_ones;
-      bool dropped = run->second->dropped_at >= 0 && run->second->dropped_at <= noticed;
-      still_at_work += !dropped;
-      at = request.left_at;
+      ++lasting;
+      bool dropped = execution->second->connection_closed_at >= 0 &&
+                     execution->second->connection_closed_at <= notice_until;
+      not_cancelled += !dropped;
+      at = request.client_closed_at;
     }
   }
   std::vector<Violation> violations;
-  if (late > kLateAfterGoneAllowed) {
+  if (late > kMaxLateExecutions) {
     violations.push_back({"GONE", at, std::to_string(late) + " reached a server late"});
   }
-  if (still_at_work * 4 > long_ones) {
+  if (not_cancelled * 4 > lasting) {
     violations.push_back({"GONE", at,
-                          "servers were still at work on " + std::to_string(still_at_work) +
-                              " of " + std::to_string(long_ones)});
+                          "servers were still at work on " + std::to_string(not_cancelled) +
+                              " of " + std::to_string(lasting)});
   }
   return violations;
 }
 
 std::vector<Violation> CheckDenied(const RecordData& record, const Bounds& bounds) {
-  const std::set<int> promises = {408, 421, 429};
+  const std::set<int> not_executed_statuses = {408, 421, 429};
   size_t denied = 0;
   const Request* last = nullptr;
   for (const Request& request : record.requests) {
     bool own = request.seal.empty() && request.status >= 300 && request.status < 500;
-    if (!own || promises.count(request.status) > 0) continue;
-    if (!InTouch(record, bounds, request.proxy, request.sent_at, request.ended_at)) continue;
+    if (!own || not_executed_statuses.count(request.status) > 0) continue;
+    if (!IsUndisturbed(record, bounds, request.proxy, request.sent_at, request.ended_at)) continue;
     ++denied;
     last = &request;
   }
-  if (denied <= kDeniedAllowed + record.requests.size() / kOneInDeniedAllowed) return {};
+  if (denied <= kMaxDenied + record.requests.size() / kRequestsPerExtraDenied) return {};
   return {{"DENIED", last->ended_at,
            std::to_string(denied) + " proper requests were denied, the last with " +
                std::to_string(last->status)}};
@@ -197,9 +211,9 @@
 
 std::vector<Violation> CheckTwice(const RecordData& record) {
   std::vector<Violation> violations;
-  RunsByAttempt runs = IndexRuns(record);
+  ExecutionsByAttempt executions = IndexExecutions(record);
   for (const Request& request : record.requests) {
-    if (!request.effectful || runs.count(request.attempt_id) < 2) continue;
+    if (!request.effectful || executions.count(request.attempt_id) < 2) continue;
     violations.push_back({"TWICE", request.sent_at, request.attempt_id + " ran more than once"});
   }
   return violations;
@@ -207,11 +221,12 @@
 
 std::vector<Violation> CheckRefused(const RecordData& record) {
   std::vector<Violation> violations;
-  RunsByAttempt runs = IndexRuns(record);
-  const std::set<int> promises = {408, 421, 429, 503};
+  ExecutionsByAttempt executions = IndexExecutions(record);
+  const std::set<int> not_executed_statuses = {408, 421, 429, 503};
   for (const Request& request : record.requests) {
-    bool promised = promises.count(request.status) > 0;
-    if (!request.effectful || !promised || runs.count(request.attempt_id) == 0) continue;
+    bool states_not_executed = not_executed_statuses.count(request.status) > 0;
+    if (!request.effectful || !states_not_executed || executions.count(request.attempt_id) == 0)
+      continue;
     violations.push_back(
         {"REFUSED", request.ended_at,
          request.attempt_id + " ran and was answered " + std::to_string(request.status)});
@@ -221,12 +236,12 @@
 
 std::vector<Violation> CheckMixed(const RecordData& record) {
   std::vector<Violation> violations;
-  RunsByAttempt runs = IndexRuns(record);
+  ExecutionsByAttempt executions = IndexExecutions(record);
   for (const Request& request : record.requests) {
     if (request.status / 100 != 2) continue;
-    auto [first, last] = runs.equal_range(request.attempt_id);
-    bool own = std::any_of(first, last, [&](const auto& run) {
-      return request.seal == SealOf(request.attempt_id, run.second->server);
+    auto [first, last] = executions.equal_range(request.attempt_id);
+    bool own = std::any_of(first, last, [&](const auto& execution) {
+      return request.seal == SealOf(request.attempt_id, execution.second->server);
     });
     if (own && request.body == BodyOf(request.attempt_id)) continue;
     violations.push_back(
@@ -240,14 +255,14 @@
   std::map<std::string, const Request*> sent;
   for (const Request& request : record.requests) sent[request.attempt_id] = &request;
   std::vector<Violation> violations;
-  for (const ServerRun& run : record.runs) {
-    auto request = sent.find(run.attempt_id);
-    bool asked = request != sent.end() && request->second->method == run.method &&
-                 request->second->path == run.path;
+  for (const Execution& execution : record.executions) {
+    auto request = sent.find(execution.attempt_id);
+    bool asked = request != sent.end() && request->second->method == execution.method &&
+                 request->second->path == execution.path;
     if (asked) continue;
-    violations.push_back(
-        {"UNASKED", run.began_at,
-         run.server + " ran " + run.method + " " + run.path + " as " + run.attempt_id});
+    violations.push_back({"UNASKED", execution.began_at,
+                          execution.server + " ran " + execution.method + " " + execution.path +
+                              " as " + execution.attempt_id});
   }
   return violations;
 }
@@ -257,11 +272,11 @@
     return path.rfind("/write/", 0) == 0 ? "writing" : "reading";
   };
   std::vector<Violation> violations;
-  for (const ServerRun& run : record.runs) {
-    if (run.service == service_of(run.path)) continue;
-    violations.push_back(
-        {"ROUTE", run.began_at,
-         run.server + " of " + run.service + " ran " + run.path + " as " + run.attempt_id});
+  for (const Execution& execution : record.executions) {
+    if (execution.service == service_of(execution.path)) continue;
+    violations.push_back({"ROUTE", execution.began_at,
+                          execution.server + " of " + execution.service + " ran " + execution.path +
+                              " as " + execution.attempt_id});
   }
   return violations;
 }
@@ -274,30 +289,32 @@
   std::map<std::string, std::string> proxies;  // by attempt
   for (const Request& request : record.requests) proxies[request.attempt_id] = request.proxy;
   std::vector<Violation> violations;
-  for (const ServerRun& run : record.runs) {
-    auto drain = drains_at.find(run.server);
+  for (const Execution& execution : record.executions) {
+    auto drain = drains_at.find(execution.server);
     if (drain == drains_at.end()) continue;
-    // The time doesn't run while the platform is cut off, and binds machines in touch only.
+    // The limit doesn't apply while the platform is cut off. The drain time restarts `contact_ms`
+    // after the end of such a cut and after each disturbance of a process, since the limit covers
+    // only processes that are in contact with the others.
     base::Millis from = drain->second;
     bool cut = false;
     for (const Disturbance& d : record.disturbances) {
-      if (d.at > run.began_at) continue;
+      if (d.at > execution.began_at) continue;
       if (d.kind == Kind::kPlatformCut) cut = true;
       if (d.kind == Kind::kPlatformHealed) cut = false;
       if (d.kind == Kind::kPlatformHealed || DisturbsProcess(d)) {
         from = std::max(from, d.at + bounds.contact_ms);
       }
     }
-    if (cut || run.began_at <= from + bounds.drain_ms) continue;
-    // The news comes from whichever controller reads the list.
-    const std::string& proxy = proxies[run.attempt_id];
-    auto matters = [&](const std::string& process) {
+    if (cut || execution.began_at <= from + bounds.drain_ms) continue;
+    // Any controller may be the one that reads the list and informs the proxy.
+    const std::string& proxy = proxies[execution.attempt_id];
+    auto is_relevant = [&](const std::string& process) {
       return process == proxy || IsController(process);
     };
-    if (AnyStall(record, drain->second, run.began_at, matters)) continue;
-    violations.push_back({"DRAIN", run.began_at,
-                          run.server + " began " + run.attempt_id + " " +
-                              std::to_string(run.began_at - drain->second) +
+    if (HasStall(record, drain->second, execution.began_at, is_relevant)) continue;
+    violations.push_back({"DRAIN", execution.began_at,
+                          execution.server + " began " + execution.attempt_id + " " +
+                              std::to_string(execution.began_at - drain->second) +
                               " ms after the list showed it as draining"});
   }
   return violations;
@@ -308,16 +325,16 @@
   for (const Disturbance& d : record.disturbances) {
     if (d.kind == Kind::kServerCold) warm_at[d.target] = d.at + std::stoll(d.detail);
   }
-  std::map<std::string, std::vector<base::Millis>> begun;
-  for (const ServerRun& run : record.runs) {
-    auto warm = warm_at.find(run.server);
-    if (warm != warm_at.end() && run.began_at < warm->second) {
-      begun[run.server].push_back(run.began_at);
+  std::map<std::string, std::vector<base::Millis>> starts;
+  for (const Execution& execution : record.executions) {
+    auto warm = warm_at.find(execution.server);
+    if (warm != warm_at.end() && execution.began_at < warm->second) {
+      starts[execution.server].push_back(execution.began_at);
     }
   }
-  double most = bounds.warmup_per_s * bounds.warmup_excess + bounds.warmup_slack;
+  double max_starts = bounds.warmup_per_s * bounds.warmup_excess + bounds.warmup_slack;
   std::vector<Violation> violations;
-  for (auto& [server, times] : begun) {
+  for (auto& [server, times] : starts) {
     std::sort(times.begin(), times.end());
     size_t worst = 0;
     base::Millis at = 0;
@@ -328,7 +345,8 @@
         at = times[last];
       }
     }
-    if (static_cast<double>(worst) <= most || AnyStall(record, at - 1000, at, IsProxy)) continue;
+    if (static_cast<double>(worst) <= max_starts || HasStall(record, at - 1000, at, IsProxy))
+      continue;
     violations.push_back(
         {"FAILBACK", at,
          server + " got " + std::to_string(worst) + " requests in a second in its slow start"});
@@ -359,15 +377,15 @@
 }
 
 std::vector<Violation> CheckProcesses(const RecordData& record, const Bounds& bounds) {
-  struct Told {
-    bool ended = false;  // by SIGTERM or SIGKILL
+  struct Signals {
+    bool ended = false;  // SIGTERM or SIGKILL was sent since the last start
     base::Millis terminated_at = -1;
   };
-  std::map<std::string, Told> told;
+  std::map<std::string, Signals> signals;
   std::vector<Violation> violations;
   for (const Disturbance& d : record.disturbances) {
-    Told& process = told[d.target];
-    if (d.kind == Kind::kStart) process = Told();
+    Signals& process = signals[d.target];
+    if (d.kind == Kind::kStart) process = Signals();
     if (d.kind == Kind::kKill) process.ended = true;
     if (d.kind == Kind::kTerminate) {
       process.ended = true;
@@ -377,7 +395,7 @@
     if (!process.ended) {
       violations.push_back({"END", d.at, d.target + " ended by itself: " + d.detail});
     } else if (process.terminated_at >= 0 && d.at > process.terminated_at + bounds.grace_ms &&
-               !AnyUnplanned(record, process.terminated_at - bounds.contact_ms, d.at, d.target)) {
+               !HasUnplanned(record, process.terminated_at - bounds.contact_ms, d.at, d.target)) {
       violations.push_back({"END", d.at, d.target + " was still there after its grace time"});
     }
   }
@@ -400,10 +418,10 @@
 std::vector<Violation> CheckAll(const RecordData& record, const Bounds& bounds) {
   std::vector<Violation> all;
   for (const std::vector<Violation>& found :
-       {CheckLost(record, bounds), CheckKeptConnections(record, bounds), CheckGone(record, bounds),
-        CheckDenied(record, bounds), CheckTwice(record), CheckRefused(record), CheckMixed(record),
-        CheckUnasked(record), CheckRoute(record), CheckDrain(record, bounds),
-        CheckSlowStart(record, bounds), CheckConfiguration(record),
+       {CheckLost(record, bounds), CheckReusedConnections(record, bounds),
+        CheckGone(record, bounds), CheckDenied(record, bounds), CheckTwice(record),
+        CheckRefused(record), CheckMixed(record), CheckUnasked(record), CheckRoute(record),
+        CheckDrain(record, bounds), CheckSlowStart(record, bounds), CheckConfiguration(record),
         CheckProcesses(record, bounds)}) {
     all.insert(all.end(), found.begin(), found.end());
   }
--- a/tools/soak/fleet.cc
+++ b/tools/soak/fleet.cc
@@ -19,7 +19,8 @@
 constexpr base::Millis kRestartMs = 500;  // after the end of a process
 constexpr base::Millis kPollMs = 10;
 constexpr base::Millis kStallCheckMs = 500;
-constexpr int kConnectMs[] = {150, 300};  // settings that a SIGHUP finds changed
+// Values of elderkeel.connect-ms; each Reload() switches to the other one.
+constexpr int kConnectMs[] = {150, 300};
 
 }  // namespace
 
@@ -91,20 +92,21 @@
   }
 }
 
-void Fleet::Note(Kind kind, const std::string& name, const std::string& detail) {
+void Fleet::AddDisturbance(Kind kind, const std::string& name, const std::string& detail) {
   record_->Add(Disturbance{kind, name, base::SteadyMillis(), detail});
 }
 
 void Fleet::Start(Process* process) {
   WriteSettings(*process, process->starts == 0, kConnectMs[0]);
   ++process->starts;
-  process->start_at = process->kill_at = process->thaw_at = -1;
+  process->start_at = process->kill_at = process->resume_at = -1;
   std::string program = options_.programs + (process->name[0] == 'c' ? "/controller" : "/proxy");
   std::string settings = folder_ + "/" + process->name + ".conf";
   std::string log = logs_ + "/" + process->name + ".log";
   process->pid = fork();
   if (process->pid == 0) {
-    // Ctrl-C ends the soak, which ends them in order; without it they don't go on.
+    // A process group of its own keeps Ctrl-C from the process: the soak receives it and shuts the
+    // processes down in order. The kernel kills the process if the soak dies.
     setpgid(0, 0);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     int output = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -114,92 +116,93 @@
     _exit(127);
   }
   process->wait_meter = WaitMeter::OfProcess(process->pid);
-  Note(Kind::kStart, process->name);
+  AddDisturbance(Kind::kStart, process->name);
 }
 
 void Fleet::StartAll() {
   for (auto& [name, process] : processes_) Start(&process);
 }
 
-Fleet::Process* Fleet::Running(const std::string& name) {
+Fleet::Process* Fleet::FindRunning(const std::string& name) {
   auto found = processes_.find(name);
   return found == processes_.end() || found->second.pid < 0 ? nullptr : &found->second;
 }
 
 void Fleet::Terminate(const std::string& name) {
-  Process* process = Running(name);
+  Process* process = FindRunning(name);
   if (!process || process->kill_at >= 0) return;
-  Note(Kind::kTerminate, name);
+  AddDisturbance(Kind::kTerminate, name);
   kill(process->pid, SIGTERM);
   process->kill_at = base::SteadyMillis() + kGraceMs;
 }
 
 void Fleet::SignalAgain(const std::string& name) {
-  Process* process = Running(name);
+  Process* process = FindRunning(name);
   if (!process || process->kill_at < 0) return;
   kill(process->pid, SIGTERM);
   Reload(name);
 }
 
 void Fleet::Kill(const std::string& name) {
-  Process* process = Running(name);
+  Process* process = FindRunning(name);
   if (!process) return;
-  Note(Kind::kKill, name);
+  AddDisturbance(Kind::kKill, name);
   kill(process->pid, SIGKILL);
 }
 
 void Fleet::Freeze(const std::string& name, base::Millis for_ms) {
-  Process* process = Running(name);
-  if (!process || process->thaw_at >= 0) return;
-  Note(Kind::kFreeze, name);
+  Process* process = FindRunning(name);
+  if (!process || process->resume_at >= 0) return;
+  AddDisturbance(Kind::kFreeze, name);
   kill(process->pid, SIGSTOP);
-  process->thaw_at = base::SteadyMillis() + for_ms;
+  process->resume_at = base::SteadyMillis() + for_ms;
 }
 
 void Fleet::Reload(const std::string& name) {
-  Process* process = Running(name);
+  Process* process = FindRunning(name);
   if (!process) return;
   WriteSettings(*process, false, kConnectMs[++reloads_ % 2]);
-  Note(Kind::kReload, name);
+  AddDisturbance(Kind::kReload, name);
   kill(process->pid, SIGHUP);
 }
 
 void Fleet::OnExit(Process* process, int status) {
   std::string detail = WIFEXITED(status) ? "exit " + std::to_string(WEXITSTATUS(status))
                                          : "signal " + std::to_string(WTERMSIG(status));
-  Note(Kind::kExit, process->name, detail);
+  AddDisturbance(Kind::kExit, process->name, detail);
   process->pid = -1;
-  process->kill_at = process->thaw_at = -1;
+  process->kill_at = process->resume_at = -1;
   if (!stopping_) process->start_at = base::SteadyMillis() + kRestartMs;
 }
 
-void Fleet::NoteStalls(base::Millis now) {
+void Fleet::RecordStalls(base::Millis now) {
   if (now < next_stall_check_at_) return;
   next_stall_check_at_ = now + kStallCheckMs;
-  auto note = [&](const std::string& name, base::Millis waited_ms) {
+  auto add_stall = [&](const std::string& name, base::Millis waited_ms) {
     if (waited_ms < StallWatch::kMinMs) return;
     record_->Add(Stall{now - kStallCheckMs, kStallCheckMs, name, waited_ms});
   };
   for (auto& [name, process] : processes_) {
-    if (process.pid >= 0) note(name, process.wait_meter.TakeMs());
+    if (process.pid >= 0) add_stall(name, process.wait_meter.TakeWaitedMs());
   }
-  note("", own_wait_meter_.TakeMs());
+  add_stall("", own_wait_meter_.TakeWaitedMs());
 }
 
 void Fleet::Poll() {
   base::Millis now = base::SteadyMillis();
-  NoteStalls(now);
+  RecordStalls(now);
   for (auto& [name, process] : processes_) {
     int status = 0;
     if (process.pid >= 0 && waitpid(process.pid, &status, WNOHANG) == process.pid) {
       OnExit(&process, status);
     }
-    if (process.pid >= 0 && process.thaw_at >= 0 && now >= process.thaw_at) {
-      process.thaw_at = -1;
+    if (process.pid >= 0 && process.resume_at >= 0 && now >= process.resume_at) {
+      process.resume_at = -1;
       kill(process.pid, SIGCONT);
-      Note(Kind::kThaw, name);
+      AddDisturbance(Kind::kThaw, name);
     }
-    // Some time more than the platform gives, so that the record shows who would have been killed.
+    // Kills later than the platform would, so that the record shows which processes exceeded the
+    // grace time.
     if (process.pid >= 0 && process.kill_at >= 0 && now >= process.kill_at + kRestartMs) {
       kill(process.pid, SIGKILL);
     }
@@ -211,8 +214,8 @@
   stopping_ = true;
   for (auto& [name, process] : processes_) {
     process.start_at = -1;
-    if (process.thaw_at >= 0 && process.pid >= 0) kill(process.pid, SIGCONT);
-    process.thaw_at = -1;
+    if (process.resume_at >= 0 && process.pid >= 0) kill(process.pid, SIGCONT);
+    process.resume_at = -1;
     Terminate(name);
   }
   auto running = [this] {
--- a/tools/soak/main.cc
+++ b/tools/soak/main.cc
@@ -1,5 +1,6 @@
-// soak: plays a fleet of real processes with clients, an operator and trouble by a seed, and checks
-// the rules over what was seen. docs/soak.md.
+// soak: runs real controller and proxy processes with simulated clients, servers, platform and
+// operator, injects the operations and faults of a seeded schedule, and checks the rules over the
+// recorded events. See docs/soak.md.
 
 #include <fcntl.h>
 #include <spdlog/spdlog.h>
@@ -22,20 +23,24 @@
 namespace elderkeel::soak {
 namespace {
 
-constexpr int kHeld = 0, kBroken = 1, kCouldNotRun = 2, kProvesNothing = 3;
-constexpr base::Millis kStartMs = 30000;  // for the fleet to be ready
-constexpr base::Millis kCalmMs = 4500;    // before the traffic is judged
+// Exit codes; the footer of --help describes them.
+constexpr int kHeld = 0, kViolated = 1, kCouldNotRun = 2, kInconclusive = 3;
+constexpr base::Millis kReadyTimeoutMs = 30000;  // for the fleet to become ready
+constexpr base::Millis kSettleMs = 4500;         // between readiness and the start of the traffic
 constexpr base::Millis kPollMs = 10;
 constexpr base::Millis kProgressMs = 1000;
-constexpr int kRuns = 200;                   // so many soaks may run beside each other
-constexpr const char* kLockFolder = "/tmp";  // the same for all of them, whatever TMPDIR says
+constexpr int kMaxConcurrentRuns = 200;
+// Independent of TMPDIR, so that all soaks on the machine use the same lock files.
+constexpr const char* kLockFolder = "/tmp";
 
-// SIGINT or SIGTERM came: what was started is ended, and what was seen is reported.
+// Set by SIGINT and SIGTERM: the run ends early, stops its processes, and reports the events so
+// far.
 volatile std::sig_atomic_t interrupted = 0;
 
 void Sleep(base::Millis ms) { usleep(static_cast<useconds_t>(ms * 1000)); }
 
-void Play(const Event& event, Fleet* fleet, World* world) {
+// Carries out one event of the schedule.
+void ApplyEvent(const Event& event, Fleet* fleet, World* world) {
   switch (event.kind) {
     case Event::Kind::kTerminate:
       fleet->Terminate(event.target);
@@ -69,54 +74,57 @@
   }
 }
 
-// Plays the schedule to its end.
-void PlayAll(const Options& options, const std::vector<Event>& schedule, Fleet* fleet, World* world,
-             const Record& record) {
+// Carries out the schedule and returns after `options.seconds`, or earlier on an interrupt.
+void RunSchedule(const Options& options, const std::vector<Event>& schedule, Fleet* fleet,
+                 World* world, const Record& record) {
   base::Random random(options.seed);
-  base::Millis begin = base::SteadyMillis(), heal_at = -1, next_line = kProgressMs;
+  base::Millis begin = base::SteadyMillis(), heal_at = -1, next_progress = kProgressMs;
   auto next = schedule.begin();
   for (;;) {
     base::Millis elapsed = base::SteadyMillis() - begin;
     if (elapsed >= options.seconds * 1000 || interrupted) break;
     for (; next != schedule.end() && next->at <= elapsed; ++next) {
-      Play(*next, fleet, world);
+      ApplyEvent(*next, fleet, world);
       if (next->kind != Event::Kind::kCutPlatform) continue;
       heal_at = next->at + next->for_ms;
-      // Nobody hears of it before the proxies read the list themselves.
+      // The controllers can't read the list now, so no proxy learns of the change before it reads
+      // the list itself.
       if (options.unsound) world->ReuseAddress(random.Below(2) == 0 ? "z0" : "z1");
     }
     if (heal_at >= 0 && elapsed >= heal_at) {
-      // A server drains just as the controllers reach the platform again.
+      // A server starts to drain at the moment at which the controllers reach the platform again.
       world->CutPlatform(false);
       world->DrainOne("z0");
       heal_at = -1;
     }
     fleet->Poll();
-    if (elapsed >= next_line) {
+    if (elapsed >= next_progress) {
       spdlog::info("second={} requests={} events={}", elapsed / kProgressMs, record.requests(),
                    next - schedule.begin());
-      next_line += kProgressMs;
+      next_progress += kProgressMs;
     }
     Sleep(kPollMs);
   }
   if (heal_at >= 0) world->CutPlatform(false);
 }
 
-// False if the fleet has no configuration, or proxies are not ready, in time.
-bool WaitUntilReady(const Operator& changes, const Readiness& readiness, Fleet* fleet) {
-  base::Millis give_up = base::SteadyMillis() + kStartMs;
-  while (!changes.configured() || !readiness.AllReady()) {
-    if (base::SteadyMillis() > give_up || interrupted) return false;
+// Waits until the fleet has a configuration and all proxies are ready. False on a time-out or an
+// interrupt.
+bool WaitUntilReady(const Operator& config_operator, const ReadinessProber& readiness,
+                    Fleet* fleet) {
+  base::Millis deadline = base::SteadyMillis() + kReadyTimeoutMs;
+  while (!config_operator.configured() || !readiness.AllReady()) {
+    if (base::SteadyMillis() > deadline || interrupted) return false;
     fleet->Poll();
     Sleep(kPollMs);
   }
   return true;
 }
 
-// A number that no other soak on this machine uses meanwhile; its lock is held until the process
-// ends. -1 if all are taken.
+// Reserves a run number that no other soak on this machine uses, by a file lock that lasts until
+// the process exits. -1 if all numbers are in use.
 int ReserveRun() {
-  for (int run = 1; run <= kRuns; ++run) {
+  for (int run = 1; run <= kMaxConcurrentRuns; ++run) {
     std::string path =
         std::string(kLockFolder) + "/elderkeel-soak-run-" + std::to_string(run) + ".lock";
     int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
@@ -126,7 +134,8 @@
   return -1;
 }
 
-// Plays the run into the record. False if it could not begin.
+// Runs the fleet with its traffic and records the events. False if no run number is free or the
+// fleet doesn't become ready.
 bool RunFleet(const Options& options, const std::vector<Event>& schedule, const std::string& folder,
               const std::string& logs, Record* record) {
   int run = ReserveRun();
@@ -135,34 +144,34 @@
   World world(options, addresses, record);
   world.Start();
   Fleet fleet(options, addresses, folder, logs, record);
-  fleet.Watch(world.thread_id());
+  fleet.MonitorOwnThread(world.thread_id());
   StallWatch stalls;
   fleet.StartAll();
-  Readiness readiness(options, addresses);
-  Operator changes(options, addresses, record);
-  if (!WaitUntilReady(changes, readiness, &fleet)) return false;
-  Sleep(kCalmMs);
+  ReadinessProber readiness(options, addresses);
+  Operator config_operator(options, addresses, record);
+  if (!WaitUntilReady(config_operator, readiness, &fleet)) return false;
+  Sleep(kSettleMs);
   RecordData& data = record->data();
   data.began_at = base::SteadyMillis();
   {
     Clients clients(options, addresses, readiness, record);
-    PlayAll(options, schedule, &fleet, &world, *record);
+    RunSchedule(options, schedule, &fleet, &world, *record);
     clients.Stop();
     while (!clients.ended()) {
       fleet.Poll();
       Sleep(kPollMs);
     }
   }
-  WaitUntilReady(changes, readiness, &fleet);
-  data.revision_at_end = changes.ReadBack();
+  WaitUntilReady(config_operator, readiness, &fleet);
+  data.revision_at_end = config_operator.ReadBack();
   for (const Stall& stall : stalls.stalls()) record->Add(stall);
   data.ended_at = base::SteadyMillis();
   fleet.StopAll();
   return true;
 }
 
-// Why the soak can't run with these options; empty if it can.
-std::string Unusable(const Options& options) {
+// Returns why the soak can't run with these options; empty if it can.
+std::string FindOptionError(const Options& options) {
   for (const char* program : {"/proxy", "/controller"}) {
     std::string path = options.programs + program;
     if (access(path.c_str(), X_OK) != 0) return path + " can't be executed";
@@ -174,8 +183,9 @@
   return report ? "" : options.report + " can't be written";
 }
 
+// Runs the soak and reports its result. Returns the exit code.
 int Soak(const Options& options, const std::string& command) {
-  if (std::string reason = Unusable(options); !reason.empty()) {
+  if (std::string reason = FindOptionError(options); !reason.empty()) {
     spdlog::error("step=options reason=\"{}\"", reason);
     return kCouldNotRun;
   }
@@ -201,11 +211,11 @@
   std::filesystem::remove_all(folder);
   if (violations.empty()) {
     std::filesystem::remove_all(logs);
-    return judged < kMinJudgedShare || interrupted ? kProvesNothing : kHeld;
+    return judged < kMinJudgedShare || interrupted ? kInconclusive : kHeld;
   }
   std::printf("seed %llu; logs of the processes: %s\n",
               static_cast<unsigned long long>(options.seed), logs.c_str());
-  return kBroken;
+  return kViolated;
 }
 
 }  // namespace
--- a/tools/soak/record.h
+++ b/tools/soak/record.h
@@ -10,10 +10,10 @@
 
 namespace elderkeel::soak {
 
-// What happened in a run, as the clients, the servers, the platform and the operator saw it. All
-// times are of the machine's steady clock, in milliseconds.
+// The events of a run as the clients, the servers, the platform and the operator recorded them. The
+// checkers evaluate them after the run. All times are milliseconds of the machine's steady clock.
 
-// A request, as its client saw it.
+// One request as recorded by its client.
 struct Request {
   std::string attempt_id = "";
   std::string proxy = "";
@@ -23,93 +23,97 @@
   base::Millis sent_at = 0;
   base::Millis deadline = 0;
   base::Millis ended_at = 0;
-  base::Millis left_at = -1;  // the client closed its connection before the answer; -1 for not
-  bool kept = false;          // on a connection that had served a request before
+  // When the client closed its connection before the response; -1 if it did not.
+  base::Millis client_closed_at = -1;
+  bool on_reused_connection = false;  // the connection had served a request before
   bool any_byte_sent = false;
-  int status = 0;         // 0 where no whole answer came
-  std::string seal = "";  // of the answer
+  int status = 0;         // 0 without a complete response
+  std::string seal = "";  // the response's Elderkeel-Server-Seal; empty without one
   std::string body = "";
-  std::string reason = "";  // where no whole answer came
+  std::string reason = "";  // why there is no complete response
 };
 
-// What one server did for one request.
-struct ServerRun {
+// One execution of a request by one server, as recorded by that server.
+struct Execution {
   std::string attempt_id = "";
   std::string server = "";
   std::string service = "";
   std::string method = "";
   std::string path = "";
   base::Millis began_at = 0;
-  base::Millis answered_at = -1;  // -1 for not
-  base::Millis dropped_at = -1;   // its connection was closed before the answer; -1 for not
-  base::Millis work_ends_at = 0;  // when its work would end
-  bool server_broke_off = false;  // the server itself ended before, or gave no whole answer
+  base::Millis responded_at = -1;          // -1 without a response
+  base::Millis connection_closed_at = -1;  // closed before the response; -1 if it was not
+  base::Millis work_ends_at = 0;           // planned end of the work
+  bool aborted_by_server = false;          // the server ended, or sent no complete response
 };
 
-// Trouble, planned work and changes.
+// A fault, planned operation or state change of a process, a server or the platform.
 struct Disturbance {
   enum class Kind {
     kTerminate,  // SIGTERM, by the platform
     kKill,
-    kFreeze,
-    kThaw,
+    kFreeze,  // SIGSTOP
+    kThaw,    // SIGCONT
     kReload,  // SIGHUP with changed settings
     kStart,
-    kExit,          // the process is gone
-    kServerDrains,  // the list shows it
-    kServerGone,
-    kServerCold,  // starts, and is in slow start
-    kPlatformCut,
-    kPlatformHealed,
+    kExit,            // `detail`: the exit code or signal
+    kServerDrains,    // the platform's list shows the server as draining
+    kServerGone,      // the server has ended
+    kServerCold,      // the server starts with a slow start of `detail` milliseconds
+    kPlatformCut,     // the platform answers the controllers with errors only
+    kPlatformHealed,  // and with the list again
   };
   Kind kind = Kind::kStart;
-  std::string target = "";
+  std::string target = "";  // name of the process, id of the server, or "platform"
   base::Millis at = 0;
   std::string detail = "";
 };
 
+// The kind's name in the report.
 const char* KindName(Disturbance::Kind kind);
-// No planned work: rules with an excuse for it don't hold around it.
+// Whether the disturbance is an unplanned fault of a process. Rules that allow an exception for
+// unplanned faults don't apply around it.
 bool IsUnplanned(Disturbance::Kind kind);
 
 // An operator's change of the configuration.
 struct Change {
   int64_t revision = 0;
   base::Millis sent_at = 0;
-  int status = 0;  // 0 for no clear answer
+  int status = 0;  // 0 if no controller gave a definite answer: the change may have been committed
 };
 
+// Everything that was recorded in a run.
 struct RecordData {
   std::vector<Request> requests;
-  std::vector<ServerRun> runs;
+  std::vector<Execution> executions;
   std::vector<Disturbance> disturbances;
   std::vector<Change> changes;
-  int64_t revision_at_end = -1;  // as read back; -1 for none
+  int64_t revision_at_end = -1;  // read from the controllers after the run; -1 if unreadable
   std::vector<Stall> stalls;
-  base::Millis began_at = 0;
+  base::Millis began_at = 0;  // of the client traffic
   base::Millis ended_at = 0;
 };
 
-// Collects from all threads.
+// Collects the events of a run. Thread-safe, except for data().
 class Record {
  public:
   void Add(Request request) {
     std::lock_guard<std::mutex> lock(mutex_);
     data_.requests.push_back(std::move(request));
   }
-  // Returns the run's number, for OnAnswered().
-  size_t Add(ServerRun run) {
+  // Returns the execution's index, for OnResponded() and OnConnectionClosed().
+  size_t Add(Execution execution) {
     std::lock_guard<std::mutex> lock(mutex_);
-    data_.runs.push_back(std::move(run));
-    return data_.runs.size() - 1;
+    data_.executions.push_back(std::move(execution));
+    return data_.executions.size() - 1;
   }
-  void OnAnswered(size_t run, base::Millis now) {
+  void OnResponded(size_t execution, base::Millis now) {
     std::lock_guard<std::mutex> lock(mutex_);
-    data_.runs[run].answered_at = now;
+    data_.executions[execution].responded_at = now;
   }
-  void OnDropped(size_t run, base::Millis now) {
+  void OnConnectionClosed(size_t execution, base::Millis now) {
     std::lock_guard<std::mutex> lock(mutex_);
-    data_.runs[run].dropped_at = now;
+    data_.executions[execution].connection_closed_at = now;
   }
   void Add(Disturbance disturbance) {
     std::lock_guard<std::mutex> lock(mutex_);
@@ -123,23 +127,27 @@
     std::lock_guard<std::mutex> lock(mutex_);
     data_.changes.push_back(change);
   }
-  // A server ends: it broke off all runs whose answers have not gone out.
-  void BreakOff(const std::string& server, base::Millis now) {
+  // Called when a server ends. Marks its executions as aborted whose response may not have been
+  // sent completely: those without a response and those that responded less than kResponseSendMs
+  // ago.
+  void AbortUnsent(const std::string& server, base::Millis now) {
     std::lock_guard<std::mutex> lock(mutex_);
-    for (ServerRun& run : data_.runs) {
-      bool sent = run.answered_at >= 0 && run.answered_at + kSendMs <= now;
-      if (run.server == server && !sent) run.server_broke_off = true;
+    for (Execution& execution : data_.executions) {
+      bool sent = execution.responded_at >= 0 && execution.responded_at + kResponseSendMs <= now;
+      if (execution.server == server && !sent) execution.aborted_by_server = true;
     }
   }
+  // The number of requests so far.
   size_t requests() const {
     std::lock_guard<std::mutex> lock(mutex_);
     return data_.requests.size();
   }
-  // REQUIRES: all threads that add have ended.
+  // REQUIRES: no other thread adds events while the caller uses the reference.
   RecordData& data() { return data_; }
 
  private:
-  static constexpr base::Millis kSendMs = 50;  // for an answer to leave the server's process
+  // Time within which a response leaves the server's process.
+  static constexpr base::Millis kResponseSendMs = 50;
 
   mutable std::mutex mutex_;
   RecordData data_;
--- a/tools/soak/report.cc
+++ b/tools/soak/report.cc
@@ -10,7 +10,8 @@
 
 namespace elderkeel::soak {
 namespace {
-constexpr base::Millis kAroundMs = 3000;  // of a violation, in the report
+// The report lists the disturbances from twice this time before a violation until this time after.
+constexpr base::Millis kContextMs = 3000;
 }  // namespace
 
 void WriteReport(const Options& options, const std::string& command,
@@ -30,7 +31,8 @@
   json.StartObject();
   text("command", command);
   number("seed", static_cast<int64_t>(options.seed));
-  // Moments of this report are since then, on the clock of `steady_ms` in the processes' logs.
+  // All times in this report are relative to this one, which is on the clock of `steady_ms` in the
+  // logs of the processes.
   number("began_at_steady_ms", data.began_at);
   json.Key("stalls");
   json.StartArray();
@@ -64,7 +66,7 @@
     json.Key("around");
     json.StartArray();
     for (const Disturbance& d : data.disturbances) {
-      if (d.at < violation.at - 2 * kAroundMs || d.at > violation.at + kAroundMs) continue;
+      if (d.at < violation.at - 2 * kContextMs || d.at > violation.at + kContextMs) continue;
       json.String((std::to_string(d.at - data.began_at) + " " + KindName(d.kind) + " " + d.target +
                    " " + d.detail)
                       .c_str());
@@ -94,7 +96,7 @@
       static_cast<size_t>(std::count_if(data.changes.begin(), data.changes.end(),
                                         [](const Change& change) { return change.status == 200; }));
   std::printf("requests %zu, served %zu, runs %zu, changes acknowledged %zu of %zu\n",
-              data.requests.size(), latencies.size(), data.runs.size(), acknowledged,
+              data.requests.size(), latencies.size(), data.executions.size(), acknowledged,
               data.changes.size());
   std::printf(
       "latency of what was served, its work included: median %lld, 99%% %lld, 99.9%% %lld ms\n",
--- a/tools/soak/schedule.cc
+++ b/tools/soak/schedule.cc
@@ -7,23 +7,28 @@
 namespace elderkeel::soak {
 namespace {
 
-constexpr base::Millis kFirstMs = 3000;   // calm at the begin
-constexpr base::Millis kLastMs = 9000;    // and at the end
-constexpr base::Millis kMaxGapMs = 4000;  // between two events
-constexpr base::Millis kSeriesGapMs = 700;
+constexpr base::Millis kQuietStartMs = 3000;   // without events at the start of the run
+constexpr base::Millis kQuietEndMs = 9000;     // without new events at its end
+constexpr base::Millis kMaxGapMs = 4000;       // between two events
+constexpr base::Millis kMaxSeriesGapMs = 700;  // between two events of a series
 constexpr base::Millis kMaxFreezeMs = 2500;
-// Of the platform: until proxies read the list themselves, since the last update is too old.
+// Duration of a platform failure: long enough that the last update becomes too old for the proxies
+// and they read the list themselves.
 constexpr base::Millis kMinCutMs = 5500;
 constexpr base::Millis kMaxCutMs = 8000;
-constexpr base::Millis kAfterCutMs = 12000;  // calm, so that the rules bind again
-constexpr base::Millis kZoneAfterColdMs = 200;
-// After the SIGTERM of a zone's proxies, which end 2.5 to 6 s later and start again.
+// Without events after a platform failure, so that the rules apply again.
+constexpr base::Millis kQuietAfterCutMs = 12000;
+// From the slow start of a zone's servers to the SIGTERM of the zone's proxies.
+constexpr base::Millis kTerminateAfterColdMs = 200;
+// From the SIGTERM of a zone's proxies to the slow start of the zone's servers. The proxies
+// exit 2.5 to 6 s after the SIGTERM and are then restarted.
 constexpr base::Millis kMinColdStartMs = 2500;
 constexpr base::Millis kMaxColdStartMs = 6500;
-constexpr uint64_t kColdStartSeed = 7919;  // apart from the draws of the other events
+// Added to the seed: AddColdStarts() has its own generator, so that it doesn't change other events.
+constexpr uint64_t kColdStartSeed = 7919;
 
-// The servers of a zone whose proxies have just ended come back cold, at about the time at which
-// the proxies do.
+// Adds to each termination of a zone's proxies a replacement of the zone's servers by ones in slow
+// start, at about the time at which the proxies restart.
 void AddColdStarts(uint64_t seed, base::Millis end, std::vector<Event>* events) {
   base::Random random(seed + kColdStartSeed);
   std::vector<Event> cold;
@@ -38,7 +43,8 @@
   events->insert(events->end(), cold.begin(), cold.end());
 }
 
-std::string Pick(base::Random* random, const char* prefix, int count) {
+// The name of a random process or zone: the prefix and a number below `count`.
+std::string RandomName(base::Random* random, const char* prefix, int count) {
   return prefix + std::to_string(random->Below(static_cast<uint64_t>(count)));
 }
 
@@ -78,16 +84,16 @@
   if (options.seed % 4 == 0) kinds.insert(kinds.end(), unplanned.begin(), unplanned.end());
   base::Random random(options.seed);
   std::vector<Event> events;
-  base::Millis end = options.seconds * 1000 - kLastMs;
-  for (base::Millis at = kFirstMs; at < end;) {
+  base::Millis end = options.seconds * 1000 - kQuietEndMs;
+  for (base::Millis at = kQuietStartMs; at < end;) {
     Event event;
     event.at = at;
     event.kind = kinds[random.Below(kinds.size())];
     bool controller = random.Below(4) == 0;
-    event.target =
-        controller ? Pick(&random, "c", options.controllers) : Pick(&random, "p", options.proxies);
+    event.target = controller ? RandomName(&random, "c", options.controllers)
+                              : RandomName(&random, "p", options.proxies);
     if (event.kind == Kind::kTerminateZone || event.kind == Kind::kColdZone) {
-      event.target = Pick(&random, "z", 2);
+      event.target = RandomName(&random, "z", 2);
     }
     if (event.kind == Kind::kFreeze) {
       event.for_ms = 300 + static_cast<base::Millis>(random.Below(kMaxFreezeMs));
@@ -95,7 +101,7 @@
     if (event.kind == Kind::kCutPlatform) {
       event.for_ms = kMinCutMs + static_cast<base::Millis>(random.Below(kMaxCutMs - kMinCutMs));
       if (at + event.for_ms >= end) break;
-      at += event.for_ms + kAfterCutMs;
+      at += event.for_ms + kQuietAfterCutMs;
     }
     events.push_back(event);
     if (event.kind == Kind::kTerminate && random.Below(2) == 0) {
@@ -104,16 +110,16 @@
       again.at += static_cast<base::Millis>(random.Below(4000));
       events.push_back(again);
     }
-    // A zone's servers come back cold just before its proxies end, at times.
+    // Half of the slow starts of a zone are followed by the termination of the zone's proxies.
     if (event.kind == Kind::kColdZone && random.Below(2) == 0) {
       Event zone = event;
       zone.kind = Kind::kTerminateZone;
-      zone.at += kZoneAfterColdMs;
+      zone.at += kTerminateAfterColdMs;
       events.push_back(zone);
     }
-    // In series and overlapping, or after a pause.
+    // One event in three is followed closely by the next one, so that events overlap.
     bool series = random.Below(3) == 0;
-    at += static_cast<base::Millis>(random.Below(series ? kSeriesGapMs : kMaxGapMs));
+    at += static_cast<base::Millis>(random.Below(series ? kMaxSeriesGapMs : kMaxGapMs));
   }
   if (options.unsound) AddColdStarts(options.seed, end, &events);
   std::stable_sort(events.begin(), events.end(),
--- a/tools/soak/schedule.h
+++ b/tools/soak/schedule.h
@@ -8,44 +8,47 @@
 
 namespace elderkeel::soak {
 
+// The command-line options of the soak.
 struct Options {
   uint64_t seed = 1;
-  int64_t seconds = 60;
+  int64_t seconds = 60;  // duration of the client traffic
   int controllers = 3;
   int proxies = 8;
   int clients = 64;
-  bool varied = false;              // clients: some leave early, some use connections that rested
-  bool unsound = false;             // servers, in spells; addresses are used again
-  std::string programs = "target";  // the folder of the programs
-  std::string logs = "";            // folder for what the processes print; empty: as for their data
-  std::string report = "";          // a file; empty for none
+  bool varied = false;   // some clients disconnect early, some let their connections idle
+  bool unsound = false;  // servers have periods with faults, and their addresses are reused
+  std::string programs = "target";  // folder of the proxy and controller binaries
+  std::string logs = "";    // folder for the output of the processes; empty: the temporary folder
+  std::string report = "";  // file for the JSON report; empty for none
 };
 
-// What the schedule does, and to whom.
+// One scheduled operation or fault.
 struct Event {
   enum class Kind {
-    kTerminate,      // SIGTERM, and a start some time after the end
-    kTerminateZone,  // all proxies of a zone
-    kSignalAgain,    // a second SIGTERM, or a SIGHUP, during an end
-    kKill,
-    kFreeze,       // for `for_ms`
-    kReload,       // SIGHUP with other settings
-    kDrain,        // a server
-    kColdZone,     // the servers of a zone are replaced by cold ones
-    kCutPlatform,  // from the controllers, for `for_ms`; slow for the proxies meanwhile
+    kTerminate,      // SIGTERM to a process, which is restarted after its exit
+    kTerminateZone,  // SIGTERM to all proxies of a zone
+    kSignalAgain,    // a second SIGTERM and a SIGHUP to a process that is shutting down
+    kKill,           // SIGKILL to a process
+    kFreeze,         // SIGSTOP to a process for `for_ms`
+    kReload,         // SIGHUP to a process, with changed settings
+    kDrain,          // drains one server in the zone of the target process
+    kColdZone,       // replaces the servers of a zone by new ones in slow start
+    kCutPlatform,    // for `for_ms` the platform fails for controllers and is slow for proxies
   };
-  base::Millis at = 0;  // since the begin of the traffic
+  base::Millis at = 0;  // since the start of the traffic
   Kind kind = Kind::kTerminate;
-  std::string target = "";
+  std::string target = "";  // a process or a zone
   base::Millis for_ms = 0;
 };
 
+// The kind's name in the report.
 const char* KindName(Event::Kind kind);
 
-// The seed fixes all of it. Odd seeds have planned work alone, so that the rules that have an
-// excuse for unplanned trouble bind throughout; of the even ones every second has trouble of the
-// platform alone, the others have kills and freezes beside planned work. With unsound servers the
-// cold zones of `AddColdStarts` come on top.
+// Returns the events of a run, sorted by time; the options alone determine them. Odd seeds contain
+// only planned work, so that the rules with an exception for unplanned faults apply throughout the
+// run. Seeds with remainder 2 modulo 4 contain reloads, drains and platform failures; multiples of
+// 4 contain kills and freezes besides planned work. With `Options::unsound`, AddColdStarts() adds
+// slow starts of whole zones.
 std::vector<Event> MakeSchedule(const Options& options);
 
 }  // namespace elderkeel::soak
--- a/tools/soak/server_faults.h
+++ b/tools/soak/server_faults.h
@@ -7,28 +7,29 @@
 
 namespace elderkeel::soak {
 
-// What a server that is not sound does with a request.
+// How a faulty server treats a request.
 enum class ServerFault {
   kNone,
-  kTurnsAway,     // 503, and says that it did not run it
-  kOwnFailure,    // runs it and answers 500
-  kSlow,          // takes much longer
-  kCutsBefore,    // runs it and breaks the connection off before the first byte
-  kCutsMidway,    // and in the middle of the body
-  kHangs,         // runs it and never answers
-  kAnswersTwice,  // the same answer once more, behind its own
-  kAnswersOther,  // with the answer to another request
+  kRejects,               // responds with 503 and states that it did not execute the request
+  kServerError,           // executes the request and responds with 500
+  kSlow,                  // executes the request with an added delay
+  kResetsBeforeResponse,  // executes the request and resets the connection without a response
+  kResetsMidBody,         // executes the request and resets the connection within the body
+  kHangs,                 // executes the request and never responds
+  kDuplicatesResponse,    // sends its response twice on the connection
+  kSendsOtherResponse,    // sends a response that names another request
 };
 
-// Whether the fault leaves the caller without a whole answer of the server's own.
-bool BreaksOff(ServerFault fault);
+// Whether the fault leaves the caller without a complete response to its request.
+bool PreventsResponse(ServerFault fault);
 
-// Servers are unsound in spells, each of one kind, and within a spell not with every request. The
-// seed fixes which server when, and which requests.
+// Decides which requests a faulty server affects, and how. Time is divided into periods; in some of
+// them a server has one kind of fault, which affects some of its requests. The seed determines the
+// periods, the kinds and the requests.
 class ServerFaults {
  public:
   explicit ServerFaults(uint64_t seed) : seed_(seed) {}
-  // `now`: milliseconds since the run began.
+  // `now`: milliseconds since the run began. The same arguments always return the same fault.
   ServerFault Draw(base::Millis now, const std::string& server,
                    const std::string& attempt_id) const;
 
--- a/tools/soak/stall_watch.cc
+++ b/tools/soak/stall_watch.cc
@@ -6,7 +6,7 @@
 
 namespace elderkeel::soak {
 namespace {
-constexpr base::Millis kSleepMs = 10;
+constexpr base::Millis kSleepMs = 10;  // between two checks of the clock
 }  // namespace
 
 StallWatch::~StallWatch() {
@@ -22,7 +22,7 @@
   return stalls_;
 }
 
-void StallWatch::Watch() {
+void StallWatch::Run() {
   for (;;) {
     base::Millis before = base::SteadyMillis();
     std::this_thread::sleep_for(std::chrono::milliseconds(kSleepMs));
@@ -41,12 +41,12 @@
   return WaitMeter("/proc/self/task/" + std::to_string(thread) + "/schedstat");
 }
 
-base::Millis WaitMeter::TakeMs() {
+base::Millis WaitMeter::TakeWaitedMs() {
   std::ifstream file(path_);
   int64_t ran_ns = 0, waited_ns = 0;
   if (!(file >> ran_ns >> waited_ns)) return 0;
   base::Millis waited_ms = waited_ns / 1000000;
-  return waited_ms - std::exchange(taken_ms_, waited_ms);
+  return waited_ms - std::exchange(returned_ms_, waited_ms);
 }
 
 }  // namespace elderkeel::soak
--- a/tools/soak/stall_watch.h
+++ b/tools/soak/stall_watch.h
@@ -12,48 +12,52 @@
 
 namespace elderkeel::soak {
 
-// A span in which a process was ready to run and had no processor, or the machine itself stood
-// still.
+// A time span in which a process was ready to run but waited for a processor, or in which the whole
+// machine did not run.
 struct Stall {
   base::Millis at = 0;
   base::Millis for_ms = 0;
-  std::string process = "";    // empty for all of them, the soak's own clients and servers included
-  base::Millis waited_ms = 0;  // of the span
+  // Empty for all processes, including the clients and servers within the soak.
+  std::string process = "";
+  base::Millis waited_ms = 0;  // waiting time within the span
 };
 
-// Watches whether the machine stands still, on a thread of its own: no rule is judged over such a
-// time.
+// Detects spans in which the whole machine did not run: a thread of its own sleeps repeatedly and
+// records each late wake-up. The checkers and tests don't evaluate time limits over such spans.
 class StallWatch {
  public:
-  // What is shorter counts as nothing.
+  // Shorter stalls are ignored.
   static constexpr base::Millis kMinMs = 100;
 
-  StallWatch() : thread_([this] { Watch(); }) {}
+  StallWatch() : thread_([this] { Run(); }) {}
   ~StallWatch();
+  // The stalls so far. Thread-safe.
   std::vector<Stall> stalls() const;
 
  private:
-  void Watch();
+  void Run();
   mutable std::mutex mutex_;
   std::vector<Stall> stalls_;
   bool stop_ = false;
   std::thread thread_;
 };
 
-// How long a thread, by its file in /proc, was ready and had no processor, by the kernel's count.
+// Reads from /proc how long a thread was ready to run but waited for a processor, as counted by the
+// kernel. A default-constructed meter always returns 0.
 class WaitMeter {
  public:
-  // The first thread of a process; a thread of this process.
+  // A meter for the main thread of a process, and for a thread of this process.
   static WaitMeter OfProcess(pid_t pid);
   static WaitMeter OfOwnThread(pid_t thread);
   WaitMeter() = default;
-  // Since the last call, or since the thread's start; 0 if it is gone.
-  base::Millis TakeMs();
+  // The waiting time since the last call or, at the first call, since the thread's start; 0 if the
+  // thread has ended.
+  base::Millis TakeWaitedMs();
 
  private:
   explicit WaitMeter(std::string path) : path_(std::move(path)) {}
   std::string path_;
-  base::Millis taken_ms_ = 0;
+  base::Millis returned_ms_ = 0;
 };
 
 }  // namespace elderkeel::soak
--- a/tools/soak/traffic.cc
+++ b/tools/soak/traffic.cc
@@ -12,37 +12,42 @@
 namespace elderkeel::soak {
 namespace {
 
-constexpr base::Millis kDeadlineMs = 3000;
-constexpr base::Millis kAskEveryMs = 1000;
+constexpr base::Millis kDeadlineMs = 3000;  // of a client's request
+constexpr base::Millis kProbeIntervalMs = 1000;
 constexpr base::Millis kCallTimeoutMs = 1000;
 constexpr base::Millis kRetryMs = 100;
-constexpr int kMissesOut = 2;
-constexpr int kCallTries = 60;
-constexpr uint64_t kOneInSlow = 8;  // requests
+constexpr int kFailedProbesToRemove = 2;  // consecutive
+constexpr int kMaxCallAttempts = 60;
+constexpr uint64_t kOneInSlow = 8;  // of the requests
 
-constexpr uint64_t kOneInLeaves = 4;            // requests of a client that leaves early
-constexpr base::Millis kMaxLeaveMs = 300;       // after the request was sent
-constexpr uint64_t kOneInRests = 16;            // requests before which a connection rests
-constexpr base::Millis kIdleTimeoutMs = 15000;  // of the configuration
-constexpr base::Millis kRestStepMs = 20;
+constexpr uint64_t kOneInDisconnects = 4;  // of the requests of a client that disconnects early
+constexpr base::Millis kMaxDisconnectMs = 300;  // after the request was sent
+constexpr uint64_t kOneInIdles = 16;  // of the requests of a client that lets connections idle
+constexpr base::Millis kIdleTimeoutMs = 15000;  // in the configuration
+constexpr base::Millis kIdleStepMs = 20;        // between two checks for Stop()
 
-enum class Behaviour { kPlain, kLeaves, kRests };
+// How a client behaves besides sending requests: kDisconnects closes its connection before some
+// responses, kIdles pauses before some requests.
+enum class Behaviour { kPlain, kDisconnects, kIdles };
 
 Behaviour BehaviourOf(int client) {
-  int kind = client / 2 % 4;  // its zone follows from whether it is odd
-  if (kind == 2) return Behaviour::kLeaves;
-  return kind == 3 ? Behaviour::kRests : Behaviour::kPlain;
+  // Odd and even clients use different zones; the division gives both zones clients of each kind.
+  int kind = client / 2 % 4;
+  if (kind == 2) return Behaviour::kDisconnects;
+  return kind == 3 ? Behaviour::kIdles : Behaviour::kPlain;
 }
 
-base::Millis Draw(base::Random* random, base::Millis most) {
-  return 1 + static_cast<base::Millis>(random->Below(static_cast<uint64_t>(most)));
+// A random duration from 1 to `max`.
+base::Millis RandomMillis(base::Random* random, base::Millis max) {
+  return 1 + static_cast<base::Millis>(random->Below(static_cast<uint64_t>(max)));
 }
 
 struct CallResult {
-  int status = 0;  // 0: no whole answer
+  int status = 0;  // 0 without a complete response
   http::Message answer;
 };
 
+// Sends `bytes` as one request on a new connection and blocks until the response or a time-out.
 CallResult CallOnce(const base::Address& to, const std::string& bytes) {
   base::Loop loop;
   CallResult result;
@@ -58,6 +63,8 @@
   return result;
 }
 
+// A random request to one of the two routes that every revision contains. Its path gives the time
+// that the server works on it, in milliseconds.
 Request MakeRequest(base::Random* random) {
   bool slow = random->Below(kOneInSlow) == 0;
   uint64_t work_ms = slow ? 300 + random->Below(1900) : 5 + random->Below(40);
@@ -75,7 +82,8 @@
          (request.effectful ? "Content-Length: 4\r\n\r\nbody" : "\r\n");
 }
 
-void TakeOutcome(http::HttpConnection::Outcome&& outcome, Request* request) {
+// Copies the outcome of the exchange into the client's record of the request.
+void ApplyOutcome(http::HttpConnection::Outcome&& outcome, Request* request) {
   request->any_byte_sent = outcome.ending != http::HttpConnection::Ending::kNotSent;
   request->reason = outcome.reason;
   if (outcome.ending != http::HttpConnection::Ending::kAnswer) return;
@@ -85,9 +93,10 @@
   if (seal) request->seal = *seal;
 }
 
-// Sends the request and waits for its answer or its deadline, or until the client leaves after
-// `leave_after`, if that is not negative. True if the connection can be kept.
-bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis leave_after,
+// Sends the request and blocks until its response, shortly after its deadline or, if
+// `disconnect_after` is not negative, until the client disconnects after that time. Returns whether
+// the connection can be reused.
+bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis disconnect_after,
               Request* request) {
   request->sent_at = base::SteadyMillis();
   request->deadline = request->sent_at + kDeadlineMs;
@@ -96,20 +105,20 @@
   connection->Send(Serialize(*request), false, [&](http::HttpConnection::Outcome&& outcome) {
     done = true;
     keep = outcome.ending == http::HttpConnection::Ending::kAnswer && outcome.answer.keep_alive;
-    TakeOutcome(std::move(outcome), request);
+    ApplyOutcome(std::move(outcome), request);
   });
-  base::Millis wait = leave_after < 0 ? kDeadlineMs + kRetryMs : leave_after;
+  base::Millis wait = disconnect_after < 0 ? kDeadlineMs + kRetryMs : disconnect_after;
   base::Timer give_up;
   give_up.Start(loop, wait, [] {});
   while (!done && base::SteadyMillis() < request->sent_at + wait) {
     event_base_loop(loop->base(), EVLOOP_ONCE);
   }
   request->ended_at = base::SteadyMillis();
-  if (!done && leave_after >= 0) request->left_at = request->ended_at;
+  if (!done && disconnect_after >= 0) request->client_closed_at = request->ended_at;
   return done && keep;
 }
 
-// The address in http://ADDRESS/PATH.
+// The address in a URL of the form http://ADDRESS/PATH; empty if it has no "//".
 std::string AddressOf(const std::string& location) {
   size_t begin = location.find("//");
   if (begin == std::string::npos) return "";
@@ -119,60 +128,62 @@
 
 }  // namespace
 
-Readiness::Readiness(const Options& options, const Addresses& addresses)
-    : options_(options), addresses_(addresses), misses_(static_cast<size_t>(options.proxies)) {
-  for (auto& misses : misses_) misses = kMissesOut;
+ReadinessProber::ReadinessProber(const Options& options, const Addresses& addresses)
+    : options_(options),
+      addresses_(addresses),
+      failed_probes_(static_cast<size_t>(options.proxies)) {
+  for (auto& failed : failed_probes_) failed = kFailedProbesToRemove;
   thread_ = std::thread([this] { Run(); });
 }
 
-Readiness::~Readiness() {
+ReadinessProber::~ReadinessProber() {
   stop_ = true;
   thread_.join();
 }
 
-void Readiness::Run() {
+void ReadinessProber::Run() {
   base::Loop loop;
-  std::vector<std::unique_ptr<http::HttpCall>> calls(misses_.size());
-  base::Timer ask, watch;
-  auto ask_all = [&] {
-    for (size_t i = 0; i < misses_.size(); ++i) {
+  std::vector<std::unique_ptr<http::HttpCall>> calls(failed_probes_.size());
+  base::Timer probe_timer, stop_timer;
+  auto probe_all = [&] {
+    for (size_t i = 0; i < failed_probes_.size(); ++i) {
       calls[i] = std::make_unique<http::HttpCall>(&loop, addresses_.Readiness(static_cast<int>(i)),
                                                   kCallTimeoutMs / 2, http::Limits());
       calls[i]->Start("GET /elderkeel/ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n",
                       [this, i](http::HttpConnection::Outcome&& outcome) {
                         bool ready = outcome.ending == http::HttpConnection::Ending::kAnswer &&
                                      outcome.answer.status == 200;
-                        misses_[i] = ready ? 0 : misses_[i] + 1;
+                        failed_probes_[i] = ready ? 0 : failed_probes_[i] + 1;
                       });
     }
   };
-  ask_all();
-  ask.Repeat(&loop, kAskEveryMs, ask_all);
-  watch.Repeat(&loop, kRetryMs, [&] {
+  probe_all();
+  probe_timer.Repeat(&loop, kProbeIntervalMs, probe_all);
+  stop_timer.Repeat(&loop, kRetryMs, [&] {
     if (stop_) loop.Stop();
   });
   loop.Run();
 }
 
-int Readiness::Choose(int zone, uint64_t random) const {
-  std::vector<int> in, all;
+int ReadinessProber::Choose(int zone, uint64_t random) const {
+  std::vector<int> ready, all;
   for (int i = 0; i < options_.proxies; ++i) {
     if (i % 2 != zone) continue;
     all.push_back(i);
-    if (misses_[static_cast<size_t>(i)] < kMissesOut) in.push_back(i);
+    if (failed_probes_[static_cast<size_t>(i)] < kFailedProbesToRemove) ready.push_back(i);
   }
-  const std::vector<int>& from = in.size() * 2 < all.size() ? all : in;
-  if (from.empty()) return 0;
-  return from[random % from.size()];
+  const std::vector<int>& candidates = ready.size() * 2 < all.size() ? all : ready;
+  if (candidates.empty()) return 0;
+  return candidates[random % candidates.size()];
 }
 
-bool Readiness::AllReady() const {
-  return std::all_of(misses_.begin(), misses_.end(),
-                     [](const auto& misses) { return misses == 0; });
+bool ReadinessProber::AllReady() const {
+  return std::all_of(failed_probes_.begin(), failed_probes_.end(),
+                     [](const auto& failed) { return failed == 0; });
 }
 
-Clients::Clients(const Options& options, const Addresses& addresses, const Readiness& readiness,
-                 Record* record)
+Clients::Clients(const Options& options, const Addresses& addresses,
+                 const ReadinessProber& readiness, Record* record)
     : options_(options),
       addresses_(addresses),
       readiness_(readiness),
@@ -192,7 +203,7 @@
   std::unique_ptr<http::HttpConnection> connection;
   Behaviour behaviour = options_.varied ? BehaviourOf(number) : Behaviour::kPlain;
   int proxy = 0;
-  int served = 0;  // on this connection
+  int served = 0;  // requests on this connection
   for (int count = 0; !stop_; ++count) {
     if (!connection || !connection->Usable()) {
       proxy = readiness_.Choose(number % 2, random.Next());
@@ -202,26 +213,26 @@
     Request request = MakeRequest(&random);
     request.attempt_id = "a" + std::to_string(number) + "-" + std::to_string(count);
     request.proxy = "p" + std::to_string(proxy);
-    bool leaves = behaviour == Behaviour::kLeaves && random.Below(kOneInLeaves) == 0;
-    base::Millis leave_after = leaves ? Draw(&random, kMaxLeaveMs) : -1;
-    request.kept = served > 0;
-    bool keep = Exchange(&loop, connection.get(), leave_after, &request);
+    bool disconnects = behaviour == Behaviour::kDisconnects && random.Below(kOneInDisconnects) == 0;
+    base::Millis disconnect_after = disconnects ? RandomMillis(&random, kMaxDisconnectMs) : -1;
+    request.on_reused_connection = served > 0;
+    bool keep = Exchange(&loop, connection.get(), disconnect_after, &request);
     served = keep ? served + 1 : 0;
     bool refused = request.status == 503 || !request.any_byte_sent;
     record_->Add(std::move(request));
     if (!keep) connection.reset();
     if (refused) usleep(static_cast<useconds_t>(kRetryMs * 1000));
-    if (behaviour == Behaviour::kRests && random.Below(kOneInRests) == 0) {
-      Rest(Draw(&random, kIdleTimeoutMs * 4 / 5));
+    if (behaviour == Behaviour::kIdles && random.Below(kOneInIdles) == 0) {
+      Idle(RandomMillis(&random, kIdleTimeoutMs * 4 / 5));
     }
   }
   --running_;
 }
 
-void Clients::Rest(base::Millis span) const {
+void Clients::Idle(base::Millis span) const {
   base::Millis until = base::SteadyMillis() + span;
   while (!stop_ && base::SteadyMillis() < until)
-    usleep(static_cast<useconds_t>(kRestStepMs * 1000));
+    usleep(static_cast<useconds_t>(kIdleStepMs * 1000));
 }
 
 Operator::Operator(const Options& options, const Addresses& addresses, Record* record)
@@ -259,7 +270,7 @@
   std::string bytes = method + " /elderkeel/config HTTP/1.1\r\nHost: c\r\nConnection: close\r\n" +
                       "If-Match: " + std::to_string(base) +
                       "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-  for (int attempt = 0; attempt < kCallTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxCallAttempts; ++attempt) {
     base::Address to = addresses_.Control(attempt % options_.controllers);
     for (int redirects = 0; redirects <= 2; ++redirects) {
       CallResult result = CallOnce(to, bytes);
@@ -304,9 +315,9 @@
   if (thread_.joinable()) thread_.join();
   std::string document;
   if (Send("GET", 0, "", &document) != 200) return -1;
-  constexpr std::string_view kMark = "\"revision\":";
-  size_t at = document.find(kMark);
-  return at == std::string::npos ? -1 : std::atoll(document.c_str() + at + kMark.size());
+  constexpr std::string_view kKey = "\"revision\":";
+  size_t at = document.find(kKey);
+  return at == std::string::npos ? -1 : std::atoll(document.c_str() + at + kKey.size());
 }
 
 }  // namespace elderkeel::soak
--- a/tools/soak/world.h
+++ b/tools/soak/world.h
@@ -17,14 +17,16 @@
 
 namespace elderkeel::soak {
 
-// Where everything of one run listens, on loopback.
+// The loopback addresses of everything that listens in one run. Each run number has addresses of
+// its own, so that several soaks can run at once.
 struct Addresses {
   explicit Addresses(int run);
   std::string Ip(int number) const;
   base::Address Control(int controller) const { return {Ip(1 + controller), base_port}; }
   base::Address Front(int proxy) const { return {Ip(50 + proxy), uint16_t(base_port + 1)}; }
   base::Address Readiness(int proxy) const { return {Ip(50 + proxy), uint16_t(base_port + 2)}; }
-  // The platform, as the controllers and as the proxies reach it.
+  // The platform's list has one address for the controllers and one for the proxies, so that one
+  // side can be cut off alone.
   base::Address PlatformOfControllers() const { return {Ip(250), base_port}; }
   base::Address PlatformOfProxies() const { return {Ip(251), base_port}; }
   base::Address Server(int number) const {
@@ -35,57 +37,66 @@
   uint16_t base_port;
 };
 
-// The platform's list and the servers on it, played on a thread of its own. Servers take the time
-// that a request's path asks for and go on with it though the caller leaves; with
-// `Options::unsound` they have faults.
+// Simulates the platform's server list and the servers on it, on a thread of its own with an event
+// loop. A server works on a request for the time that the request's path gives, also after the
+// caller has disconnected; with `Options::unsound` servers have faults. The public functions are
+// called on the main thread and post their work to the loop; they don't wait for it.
 class World {
  public:
   World(const Options& options, const Addresses& addresses, Record* record);
   ~World();
 
-  // Begins with some sound servers of each service in each zone.
+  // Starts the list and six warm servers of each service: "reading" in z0 and "writing" in z1.
   void Start();
-  // One server of the zone drains, serves on, ends, and another takes its place.
+  // Lists one server of the zone as draining and starts a replacement in slow start. The draining
+  // server serves requests for another 14 s and then ends.
   void DrainOne(const std::string& zone);
-  // A server of the zone crashes, and its address goes to a server of the other service.
+  // Ends a server of the zone without a drain; 2 s later a server of the other service, in the
+  // other zone, starts at its address.
   void ReuseAddress(const std::string& zone);
-  // The servers of the zone end, and cold ones take their places.
+  // Replaces all servers of the zone that don't drain by new ones in slow start.
   void ReplaceZoneCold(const std::string& zone);
-  // Of the thread on which platform and servers run.
+  // The thread that runs the platform and the servers.
   pid_t thread_id() const { return thread_id_; }
-  // Controllers get no answers of the platform; those to the proxies are slow.
+  // While cut, the platform answers controllers with 503, and proxies after a delay that lasts
+  // until 2 s after the end of the cut.
   void CutPlatform(bool cut);
 
  private:
   struct Server;
   void Run();
   void Post(std::function<void()> work);
-  // At an address as TakeAddress() chooses it; at that one.
-  void AddServer(const std::string& service, const std::string& zone, base::Millis cold_ms);
+  // Starts a server at an address that AllocateAddress() chooses, and at the given one. A positive
+  // `warmup_ms` is the duration of its slow start.
+  void AddServer(const std::string& service, const std::string& zone, base::Millis warmup_ms);
   void AddServer(const std::string& service, const std::string& zone, const base::Address& address,
-                 base::Millis cold_ms);
+                 base::Millis warmup_ms);
   // The servers of the zone that neither drain nor have ended.
-  std::vector<std::shared_ptr<Server>> Serving(const std::string& zone) const;
+  std::vector<std::shared_ptr<Server>> ActiveServers(const std::string& zone) const;
+  // Ends a server at once; the list shows it for another 300 ms.
   void RemoveServer(const std::string& id);
   std::unique_ptr<http::HttpServer> MakePlatform(bool of_proxies);
   http::Message ListPage(const http::Message& request) const;
   void OnRequest(const std::shared_ptr<Server>& server, http::HttpServer::Ticket ticket,
                  const http::Message& request);
-  // Notes the run, and answers when its work is done, as the fault says.
-  void RunRequest(const std::shared_ptr<Server>& server, http::HttpServer::Ticket ticket,
-                  const http::Message& request, ServerFault fault);
-  void GiveAnswer(Server* server, http::HttpServer::Ticket ticket, const std::string& attempt_id,
-                  ServerFault fault);
-  // A new one or, where servers are unsound, at times that of an ended server of another service.
-  base::Address TakeAddress(const std::string& service);
+  // Records the execution and responds when its work is done, as `fault` specifies.
+  void Execute(const std::shared_ptr<Server>& server, http::HttpServer::Ticket ticket,
+               const http::Message& request, ServerFault fault);
+  void SendResponse(Server* server, http::HttpServer::Ticket ticket, const std::string& attempt_id,
+                    ServerFault fault);
+  // A new address or, with `Options::unsound`, that of an ended server of another service if one is
+  // free.
+  base::Address AllocateAddress(const std::string& service);
+  // Calls `work` on the loop after `wait`.
   void After(base::Millis wait, std::function<void()> work);
 
   Addresses addresses_;
   Record* record_;
   std::thread thread_;
-  std::atomic<pid_t> thread_id_{0};  // known once loop_ is
+  std::atomic<pid_t> thread_id_{0};  // set before loop_
   std::atomic<base::Loop*> loop_{nullptr};
-  // On the thread of the loop from here on.
+  // The members below are accessed only on the thread of the loop, except for the constants and
+  // initial values that the constructor sets.
   std::map<std::string, std::shared_ptr<Server>> servers_;
   std::unique_ptr<http::HttpServer> platform_of_controllers_, platform_of_proxies_;
   std::map<uint64_t, std::unique_ptr<base::Timer>> timers_;
@@ -95,15 +106,15 @@
   const bool unsound_;
   const ServerFaults faults_;
   base::Millis began_at_ = 0;
-  // Of servers that have ended, the oldest first.
+  // Addresses of ended servers, the oldest first.
   struct FreeAddress {
     base::Address address;
     std::string service;
     base::Millis free_at;
   };
   std::deque<FreeAddress> free_addresses_;
-  bool cut_ = false;
-  base::Millis slow_until_ = 0;
+  bool cut_ = false;             // for the controllers
+  base::Millis slow_until_ = 0;  // for the proxies
 };
 
 }  // namespace elderkeel::soak
