--- a/tools/at_most_once_run.cc
+++ b/tools/at_most_once_run.cc
@@ -1,7 +1,9 @@
-// The at-most-once checker: clients, proxies and stand-in servers on loopback, with trouble of
-// every kind, and counts for each attempt id of runs, answers and promises. Exits 1 if what may run
-// once ran twice, a client got what isn't its answer, or a promise was broken. Not part of CI,
-// which has a short run of the same (once_test.cc). It stops by itself.
+// Runs the at-most-once checker: clients, proxies and simulated servers on loopback with injected
+// faults of every kind. It counts for each attempt id the executions, the responses, and the
+// responses that state that the request was not executed. Exits with 1 if a request that may run
+// only once ran twice, a client received a response that isn't its own, or a request was executed
+// although its response stated otherwise. CI runs only a short version of it
+// (at_most_once_world_test.cc). The program ends after the given runs.
 //
 //   at_most_once_run [SECONDS] [FIRST_SEED] [RUNS]
 
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -1,8 +1,8 @@
-// What one change of the configuration costs, by the size of the document: on the leader (judged,
-// applied, committed to the news, written to a snapshot) and on a proxy (a patch or a whole
-// document adopted, the table made of it). Prints the median and the spread of each step in
-// microseconds and the bytes of heap that are held. Not part of CI; docs/CAPACITY.md holds what it
-// gave.
+// Measures the cost of one configuration change by the size of the document: on the leader
+// (evaluation, application, commit to the disseminator, encoding of a snapshot) and on a proxy
+// (adoption of a patch or a full document, building of the routing table). Prints the median, the
+// minimum and the maximum of each step in microseconds, and the heap memory in use in bytes. Not
+// part of CI; docs/CAPACITY.md lists the results.
 //
 //   change_cost [SIZES, such as 400,4300,20000] [REPEATS]
 
@@ -55,21 +55,23 @@
 
 size_t HeapBytes() { return mallinfo2().uordblks; }
 
-// Times of steps, in microseconds, by name; printed in the order of their first use.
+// Collects the durations of named steps in microseconds and prints them in the order in which the
+// steps were first used.
 class Times {
  public:
+  // Runs the step and adds its duration.
   template <class F>
   void Add(const std::string& name, F step) {
     auto begin = std::chrono::steady_clock::now();
     step();
     std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begin;
-    auto [at, added] = taken_.emplace(name, std::vector<double>());
+    auto [at, added] = durations_.emplace(name, std::vector<double>());
     if (added) order_.push_back(name);
     at->second.push_back(took.count());
   }
   void Print(int routes) {
     for (const std::string& name : order_) {
-      std::vector<double>& all = taken_[name];
+      std::vector<double>& all = durations_[name];
       std::sort(all.begin(), all.end());
       std::printf("%6d routes  %-44s %10.1f us  (%.1f to %.1f, %zu times)\n", routes, name.c_str(),
                   all[all.size() / 2], all.front(), all.back(), all.size());
@@ -77,7 +79,7 @@
   }
 
  private:
-  std::map<std::string, std::vector<double>> taken_;
+  std::map<std::string, std::vector<double>> durations_;
   std::vector<std::string> order_;
 };
 
@@ -92,12 +94,15 @@
   return options;
 }
 
-void Expect(bool held, const char* what) {
-  if (held) return;
+// Exits with 1 and the message `what` on stderr if the condition is false.
+void Expect(bool condition, const char* what) {
+  if (condition) return;
   std::fprintf(stderr, "change_cost: %s\n", what);
   std::exit(1);
 }
 
+// Measures full changes and patches of a document with this number of routes, and prints the
+// results.
 void Measure(int routes, int repeats) {
   Times times;
   membership::Membership controllers(Self(membership::Program::kController), {}, 0);
@@ -105,14 +110,15 @@
   const base::Address from{"127.0.0.2", 1};
   size_t before = HeapBytes();
   auto leader = std::make_unique<configuration::ConfigurationState>();
-  auto reported = std::make_unique<dissemination::Disseminator>(
+  auto controller_disseminator = std::make_unique<dissemination::Disseminator>(
       dissemination::Disseminator::Options(), &controllers, 0);
-  auto adopts = std::make_unique<dissemination::Disseminator>(
+  auto proxy_disseminator = std::make_unique<dissemination::Disseminator>(
       dissemination::Disseminator::Options(), &proxies, 0);
   base::Names names, regions;
   std::shared_ptr<const configuration::RoutingTable> table;
   int64_t revision = 0;
-  // One change through all that happens to it; `kind` leads the names of its steps.
+  // Takes one change through all steps on the leader and on the proxy. `kind` is the prefix of the
+  // step names.
   auto change = [&](const std::string& kind, bool patch) {
     int64_t base = revision++;
     configuration::Change c{patch, base,
@@ -127,18 +133,18 @@
     times.Add(kind + ", leader: Evaluate after it", [&] { verdict = leader->Evaluate(c); });
     Expect(verdict.status == 200, "a change is not known again");
     times.Add(kind + ", leader: Disseminator::Commit", [&] {
-      reported->Commit(0, *leader);
-      reported->TakeEffects();
+      controller_disseminator->Commit(0, *leader);
+      controller_disseminator->TakeEffects();
     });
     times.Add(kind + ", proxy: Disseminator::OnConfigurationUpdate", [&] {
-      adopts->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
-      adopts->TakeEffects();
+      proxy_disseminator->OnConfigurationUpdate(0, from, {revision, patch ? base : 0, c.body});
+      proxy_disseminator->TakeEffects();
     });
-    Expect(adopts->revision() == revision, "a change was not adopted");
+    Expect(proxy_disseminator->revision() == revision, "a change was not adopted");
     times.Add(kind + ", proxy: RoutingTable", [&] {
       table = patch ? configuration::RoutingTable::Patch(*table, c.body, &names, &regions)
-                    : configuration::RoutingTable::Build(adopts->configuration_text(), &names,
-                                                         &regions);
+                    : configuration::RoutingTable::Build(proxy_disseminator->configuration_text(),
+                                                         &names, &regions);
     });
     Expect(table && table->revision() == revision, "a table is not of the change");
   };
@@ -146,7 +152,7 @@
   size_t after_full = HeapBytes();
   change("first patch", true);
   for (int i = 0; i < repeats; ++i) change("patch", true);
-  Expect(leader->text() == adopts->configuration_text(),
+  Expect(leader->text() == proxy_disseminator->configuration_text(),
          "leader and proxy hold different documents");
   for (int i = 0; i < std::max(3, repeats / 4); ++i) {
     bool has = false;
@@ -175,8 +181,8 @@
     print(what, full - HeapBytes());
   };
   drop("table of a proxy", &table);
-  drop("news of a proxy", &adopts);
-  drop("news of a controller", &reported);
+  drop("news of a proxy", &proxy_disseminator);
+  drop("news of a controller", &controller_disseminator);
   drop("register", &leader);
 }
 
--- a/tools/model_check.cc
+++ b/tools/model_check.cc
@@ -1,5 +1,7 @@
-// The long walk of the model checker: from a scenario breadth first to a depth, or by random walks.
-// Not part of CI; docs/consensus.md holds what it gave. It stops by itself.
+// Long-running model checker: explores the states of a scenario breadth-first up to a depth, or by
+// random walks with --random, until the time limit of the scenario. Not part of CI;
+// docs/consensus.md lists the results. Exits with 1 if an invariant was violated, and with 2 on an
+// unknown scenario.
 //
 //   model_check SCENARIO|all [--depth N] [--seconds S] [--random SEED] [--members N] [--spares N]
 //              [--tolerance N] [--past-refusal 1] [--budget STEP=N,STEP=N] [--ignore
@@ -16,6 +18,7 @@
 namespace elderkeel::model {
 namespace {
 
+// The comma-separated parts of the text.
 std::vector<std::string> Split(const std::string& text) {
   std::vector<std::string> parts;
   std::istringstream in(text);
@@ -31,12 +34,12 @@
     return 2;
   }
   std::string name = argv[1];
-  int depth = 0, faults = 0, known = 0;
+  int depth = 0, faults = 0, scenarios_run = 0;
   double seconds = 60;
   uint64_t seed = 0;
   for (const Scenario& given : Scenarios()) {
     if (name != "all" && name != given.name) continue;
-    ++known;
+    ++scenarios_run;
     Scenario s = given;
     for (int k = 2; k + 1 < argc; k += 2) {
       std::string option = argv[k], value = argv[k + 1];
@@ -71,7 +74,7 @@
     std::fflush(stdout);
     if (!result.fault.empty()) ++faults;
   }
-  return known == 0 ? 2 : faults > 0 ? 1 : 0;
+  return scenarios_run == 0 ? 2 : faults > 0 ? 1 : 0;
 }
 
 }  // namespace
--- a/tools/trace_digest.cc
+++ b/tools/trace_digest.cc
@@ -1,7 +1,7 @@
-// Shows that a change of the code leaves its behavior as it is: runs the seeded simulation through
-// faults and prints, for each seed of each scenario, a hash over every message sent (time, sender,
-// receiver, encoded bytes) and every effect of the state machines. Two builds that behave alike
-// print the same lines:
+// Verifies that a code change preserves behavior: runs the seeded simulation with injected faults
+// and prints, for each seed of each scenario, a hash over every message sent (time, sender,
+// receiver, encoded bytes) and every effect of the state machines. Two builds with the same
+// behavior print the same lines:
 //
 //   trace_digest > before.txt     (a build of the old code)
 //   trace_digest > after.txt      (a build of the new code)
@@ -9,8 +9,9 @@
 //
 //   trace_digest [FIRST_SEED] [SEEDS]     (default: 1 100)
 //
-// One thread: RapidJSON's compiled schemas may not be shared by several. Ranges of seeds can be run
-// side by side as processes. Not part of CI. It stops by itself.
+// Uses one thread, because RapidJSON's compiled schemas may not be shared between threads. Several
+// processes can run ranges of seeds in parallel. Not part of CI. The program ends after the last
+// seed.
 
 #include <cstdio>
 #include <cstdlib>
@@ -22,11 +23,12 @@
 namespace elderkeel::simulation {
 namespace {
 
+// A configuration of the simulation and the load of faults.
 struct Scenario {
-  const char* name;
+  const char* name;  // printed with each digest
   World::Options options;
-  Millis rollout_ms = 0;  // above 0: a roll-out is ordered that is to take so long
-  int rounds = 20;        // faults injected
+  Millis rollout_ms = 0;  // planned duration of the roll-out; 0 for none
+  int rounds = 20;        // number of injected faults
 };
 
 std::vector<Scenario> Scenarios() {
@@ -65,7 +67,7 @@
   return scenarios;
 }
 
-// One fault, drawn at random.
+// Injects one random fault.
 void Inject(World* world, uint64_t controllers) {
   base::Random& random = world->random();
   size_t node = random.Below(world->size());
@@ -101,6 +103,7 @@
   }
 }
 
+// Runs the scenario with the seed and returns its line of output.
 std::string Run(const Scenario& scenario, uint64_t seed) {
   World::Options options = scenario.options;
   options.seed = seed;
