--- a/tools/soak/record.h
+++ b/tools/soak/record.h
@@ -142,7 +142,8 @@
     std::lock_guard<std::mutex> lock(mutex_);
     return data_.requests.size();
   }
-  // REQUIRES: no other thread adds events while the caller uses the reference.
+  // REQUIRES: no other thread adds events while the caller reads or changes the vectors. The other
+  // fields belong to the main thread.
   RecordData& data() { return data_; }
 
  private:
