--- a/src/consensus/compaction.cc
+++ b/src/consensus/compaction.cc
@@ -7,12 +7,13 @@
 
 namespace elderkeel::consensus {
 namespace {
-// The log is compacted when it holds more entries than this, or when the data of the entries after
-// the snapshot exceeds both this number of bytes and twice the size of the snapshot's state.
+// The log is compacted when it holds more entries than kCompactAfterEntries, or when the data of
+// the applied entries after the snapshot exceeds both kCompactAfterBytes and twice the size of the
+// snapshot's state.
 constexpr size_t kCompactAfterEntries = 96;
 constexpr size_t kCompactAfterBytes = 1 << 20;
-// Entries before the end of a snapshot that are kept for members that lag a little, at most so many
-// entries, and at most so many bytes or the size of the snapshot's state, whichever is more.
+// The last entries that a snapshot covers are kept for members that lag a little: at most
+// kTailEntries, whose data is no larger than kTailBytes or the snapshot's state, whichever is more.
 constexpr Index kTailEntries = 32;
 constexpr size_t kTailBytes = 1 << 20;
 // Limits for the entries that are kept for members that are being caught up. Beyond either of them
@@ -47,9 +48,9 @@
   write.drop_to = *drop_to;
 }
 
-// The last entry that no member that is being caught up needs any more. A member that has received
-// a snapshot continues with the entries after it; if they had been compacted away it would need the
-// next snapshot, and might never catch up.
+// The last entry that no member in contact needs any more; the last entry of the log if the needed
+// ones exceed a limit above. A member that has received a snapshot continues with the entries after
+// it; if they had been compacted away it would need the next snapshot, and might never catch up.
 Index RaftNode::LastUnneededIndex(base::Millis now) const {
   Index unneeded = log_.last_index();
   for (const auto& [id, peer] : progress_) {
@@ -68,7 +69,8 @@
 // taken; nullopt if members that are being caught up need all entries.
 std::optional<Index> RaftNode::TruncationPoint(Index index, size_t state_bytes) const {
   const std::vector<Entry>& entries = log_.entries();
-  // A member that lags behind the tail gets the snapshot, so a tail larger than it saves nothing.
+  // A member that lags behind the tail gets the snapshot, so a tail larger than the snapshot saves
+  // nothing.
   size_t tail_bytes = std::max(kTailBytes, state_bytes);
   Index tail = index;
   for (auto entry = entries.rbegin(); entry != entries.rend() && tail + kTailEntries > index;
--- a/src/consensus/file_system.cc
+++ b/src/consensus/file_system.cc
@@ -36,8 +36,8 @@
 }
 
 // Syncs the parent even if the directory exists: the process that created it may have lost power
-// before its name was synced. If this process may not read the parent, it can't sync it; a
-// directory that the parent's owner created there is accepted as it is.
+// before its name was synced. A process without permission to read the parent can't sync it; it
+// accepts a directory that the parent's owner has created there, but doesn't create one itself.
 leveldb::Status MakeDurableDirectory(const FileSystem& file_system, const std::string& directory) {
   bool created = file_system.env->CreateDir(directory).ok();
   leveldb::Status status = file_system.sync_directory(ParentDirectory(directory));
--- a/src/consensus/file_system.h
+++ b/src/consensus/file_system.h
@@ -7,8 +7,8 @@
 
 namespace elderkeel::consensus {
 
-// The file system that a store uses. A file that `env` creates, renames or removes stays so after a
-// power loss only once its directory was synced, and leveldb::Env has no call for that.
+// The file system that a store uses. When `env` creates, renames or removes a file, the change
+// survives a power loss only once the directory was synced, and leveldb::Env has no call for that.
 struct FileSystem {
   leveldb::Env* env;
   // Syncs the names in a directory. NotSupported: this process has no permission to open the
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -35,7 +35,8 @@
   Term term = 0;
   // From a candidate: its last index. From a leader: the index before `entries`. In a reply to
   // AppendEntries: the last index that matches, or, in a rejection, the last that may match. In a
-  // reply to a chunk: the index of its snapshot.
+  // reply to a chunk: the index of its snapshot. In a kStateLost: the last index that the receiver
+  // had acknowledged.
   Index index = 0;
   Term log_term = 0;  // of the entry at `index`
   Index commit = 0;
--- a/src/consensus/peer_progress.h
+++ b/src/consensus/peer_progress.h
@@ -52,13 +52,14 @@
   // The last entry that the member acknowledged as synced, and the next to be sent to it.
   Index match_index = 0;
   Index next_index = 1;
+  // When the member last replied or sent a kLeave; initially, when it was added.
   base::Millis last_contact = 0;
   SendWindow window;
 
-  // Rounds of messages, to detect late replies.
+  // Rounds of this leader's messages, to detect late replies.
   uint64_t last_reply_round = 0;    // the highest round that the member answered
-  uint64_t acknowledged_round = 0;  // the highest sent when match_index last increased
-  uint64_t rewound_round = 0;       // the highest sent when next_index or the offset was decreased
+  uint64_t acknowledged_round = 0;  // the newest sent before match_index last increased
+  uint64_t rewound_round = 0;       // the newest sent before next_index or the offset decreased
 
   // The snapshot that is being sent, null if none, and the bytes of its state that were sent. A
   // transfer continues with this snapshot even if the log was compacted again since.
--- a/src/consensus/quorum.h
+++ b/src/consensus/quorum.h
@@ -43,8 +43,8 @@
 
   // Adds one voter with its location; to be called once per voter.
   void AddVoter(const std::string& zone, const std::string& region, bool has_replica);
-  // Whether the entry is on enough voters, zones and regions. The zones and regions that it needs
-  // are capped by those that have a voter.
+  // Whether the entry is on enough voters, zones and regions. It never needs more zones or regions
+  // than there are with a voter.
   bool IsEnough() const;
 
  private:
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -36,8 +36,8 @@
   // 5.4.1).
   bool IsCoveredBy(Index index, Term term) const;
 
-  // The voters that the last kVoters entry up to `index` sets; those of the snapshot if no such
-  // entry follows it.
+  // The voters that the last kVoters entry up to `index` sets; the snapshot's voters if there is no
+  // such entry after the snapshot.
   std::vector<Member> VotersAt(Index index) const;
   // The index of the last kVoters entry in memory; the snapshot's index if there is none.
   Index LastVotersIndex() const;
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -91,7 +91,7 @@
     // This member lacks entries that it had acknowledged: it must restart with an empty store and a
     // new id.
     bool discard_store = false;
-    bool role_changed = false;  // or the leader, or HasCommittedInTerm()
+    bool role_changed = false;  // the role, the leader or HasCommittedInTerm() changed
 
     bool empty() const {
       return messages.empty() && writes.empty() && committed.empty() && installed.empty() &&
@@ -120,12 +120,14 @@
   // interval longer.
   bool ConfirmReadByHeartbeat(base::Millis now, uint64_t token);
   // On the leader: starts to replicate to a controller that asked to join, in order to make it a
-  // voter. No effect on another member, or for a voter.
+  // voter. No effect if this member isn't the leader, or `member` is a voter already.
   void AddLearner(base::Millis now, const Member& member);
   // Sets the zone of the members at an address, as published by membership. It overrides
   // Member::zone, which initial voters lack.
   void SetZone(const std::string& ip, const std::string& zone) { zones_[ip] = zone; }
-  // Transfers leadership to the most caught-up follower in contact, for an orderly shutdown.
+  // On the leader: asks the most caught-up voter in contact to start an election at once, for an
+  // orderly shutdown or when the disk stalls. The request may be lost. No effect without such a
+  // voter.
   void TransferLeadership(base::Millis now);
   // From now on this member asks the leader to be released, until may_stop(); a leader transfers
   // its leadership first.
@@ -134,10 +136,12 @@
   // voter, or stays one because the group can't remove it, and committed entries are on enough
   // other disks. A leader without contact to any other member may stop as well.
   bool may_stop() const { return may_stop_; }
-  // Whether the log is long enough, in entries or in bytes, to be replaced by a snapshot.
+  // Whether the log is long enough, in entries or in bytes, to be replaced by a snapshot, and
+  // members that are being caught up don't need all of it.
   bool CompactionDue() const;
   // Replaces the log up to `index` by a snapshot with the state after that entry. No effect if the
-  // entry is not applied yet or is part of the current snapshot.
+  // entry is not applied yet, the current snapshot covers it, or members that are being caught up
+  // need the whole log.
   void Compact(Index index, std::string state);
   // Returns and clears the effects since the last call.
   Effects TakeEffects();
@@ -152,6 +156,7 @@
   Index last_index() const { return log_.last_index(); }
   const Member& self() const { return self_; }
   uint64_t cluster() const { return hard_state_.cluster; }
+  // The voters that the newest kVoters entry sets, committed or not.
   const std::vector<Member>& voters() const { return voters_; }
   // For the leader: the members without a vote that it replicates to.
   std::vector<Member> learners() const;
@@ -169,6 +174,7 @@
   base::Millis LastContact(MemberId id) const;
   // Whether a write has failed, or is unfinished for longer than disk_stall_timeout.
   bool IsDiskStalled(base::Millis now) const;
+  // The number of entries in memory, and the sum of their data's sizes.
   size_t log_size() const { return log_.entries().size(); }
   size_t log_bytes() const { return log_.bytes(); }
   Index snapshot_index() const { return log_.snapshot().index; }
@@ -267,10 +273,12 @@
   void RemoveVoter(base::Millis now);
   void ProposeVoters(base::Millis now, const std::vector<Member>& voters);
   std::vector<Member> VotersWithout(MemberId id) const;
-  // Since a voter's last reply. REQUIRES: this is the leader, and the voter is another member.
+  // The time since a voter's last contact. REQUIRES: this is the leader, and the voter is another
+  // member.
   base::Millis TimeSinceContact(base::Millis now, const Member& voter) const;
   bool IsUnreachable(base::Millis now, const Member& voter) const;
-  // Whether the voters besides `without` have a majority in contact among themselves.
+  // Whether a majority of the voters besides `without` is in contact with this leader, which
+  // counts itself.
   bool HasLiveMajorityWithout(base::Millis now, MemberId without) const;
   bool IsLeaving(const PeerProgress& peer) const;
   bool MayStop(base::Millis now, MemberId id) const;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -45,8 +45,8 @@
     // leadership was lost first.
     std::function<void(uint64_t token, bool confirmed)> read_finished;
     std::function<void()> role_changed;
-    // The store was opened, failed or was found corrupt, or the reason why it isn't open changed.
-    // `event` is the event's name as logged, for example "store.unopened".
+    // The store was opened after an error, failed or was found corrupt, or the reason why it isn't
+    // open changed. `event` is the event's name as logged, for example "store.unopened".
     std::function<void(const std::string& event, const std::string& reason)> store_changed;
   };
   enum class StoreState : uint8_t { kUnopened, kMemory, kDisk };
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -11,8 +11,9 @@
 constexpr uint64_t kMaxStateBytes = 32u << 20;  // chunks of a larger snapshot are ignored
 }  // namespace
 
-// Sends chunks of the snapshot as far as the window allows. If it allows none, a heartbeat is an
-// empty chunk at the current offset; the member rejects it if bytes before that offset are missing.
+// Sends chunks of the snapshot as far as the window allows. If the window is full or all bytes were
+// sent, a heartbeat is an empty chunk at the current offset; the member rejects it if bytes before
+// that offset are missing.
 void RaftNode::SendSnapshot(base::Millis now, PeerProgress* peer, bool heartbeat) {
   SelectSnapshot(now, peer);
   const Snapshot& snapshot = *peer->snapshot;
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -34,7 +34,7 @@
 };
 
 // The persistent state of one member: hard state, log entries and snapshot. Not thread-safe:
-// Replica opens and loads it, and from then on one StoreThread alone uses it.
+// Replica opens it, loads it and tries a write; from then on one StoreThread alone uses it.
 class Store {
  public:
   virtual ~Store() = default;
--- a/src/consensus/voter_changes.cc
+++ b/src/consensus/voter_changes.cc
@@ -52,7 +52,7 @@
   peer.member = member;
   if (!added) return;
   // Later requests don't count as contact, only the learner's own replies: a request may be
-  // forwarded late, when the learner is gone already.
+  // forwarded late, when the learner has already stopped.
   peer.last_contact = now;
   peer.next_index = log_.last_index() + 1;
   SendAppendEntries(now, &peer, true);
@@ -68,16 +68,18 @@
   return others > 0 && live >= MajorityOf(others);
 }
 
-// Whether the member has sent kLeave and nothing was received from it an election timeout or more
-// after that. A member that restarts replies again, so that it no longer counts as leaving.
+// Whether the member has sent a kLeave and its last contact is less than an election timeout after
+// the newest one. A member that has restarted replies without a kLeave, so that it no longer counts
+// as leaving.
 bool RaftNode::IsLeaving(const PeerProgress& peer) const {
   return peer.leave_requested_at >= 0 &&
          peer.last_contact - peer.leave_requested_at < timing_.election_timeout;
 }
 
 // Whether the leader releases a member that leaves. Committed entries must be on as many other
-// disks as a commit requires, or on all voters that are in contact and not leaving. It waits for a
-// learner that is being caught up, since the learner may replace this member.
+// disks as a commit among the other voters requires, whatever their zones and regions, or on all
+// voters that are in contact and not leaving. The leader waits for a learner in contact, since the
+// learner may replace this member.
 bool RaftNode::MayStop(base::Millis now, MemberId id) const {
   if (!HasCommittedInTerm() || log_.LastVotersIndex() > commit_index_) return false;
   size_t replicas = 0, live = 0, others = 0;
@@ -153,10 +155,10 @@
 }
 
 // Removes a voter that leaves or has been unreachable for too long. An unreachable voter still
-// counts in the size of every majority, and it may stand for a machine that was replaced. If it
-// returns, it asks to join again. But a partition is not a loss: no voter is removed while all of
-// them are needed for the tolerated loss, and while more are unreachable than may be lost at once,
-// the longer timeout applies.
+// counts in the size of every majority, and its machine may have been replaced by another one. If
+// it returns, it asks to join again. Voters may also be unreachable because of a partition, without
+// being lost: none is removed while all of them are needed for the tolerated loss, and while more
+// are unreachable than may be lost at once, the longer timeout applies.
 void RaftNode::RemoveVoter(base::Millis now) {
   if (voters_.size() <= MinVoters(tolerance_)) return;
   auto unreachable = std::count_if(voters_.begin(), voters_.end(),
--- a/tests/consensus/disk_store_test.cc
+++ b/tests/consensus/disk_store_test.cc
@@ -79,7 +79,7 @@
   EXPECT_EQ(restored.entries.front().index, 5u);
 }
 
-// Guards against a member that runs with a log that misses entries, or with a store whose CURRENT
+// Guards against a member that runs with a log that lacks entries, or with a store whose CURRENT
 // file is damaged.
 TEST_F(StoreTest, LogWithGapAndDamagedCurrentFileAreErrors) {
   WriteRequest write;
--- a/tests/consensus/model.h
+++ b/tests/consensus/model.h
@@ -65,7 +65,8 @@
   // Checks the invariants that concern node `i`, which a step changed from `before` to `n`.
   void CheckInvariants(const State& s, int i, const Node& before, const Node& n);
 
-  // Checks that the majorities of consecutive voter sets, and those of two leaders, must overlap.
+  // Checks that the majorities of any two voter sets in the log from the last committed set on, and
+  // those of two leaders, must overlap.
   void CheckVoters(const State& s, int i, const Node& n);
 
   // Sets the fault, unless there is one already or the invariant is ignored.
--- a/tests/consensus/model_digest.h
+++ b/tests/consensus/model_digest.h
@@ -107,8 +107,8 @@
   // A digest of all state that the node's behaviour depends on, with these abstractions:
   // - Of times only the results of the comparisons that the code makes: whether the leader is in
   //   contact, whether a member has been silent for a certain time, whether the disk is stalled.
-  // - The state of the random generator is left out, since a tick advances the clock to the timeout
-  //   of any length.
+  // - The state of the random generator is left out, since a tick advances the clock to the next
+  //   timeout, however long it is.
   // - Sequence numbers of writes are relative to the last finished write.
   // Rounds are included as they are, though only their order matters. Reads are left out, since no
   // step begins one.
--- a/tests/consensus/power_loss_test.cc
+++ b/tests/consensus/power_loss_test.cc
@@ -153,8 +153,9 @@
     loaded_ = std::move(*loaded);
   }
 
-  // Checks the store after power losses at this point: all possible ones if at most three changes
-  // are unsynced, otherwise six, of which one loses and one keeps all of them.
+  // Checks the store after power losses at this point. If at most three changes are unsynced, takes
+  // all combinations of what may happen to them, with random places in tails of more than four
+  // bytes; otherwise takes six losses, of which one loses and one keeps all changes.
   void CheckPowerLosses(const Disk& disk, const RestoredState& before, const RestoredState* after,
                         size_t point) {
     base::Random random(point);
