--- a/tests/simulation/linearizability.h
+++ b/tests/simulation/linearizability.h
@@ -11,26 +11,27 @@
 
 constexpr uint64_t kNever = UINT64_MAX;
 
-// One call as its caller saw it. A call without a clear answer ends at kNever: it may have taken
-// effect at any time after its begin, or never.
+// One call as its caller observed it, with logical times of its begin and end. A call without a
+// definite answer ends at kNever: it may have taken effect at any time after its begin, or never.
 struct Operation {
-  enum class Kind { kPut, kPatch, kGet, kEvacuate, kTakeBack, kReadZone, kOrder, kReadOrder };
+  enum class Kind { kPut, kPatch, kGet, kDrainZone, kUndrainZone, kReadZone, kOrder, kReadOrder };
   Kind kind = Kind::kGet;
   std::string object;    // the zone or service; empty for the configuration
-  int order = 0;         // what is sent again as it was has the same number
-  int64_t if_match = 0;  // of a change
-  int64_t revision = 0;  // of a change
-  std::string text;      // a change's body, an order's version, or what was read
+  int order = 0;         // identifies the request; a request that is sent again keeps its number
+  int64_t if_match = 0;  // of a change: the revision that it changes
+  int64_t revision = 0;  // of a change: its own revision
+  std::string text;      // a change's body, an order's version, or the result of a read
   uint64_t begin = 0, end = kNever;
-  int status = 0;  // 0: no clear answer
+  int status = 0;  // HTTP status, 0 without a definite answer
 
-  bool clear() const { return status != 0; }
+  bool has_answer() const { return status != 0; }
 };
 
-// Whether the calls of one object can be put in an order that keeps to their begins and ends and to
-// the object's sequential meaning: Wing and Gong's search with Lowe's cache of (calls placed,
-// state). `Model` has State, Initial(), Step(state, operation) -> the states that may follow (none
-// if the outcome can't be), and Key(state), equal only for equal states.
+// Checks whether a history of the calls of one object is linearizable: whether some order of the
+// calls respects their begins and ends and the object's sequential specification. This is Wing and
+// Gong's search with Lowe's cache of (calls placed, state). `Model` has State, Initial(),
+// Step(state, operation), which returns the possible next states (none if the outcome is
+// impossible), and Key(state), which is equal only for equal states.
 template <class Model>
 class Search {
  public:
@@ -38,20 +39,22 @@
     std::stable_sort(history_.begin(), history_.end(),
                      [](const auto& a, const auto& b) { return a.begin < b.begin; });
     placed_.assign(history_.size(), '0');
-    for (const Operation& o : history_) clear_ += o.clear();
+    for (const Operation& o : history_) answers_ += o.has_answer();
   }
 
-  bool Linearizable() { return From(Model::Initial(), 0); }
-  size_t states() const { return seen_.size(); }
-  // The call at which all orders that were tried ended: the first that could never be placed.
-  const Operation* Stuck() const {
-    return furthest_ < history_.size() ? &history_[furthest_] : nullptr;
+  bool Linearizable() { return SearchFrom(Model::Initial(), 0); }
+  size_t states() const { return visited_.size(); }
+  // After a failed search, the call at which the partial order with the most answers ended: of the
+  // candidates with an answer the one that ended first. nullptr if there is none.
+  const Operation* StuckCall() const {
+    return stuck_ < history_.size() ? &history_[stuck_] : nullptr;
   }
 
  private:
   using State = typename Model::State;
 
-  // Those that may be next: begun before any that isn't placed has ended.
+  // Returns the calls that may be placed next: those that began before the first end of a call that
+  // isn't placed.
   std::vector<size_t> Next() const {
     uint64_t first_end = kNever;
     for (size_t i = first_; i < history_.size(); ++i) {
@@ -65,41 +68,43 @@
     return next;
   }
 
-  bool From(const State& state, size_t clear) {
-    if (clear == clear_) return true;
-    if (!seen_.insert(placed_ + Model::Key(state)).second) return false;
+  // Whether the calls that aren't placed can follow on `state`; `answers` counts the placed calls
+  // with a definite answer.
+  bool SearchFrom(const State& state, size_t answers) {
+    if (answers == answers_) return true;
+    if (!visited_.insert(placed_ + Model::Key(state)).second) return false;
     size_t old_first = first_;
     while (first_ < history_.size() && placed_[first_] == '1') ++first_;
     std::vector<size_t> next = Next();
-    // A call with a clear answer that changes nothing can be placed at once: no other order gains
-    // by placing it later.
-    std::vector<std::pair<size_t, State>> ways;
+    // A call with a definite answer that leaves the state unchanged is placed at once: every valid
+    // order that places it later stays valid with it here.
+    std::vector<std::pair<size_t, State>> next_states;
     for (size_t i : next) {
       for (State& after : Model::Step(state, history_[i])) {
         bool same = Model::Key(after) == Model::Key(state);
-        if (same && history_[i].clear()) {
-          bool found = Place(i, after, clear);
+        if (same && history_[i].has_answer()) {
+          bool found = Place(i, after, answers);
           first_ = old_first;
           return found;
         }
-        if (!same) ways.push_back({i, std::move(after)});
+        if (!same) next_states.push_back({i, std::move(after)});
       }
     }
-    // Those with an answer first: they are what must be explained.
-    std::stable_sort(ways.begin(), ways.end(), [&](const auto& a, const auto& b) {
-      return history_[a.first].clear() > history_[b.first].clear();
+    // Calls with a definite answer are tried first, since all of them must be placed.
+    std::stable_sort(next_states.begin(), next_states.end(), [&](const auto& a, const auto& b) {
+      return history_[a.first].has_answer() > history_[b.first].has_answer();
     });
     bool found = false;
-    for (size_t k = 0; k < ways.size() && !found; ++k) {
-      found = Place(ways[k].first, ways[k].second, clear);
+    for (size_t k = 0; k < next_states.size() && !found; ++k) {
+      found = Place(next_states[k].first, next_states[k].second, answers);
     }
-    if (!found && (furthest_ == SIZE_MAX || clear > furthest_clear_)) {
-      furthest_clear_ = clear;
-      furthest_ = SIZE_MAX;
+    if (!found && (stuck_ == SIZE_MAX || answers > stuck_answers_)) {
+      stuck_answers_ = answers;
+      stuck_ = SIZE_MAX;
       for (size_t i : next) {
-        if (history_[i].clear() &&
-            (furthest_ == SIZE_MAX || history_[i].end < history_[furthest_].end)) {
-          furthest_ = i;
+        if (history_[i].has_answer() &&
+            (stuck_ == SIZE_MAX || history_[i].end < history_[stuck_].end)) {
+          stuck_ = i;
         }
       }
     }
@@ -107,122 +112,126 @@
     return found;
   }
 
-  bool Place(size_t i, const State& after, size_t clear) {
+  bool Place(size_t i, const State& after, size_t answers) {
     placed_[i] = '1';
-    bool found = From(after, clear + history_[i].clear());
+    bool found = SearchFrom(after, answers + history_[i].has_answer());
     placed_[i] = '0';
     return found;
   }
 
   std::vector<Operation> history_;
-  std::string placed_;  // by call, '0' or '1'
-  size_t first_ = 0;    // all before are placed
-  size_t clear_ = 0;    // calls with a clear answer
-  size_t furthest_ = SIZE_MAX, furthest_clear_ = 0;
-  std::set<std::string> seen_;
+  std::string placed_;  // one character per call, '1' if it is placed, '0' otherwise
+  size_t first_ = 0;    // all calls before this one are placed
+  size_t answers_ = 0;  // number of calls with a definite answer
+  size_t stuck_ = SIZE_MAX, stuck_answers_ = 0;
+  std::set<std::string> visited_;
 };
 
-// The register of the configuration. A change takes effect at most once, on the version that it
-// names; sent again it is acknowledged; 412 only if it was never taken.
+// The configuration as a register. A change takes effect at most once, and only on the revision
+// that If-Match names. A change that was applied is acknowledged again when it is sent again; 412
+// means that it was never applied.
 struct ConfigurationModel {
   struct State {
-    std::vector<int> taken;
+    std::vector<int> applied;
     int64_t revision = 0;
     std::string text;
   };
-  // Makes of a document and a patch what is to be in force.
+  // Returns the document that results from applying the patch `body` to the document `text`. Set by
+  // the test.
   static inline std::string (*patch)(const std::string& text, const std::string& body) = nullptr;
 
   static State Initial() { return {}; }
   static std::string Key(const State& s) {
     std::string key;
-    for (int order : s.taken) key += "," + std::to_string(order);
+    for (int order : s.applied) key += "," + std::to_string(order);
     return key;
   }
   static std::vector<State> Step(const State& s, const Operation& o) {
     if (o.kind == Operation::Kind::kGet) {
-      bool right = o.status == 404 ? s.taken.empty() : o.status == 200 && o.text == s.text;
-      return right ? std::vector<State>{s} : std::vector<State>{};
+      bool matches = o.status == 404 ? s.applied.empty() : o.status == 200 && o.text == s.text;
+      return matches ? std::vector<State>{s} : std::vector<State>{};
     }
-    bool taken = std::find(s.taken.begin(), s.taken.end(), o.order) != s.taken.end();
+    bool applied = std::find(s.applied.begin(), s.applied.end(), o.order) != s.applied.end();
     if (o.status == 412) {
-      return !taken && s.revision != o.if_match ? std::vector<State>{s} : std::vector<State>{};
+      return !applied && s.revision != o.if_match ? std::vector<State>{s} : std::vector<State>{};
     }
-    if (o.clear() && o.status != 200) return {};
-    if (taken) return {s};
+    if (o.has_answer() && o.status != 200) return {};
+    if (applied) return {s};
     if (s.revision != o.if_match) return {};
     State after = s;
-    after.taken.push_back(o.order);
+    after.applied.push_back(o.order);
     after.revision = o.revision;
     after.text = o.kind == Operation::Kind::kPatch ? patch(s.text, o.text) : o.text;
     return {after};
   }
 };
 
-// One zone. An order takes effect at most once, however often it is sent.
+// The drain state of one zone. An order takes effect at most once, however often it is sent.
 struct ZoneModel {
   struct State {
     bool drained = false;
-    std::set<int> taken;
+    std::set<int> applied;
   };
   static State Initial() { return {}; }
   static std::string Key(const State& s) {
     std::string key = s.drained ? "e" : "-";
-    for (int order : s.taken) key += "," + std::to_string(order);
+    for (int order : s.applied) key += "," + std::to_string(order);
     return key;
   }
   static std::vector<State> Step(const State& s, const Operation& o) {
     if (o.kind == Operation::Kind::kReadZone) {
-      bool right = (o.text == "evacuated") == s.drained;
-      return right ? std::vector<State>{s} : std::vector<State>{};
+      bool matches = (o.text == "evacuated") == s.drained;
+      return matches ? std::vector<State>{s} : std::vector<State>{};
     }
-    if (o.clear() && o.status != 200) return {};
-    if (s.taken.count(o.order)) return {s};
+    if (o.has_answer() && o.status != 200) return {};
+    if (s.applied.count(o.order)) return {s};
     State after = s;
-    after.taken.insert(o.order);
-    after.drained = o.kind == Operation::Kind::kEvacuate;
+    after.applied.insert(o.order);
+    after.drained = o.kind == Operation::Kind::kDrainZone;
     return {after};
   }
 };
 
-// One service's roll-outs. Each ends by itself at some time, which no caller sees happen.
+// The roll-outs of one service. A roll-out ends at some time of its own accord, which isn't a call
+// of the history; so each step may start from the ended state as well.
 struct RolloutModel {
   struct State {
-    std::set<int> taken;
-    std::string version;  // of the newest; empty for none
-    int order = 0;
+    std::set<int> applied;
+    std::string version;  // of the newest roll-out, empty for none
+    int order = 0;        // of the newest roll-out
     bool ended = true;
   };
   static State Initial() { return {}; }
   static std::string Key(const State& s) {
     std::string key = s.version + (s.ended ? "." : "+");
-    for (int order : s.taken) key += "," + std::to_string(order);
+    for (int order : s.applied) key += "," + std::to_string(order);
     return key;
   }
   static std::vector<State> Step(const State& s, const Operation& o) {
-    std::vector<State> ways = OneStep(s, o);
-    if (s.ended) return ways;
+    std::vector<State> next_states = OneStep(s, o);
+    if (s.ended) return next_states;
     State ended = s;
     ended.ended = true;
-    for (State& way : OneStep(ended, o)) ways.push_back(std::move(way));
-    return ways;
+    for (State& next_state : OneStep(ended, o)) next_states.push_back(std::move(next_state));
+    return next_states;
   }
+  // Step() without the possibility that the roll-out ends first.
   static std::vector<State> OneStep(const State& s, const Operation& o) {
     if (o.kind == Operation::Kind::kReadOrder) {
-      bool right = o.status == 404 ? s.version.empty()
-                                   : o.text == s.version + (s.ended ? " ended" : " in_progress");
-      return right ? std::vector<State>{s} : std::vector<State>{};
+      bool matches = o.status == 404 ? s.version.empty()
+                                     : o.text == s.version + (s.ended ? " ended" : " in_progress");
+      return matches ? std::vector<State>{s} : std::vector<State>{};
     }
-    bool taken = s.taken.count(o.order) > 0;
+    bool applied = s.applied.count(o.order) > 0;
     if (o.status == 409) {
-      return !taken && !s.ended ? std::vector<State>{s} : std::vector<State>{};
+      return !applied && !s.ended ? std::vector<State>{s} : std::vector<State>{};
     }
-    if (o.clear() && o.status != 200) return {};
-    if (taken)
+    if (o.has_answer() && o.status != 200) return {};
+    if (applied)
       return o.status == 0 || s.order == o.order ? std::vector<State>{s} : std::vector<State>{};
     if (!s.ended) return {};
     State after = s;
-    after.taken.insert(o.order);
+    after.applied.insert(o.order);
     after.version = o.text;
     after.order = o.order;
     after.ended = false;
--- a/tests/simulation/linearizability_test.cc
+++ b/tests/simulation/linearizability_test.cc
@@ -15,7 +15,7 @@
 using linearizability::ZoneModel;
 using Kind = Operation::Kind;
 
-// --- the checker itself ---
+// --- tests of the checker ---
 
 Operation Op(Kind kind, int order, uint64_t begin, uint64_t end, int status, std::string text = "",
              int64_t if_match = 0, int64_t revision = 0) {
@@ -29,11 +29,13 @@
   return Op(Kind::kGet, 0, begin, end, text.empty() ? 404 : 200, text);
 }
 
+// Guards against a checker that accepts an impossible history of the configuration, such as a stale
+// read, or rejects a possible one.
 TEST(Linearizability, DistinguishesHistoriesOfAConfiguration) {
   struct Case {
     const char* name;
     std::vector<Operation> history;
-    bool right;
+    bool matches;
   } cases[] = {
       {"in turn", {Put(1, 0, 1, 1, 2, 200), Get(3, 4, "d1"), Put(2, 1, 2, 5, 6, 200)}, true},
       {"an old read", {Put(1, 0, 1, 1, 2, 200), Get(3, 4, "")}, false},
@@ -60,17 +62,19 @@
   };
   for (const Case& c : cases) {
     Search<ConfigurationModel> search(c.history);
-    EXPECT_EQ(search.Linearizable(), c.right) << c.name;
-    EXPECT_EQ(search.Stuck() != nullptr, !c.right) << c.name;
+    EXPECT_EQ(search.Linearizable(), c.matches) << c.name;
+    EXPECT_EQ(search.StuckCall() != nullptr, !c.matches) << c.name;
   }
 }
 
+// The same for zone drains and roll-outs, where an order that is sent again must not take effect
+// twice.
 TEST(Linearizability, DistinguishesHistoriesOfOrders) {
-  auto post = [](int order, uint64_t begin, uint64_t end, int status) {
-    return Op(Kind::kEvacuate, order, begin, end, status);
+  auto drain = [](int order, uint64_t begin, uint64_t end, int status) {
+    return Op(Kind::kDrainZone, order, begin, end, status);
   };
-  auto take_back = [](int order, uint64_t begin, uint64_t end, int status) {
-    return Op(Kind::kTakeBack, order, begin, end, status);
+  auto undrain = [](int order, uint64_t begin, uint64_t end, int status) {
+    return Op(Kind::kUndrainZone, order, begin, end, status);
   };
   auto read = [](uint64_t begin, uint64_t end, bool drained) {
     return Op(Kind::kReadZone, 0, begin, end, 200, drained ? "evacuated" : "not");
@@ -78,20 +82,20 @@
   struct Case {
     const char* name;
     std::vector<Operation> history;
-    bool right;
+    bool matches;
   } zones[] = {
       {"in turn",
-       {post(1, 1, 2, 200), read(3, 4, true), take_back(2, 5, 6, 200), read(7, 8, false)},
+       {drain(1, 1, 2, 200), read(3, 4, true), undrain(2, 5, 6, 200), read(7, 8, false)},
        true},
-      {"lost", {post(1, 1, 2, 200), read(3, 4, false)}, false},
-      {"unclear", {post(1, 1, kNever, 0), read(2, 3, false), read(4, 5, true)}, true},
-      {"a second effect", {post(1, 1, 2, 200), take_back(2, 3, 4, 200), read(5, 6, true)}, false},
+      {"lost", {drain(1, 1, 2, 200), read(3, 4, false)}, false},
+      {"unclear", {drain(1, 1, kNever, 0), read(2, 3, false), read(4, 5, true)}, true},
+      {"a second effect", {drain(1, 1, 2, 200), undrain(2, 3, 4, 200), read(5, 6, true)}, false},
       {"a copy without an answer",
-       {post(1, 1, 2, 200), post(1, 1, kNever, 0), take_back(2, 3, 4, 200), read(5, 6, true)},
+       {drain(1, 1, 2, 200), drain(1, 1, kNever, 0), undrain(2, 3, 4, 200), read(5, 6, true)},
        false},
   };
   for (const Case& c : zones) {
-    EXPECT_EQ(Search<ZoneModel>(c.history).Linearizable(), c.right) << c.name;
+    EXPECT_EQ(Search<ZoneModel>(c.history).Linearizable(), c.matches) << c.name;
   }
   auto order = [](int order, uint64_t begin, uint64_t end, int status) {
     return Op(Kind::kOrder, order, begin, end, status, "v" + std::to_string(order));
@@ -124,44 +128,48 @@
       {"forgotten", {order(1, 1, 2, 200), recorded(3, 4, "")}, false},
   };
   for (const Case& c : rollouts) {
-    EXPECT_EQ(Search<RolloutModel>(c.history).Linearizable(), c.right) << c.name;
+    EXPECT_EQ(Search<RolloutModel>(c.history).Linearizable(), c.matches) << c.name;
   }
 }
 
-// --- histories of the simulation ---
+// --- histories of the simulated cluster ---
 
-// What was played, so that a green run is known to have said something.
-struct Played {
+// Totals over all runs. The suite prints them at its end, so that a passing run shows how much it
+// checked.
+struct Totals {
   size_t histories = 0, calls = 0, unclear = 0, refused = 0, states = 0;
 };
-Played& played() {
-  static Played all;
+Totals& totals() {
+  static Totals all;
   return all;
 }
 
+// Checks the finished calls of one object against its model; prints the history on a failure.
 template <class Model>
 void Check(const Operators& operators, const std::string& object, uint64_t seed) {
-  std::vector<Operation> history = operators.Of(object);
+  std::vector<Operation> history = operators.HistoryOf(object);
   Search<Model> search(history);
-  bool right = search.Linearizable();
-  played().states += search.states();
-  if (right) return;
+  bool matches = search.Linearizable();
+  totals().states += search.states();
+  if (matches) return;
   std::string recorded;
   for (const Operation& o : history) {
-    if (search.Stuck() && o.begin > search.Stuck()->end) continue;
-    recorded += "\n  kind " + std::to_string(static_cast<int>(o.kind)) + " order " +
-                std::to_string(o.order) + " if-match " + std::to_string(o.if_match) + " revision " +
-                std::to_string(o.revision) + " status " + std::to_string(o.status) + " from " +
-                std::to_string(o.begin) + " to " + (o.clear() ? std::to_string(o.end) : "never") +
-                (search.Stuck() && o.begin == search.Stuck()->begin ? "  <- can't be placed" : "") +
-                "  " + o.text.substr(0, 120);
+    if (search.StuckCall() && o.begin > search.StuckCall()->end) continue;
+    recorded +=
+        "\n  kind " + std::to_string(static_cast<int>(o.kind)) + " order " +
+        std::to_string(o.order) + " if-match " + std::to_string(o.if_match) + " revision " +
+        std::to_string(o.revision) + " status " + std::to_string(o.status) + " from " +
+        std::to_string(o.begin) + " to " + (o.has_answer() ? std::to_string(o.end) : "never") +
+        (search.StuckCall() && o.begin == search.StuckCall()->begin ? "  <- can't be placed" : "") +
+        "  " + o.text.substr(0, 120);
   }
   size_t from = recorded.size() > 6000 ? recorded.size() - 6000 : 0;
   ADD_FAILURE() << "seed " << seed << ": " << (object.empty() ? "configuration" : object)
                 << " is not linearizable" << recorded.substr(from);
 }
 
-void Play(uint64_t seed, int controllers) {
+// Runs operators against a cluster with random faults, then checks the history of each object.
+void RunAndCheck(uint64_t seed, int controllers) {
   ConfigurationModel::patch = [](const std::string& text, const std::string& body) {
     return configuration::ApplyPatch(text, body).value_or("");
   };
@@ -199,7 +207,7 @@
         world.Leave(i);
         break;
       case 6:
-        // One machine's disk may be lost once the fleet has had time to take its successor in.
+        // At most one disk may be lost until the cluster has admitted the replacement as a voter.
         if (world.now - wiped_at < 15000 || !world.Converged().empty()) break;
         wiped_at = world.now;
         world.Wipe(i);
@@ -209,7 +217,8 @@
         break;
       case 7:
       case 8: {
-        // The leader ends right after an acknowledgement, before the others know of it.
+        // The leader crashes right after an acknowledgement, before the followers learn that the
+        // entry is committed.
         size_t before = operators.acknowledged();
         for (int k = 0; k < 200 && operators.acknowledged() == before; ++k) world.Run(10);
         if (world.leader() >= 0) world.Crash(static_cast<size_t>(world.leader()));
@@ -229,41 +238,43 @@
   world.HealAll();
   world.Run(16000);
   operators.ReadAll();
-  for (int k = 0; k < 60 && !operators.Quiet(); ++k) world.Run(500);
+  for (int k = 0; k < 60 && !operators.Idle(); ++k) world.Run(500);
   ASSERT_EQ(world.fault, "") << "seed " << seed;
   Check<ConfigurationModel>(operators, "", seed);
   for (const char* zone : Operators::kZones) Check<ZoneModel>(operators, zone, seed);
   for (const char* service : Operators::kServices) Check<RolloutModel>(operators, service, seed);
-  ++played().histories;
+  ++totals().histories;
   size_t taken = 0;
   for (const Operation& o : operators.history()) {
-    ++played().calls;
-    played().unclear += !o.clear();
-    played().refused += o.status == 412 || o.status == 409;
+    ++totals().calls;
+    totals().unclear += !o.has_answer();
+    totals().refused += o.status == 412 || o.status == 409;
     taken += o.kind != Kind::kGet && o.status == 200;
   }
   EXPECT_GT(taken, 20u) << "seed " << seed;
 }
 
-// ELDERKEEL_SEED_GROUPS=100 looks much further than the tests of every day.
+// Returns the number of seed groups; ELDERKEEL_SEED_GROUPS=100 runs many more than the default.
 int SeedGroups() {
   const char* text = std::getenv("ELDERKEEL_SEED_GROUPS");
   return text ? std::max(1, std::atoi(text)) : 2;
 }
 
+// Guards against lost, doubled or reordered effects of operator calls while controllers crash, lose
+// power or their disk, hang, freeze and are cut off.
 class Histories : public ::testing::TestWithParam<int> {
  protected:
   static void TearDownTestSuite() {
-    const Played& p = played();
+    const Totals& p = totals();
     std::printf("histories %zu, calls %zu, without a clear answer %zu, refused %zu, states %zu\n",
                 p.histories, p.calls, p.unclear, p.refused, p.states);
   }
 };
 TEST_P(Histories, OfThreeControllersAreLinearizable) {
-  for (int k = 0; k < 8; ++k) Play(static_cast<uint64_t>(GetParam() * 100 + k), 3);
+  for (int k = 0; k < 8; ++k) RunAndCheck(static_cast<uint64_t>(GetParam() * 100 + k), 3);
 }
 TEST_P(Histories, OfFiveControllersAreLinearizable) {
-  for (int k = 0; k < 4; ++k) Play(static_cast<uint64_t>(GetParam() * 100 + 50 + k), 5);
+  for (int k = 0; k < 4; ++k) RunAndCheck(static_cast<uint64_t>(GetParam() * 100 + 50 + k), 5);
 }
 INSTANTIATE_TEST_SUITE_P(Simulation, Histories, ::testing::Range(1, 1 + SeedGroups()));
 
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -11,7 +11,8 @@
 #include "dissemination/confirm.h"
 #include "simulation/simulation.h"
 
-// What a control machine that is cut off, frozen or late may not do.
+// Tests of what a controller that is partitioned, frozen or late must not do, and of the clients
+// that must not rely on it.
 
 namespace elderkeel {
 namespace {
@@ -22,11 +23,12 @@
 using dissemination::Versions;
 using simulation::World;
 
-// A proxy asks at some times, replies come at others; is what it holds confirmed as current?
-TEST(Confirmation, RestsOnAFreshAnswerToAQuestionOfItsOwn) {
+// Guards against a proxy that takes old versions for confirmed, because of a reply that is delayed,
+// overtaken, or meant for an earlier run of the process.
+TEST(Confirmation, RequiresARecentReplyToAnOwnQuestion) {
   struct Reply {
     Millis at;
-    int question;  // which of those asked; -1: of another life
+    int question;  // index into `asked`, -1 for a question of an earlier run of the process
     Versions versions;
   };
   struct Case {
@@ -72,22 +74,24 @@
   }
 }
 
-TEST(Confirmation, PutsAQuestionToTheLeaderThatAnAnswerNames) {
+// A controller that doesn't lead names the leader in its reply; a proxy that ignored that might
+// never be confirmed. Replies to an expired question are ignored.
+TEST(Confirmation, RedirectsTheQuestionToTheLeaderThatAReplyNames) {
   Confirmation confirmation(7);
   ConfirmReply reply;
   reply.nonce = confirmation.Ask(0).nonce;
-  EXPECT_FALSE(confirmation.OnReply(10, reply));  // nobody is named
+  EXPECT_FALSE(confirmation.OnReply(10, reply));  // no leader is named
   reply.leader_ip = "10.0.0.3";
   reply.leader_port = 7200;
   EXPECT_EQ(confirmation.OnReply(20, reply)->ip, "10.0.0.3");
   EXPECT_FALSE(confirmation.Holds(20, {9, 9, 9}));
-  EXPECT_FALSE(confirmation.OnReply(5000, reply));  // the question is over
+  EXPECT_FALSE(confirmation.OnReply(5000, reply));  // the question has expired
 }
 
-// A machine of three founders that the test plays the others to.
-class Founders {
+// The Raft node of one of three founders. The test takes the part of the two others.
+class FounderNode {
  public:
-  Founders() {
+  FounderNode() {
     for (consensus::MemberId id : {1, 2, 3}) {
       consensus::Member m;
       m.id = id;
@@ -101,7 +105,7 @@
     raft_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
   }
   consensus::RaftNode& raft() { return *raft_; }
-  // What a member would answer.
+  // The reply of another member that grants or accepts the message.
   static consensus::Message ReplyTo(const consensus::Message& m) {
     consensus::Message reply = m;
     reply.from = m.to;
@@ -118,26 +122,27 @@
     }
     return reply;
   }
-  // 10 ms in which the others answer all, or none of them anything.
-  void Turn(bool answered) {
+  // Advances by 10 ms, in which the others either reply to every message or to none.
+  void Advance(bool answered) {
     now += 10;
     raft_->Tick(now);
     for (int k = 0; k < 3; ++k) {
       auto effects = raft_->TakeEffects();
-      Note(effects);
+      RecordReads(effects);
       for (const auto& write : effects.writes) raft_->OnWriteFinished(now, write.sequence, true);
       for (const auto& out : effects.messages) {
         if (answered) raft_->Receive(now, ReplyTo(out.message), out.to);
       }
     }
-    Note(raft_->TakeEffects());
+    RecordReads(raft_->TakeEffects());
   }
+  // Runs until the node leads and has committed an entry in its term.
   void Lead() {
-    for (int k = 0; k < 300 && !raft_->HasCommittedInTerm(); ++k) Turn(true);
-    for (int k = 0; k < 20; ++k) Turn(true);
+    for (int k = 0; k < 300 && !raft_->HasCommittedInTerm(); ++k) Advance(true);
+    for (int k = 0; k < 20; ++k) Advance(true);
     ASSERT_TRUE(raft_->HasCommittedInTerm());
   }
-  // Member 2 leads, and is heard.
+  // Delivers a heartbeat of member 2 as the leader of `term`.
   void Follow(consensus::Term term) {
     consensus::Message m;
     m.type = consensus::MessageType::kAppendEntries;
@@ -147,9 +152,9 @@
     m.term = term;
     m.index = m.log_term = 1;
     raft_->Receive(now, m, {"10.0.0.2", 7200});
-    Note(raft_->TakeEffects());
+    RecordReads(raft_->TakeEffects());
   }
-  void Note(const consensus::RaftNode::Effects& effects) {
+  void RecordReads(const consensus::RaftNode::Effects& effects) {
     for (uint64_t token : effects.confirmed_reads) ready.push_back(token);
     for (uint64_t token : effects.failed_reads) failed.push_back(token);
   }
@@ -162,42 +167,43 @@
   std::unique_ptr<consensus::RaftNode> raft_;
 };
 
-// A leader sleeps for ten seconds. Whatever it is given first when it wakes, replies from before
-// its sleep among it, it leads no more, and what was asked of it before fails.
-TEST(Consensus, ALeaderThatSleptLeadsNoMoreWhateverComesFirst) {
-  using First = std::function<void(Founders&, const consensus::Message&)>;
+// A leader whose process is suspended for ten seconds may have been replaced. It must step down and
+// fail its pending reads, whichever event it handles first, also if that is a reply from before the
+// suspension; otherwise it would serve stale reads.
+TEST(Consensus, ALeaderThatWasSuspendedStepsDownWhateverEventComesFirst) {
+  using First = std::function<void(FounderNode&, const consensus::Message&)>;
   struct Case {
     const char* name;
     First first;
   } cases[] = {
-      {"a tick", [](Founders& f, const auto&) { f.raft().Tick(f.now); }},
+      {"a tick", [](FounderNode& f, const auto&) { f.raft().Tick(f.now); }},
       {"a reply that waited",
-       [](Founders& f, const auto& m) {
+       [](FounderNode& f, const auto& m) {
          f.raft().Receive(f.now, m, {"10.0.0.2", 7200});
        }},
-      {"a read", [](Founders& f, const auto&) { EXPECT_FALSE(f.raft().ConfirmRead(f.now, 9)); }},
-      {"a change", [](Founders& f, const auto&) { EXPECT_FALSE(f.raft().Propose(f.now, "x")); }},
+      {"a read", [](FounderNode& f, const auto&) { EXPECT_FALSE(f.raft().ConfirmRead(f.now, 9)); }},
+      {"a change", [](FounderNode& f, const auto&) { EXPECT_FALSE(f.raft().Propose(f.now, "x")); }},
       {"a finished write",
-       [](Founders& f, const auto&) { f.raft().OnWriteFinished(f.now, 1, true); }},
+       [](FounderNode& f, const auto&) { f.raft().OnWriteFinished(f.now, 1, true); }},
       {"a joiner",
-       [](Founders& f, const auto&) {
+       [](FounderNode& f, const auto&) {
          consensus::Member m;
          m.id = 77;
          f.raft().AddLearner(f.now, m);
        }},
   };
   for (const Case& c : cases) {
-    Founders f;
+    FounderNode f;
     f.Lead();
     EXPECT_EQ(f.raft().LeaderInContact(f.now)->id, 1u);
     ASSERT_TRUE(f.raft().ConfirmRead(f.now, 5));
     auto effects = f.raft().TakeEffects();
     ASSERT_FALSE(effects.messages.empty());
-    consensus::Message waited = Founders::ReplyTo(effects.messages[0].message);
+    consensus::Message waited = FounderNode::ReplyTo(effects.messages[0].message);
     f.now += 10000;
     EXPECT_FALSE(f.raft().LeaderInContact(f.now)) << c.name;
     c.first(f, waited);
-    f.Note(f.raft().TakeEffects());
+    f.RecordReads(f.raft().TakeEffects());
     EXPECT_FALSE(f.raft().is_leader()) << c.name;
     EXPECT_FALSE(f.raft().LeaderInContact(f.now)) << c.name;
     EXPECT_TRUE(f.ready.empty()) << c.name;
@@ -205,17 +211,19 @@
   }
 }
 
-// How long a follower, or a leader that nobody answers, names a leader.
+// Guards against redirects to a leader that is gone: a follower without heartbeats, a leader
+// without replies and a member that takes over leadership must stop naming a leader.
 TEST(Consensus, NamesALeaderOnlyWhileItIsInContact) {
   const consensus::Timing timing;
-  Founders follower;
+  FounderNode follower;
   follower.Follow(2);
   Millis reporting = follower.now;
   ASSERT_EQ(follower.raft().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
   while (follower.now < reporting + 1000) {
-    follower.Turn(false);
+    follower.Advance(false);
     bool named = follower.raft().LeaderInContact(follower.now).has_value();
-    // It may ask for votes before, and then names nobody; it never names the silent one later.
+    // It may start a pre-vote earlier, and then names no leader; after the election time-out it
+    // never names the leader that sent no more heartbeats.
     if (follower.now - reporting > timing.election_timeout) {
       EXPECT_FALSE(named) << follower.now;
     }
@@ -223,16 +231,16 @@
       EXPECT_TRUE(named) << follower.now;
     }
   }
-  Founders leader;
+  FounderNode leader;
   leader.Lead();
   Millis answered = leader.now;
   while (leader.now < answered + 2000) {
-    leader.Turn(false);
+    leader.Advance(false);
     Millis silent = leader.now - answered;
     if (silent > timing.election_timeout) {
       EXPECT_FALSE(leader.raft().LeaderInContact(leader.now)) << silent;
     }
-    // The last answer came within a heartbeat before the silence.
+    // The last reply came within one heartbeat interval before the silence began.
     if (silent > timing.election_timeout * 2) {
       EXPECT_FALSE(leader.raft().is_leader()) << silent;
     }
@@ -240,8 +248,8 @@
       EXPECT_TRUE(leader.raft().is_leader()) << silent;
     }
   }
-  // One that was told to take over names nobody, least of all the one that handed over.
-  Founders successor;
+  // A member that is to take over leadership names no leader, in particular not the former one.
+  FounderNode successor;
   successor.Follow(2);
   consensus::Message take;
   take.type = consensus::MessageType::kTimeoutNow;
@@ -253,14 +261,15 @@
   EXPECT_FALSE(successor.raft().LeaderInContact(successor.now));
 }
 
-// A proxy's lease on the new version is renewed by a watcher that knows at least as much, of the
-// same roll-out, and by nobody else.
+// A proxy's lease on the new version may be renewed only by an observer of the same roll-out whose
+// state is at least as new as the proxy's. Otherwise an outdated observer would keep up a roll-out
+// that has already been reverted.
 TEST(CanaryPolicy, IgnoresRenewalsOfAnObserverThatIsBehind) {
   struct Case {
     const char* name;
-    uint64_t number;  // beyond that of the roll-out
-    int version;      // beyond that of the proxy
-    bool tries;
+    uint64_t number;  // added to the number of the roll-out
+    int version;      // added to the state version that the proxy holds
+    bool renewed;
   } cases[] = {
       {"the same", 0, 0, true},
       {"one that knows more", 0, 1, true},
@@ -283,13 +292,14 @@
     for (Millis now = 100; now <= 20000; now += 100) {
       policy.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
     }
-    EXPECT_EQ(policy.RuleOf(20000, "s").secondary == "v2", c.tries) << c.name;
+    EXPECT_EQ(policy.RuleOf(20000, "s").secondary == "v2", c.renewed) << c.name;
   }
 }
 
-// What a former holder of the list says, also to a receiver that has just started, gives way to
-// its successor's word, and never comes back.
-TEST(Disseminator, AnUpdateOfTheNewReaderEndsThoseOfTheFormerOne) {
+// Guards against an endpoint list or a zone drain that goes back: updates of a former catalog
+// reader may arrive late, also at a node that has just started, and must never replace those of its
+// successor.
+TEST(Disseminator, AnUpdateOfTheNewReaderSupersedesThoseOfTheFormerOne) {
   membership::Membership members({}, {}, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
     dissemination::EndpointUpdate update;
@@ -301,12 +311,12 @@
   for (bool restarted : {false, true}) {
     dissemination::Disseminator exchange({}, &members, 0);
     if (!restarted) exchange.OnEndpointUpdate(0, from, list(4, 1));
-    exchange.OnEndpointUpdate(10, from, list(3, 9));  // of the former holder
+    exchange.OnEndpointUpdate(10, from, list(3, 9));  // of the former reader
     EXPECT_EQ(exchange.endpoints().epoch, restarted ? 3u : 4u);
     exchange.OnEndpointUpdate(20, from, list(4, 1));
     exchange.OnEndpointUpdate(30, from, list(3, 10));
     EXPECT_EQ(exchange.endpoints().epoch, 4u);
-    // Nor does a former holder publish once it has heard of its successor.
+    // A former reader that has received its successor's list publishes no more.
     EXPECT_FALSE(exchange.Publish(40, 40, {3, 11, {}}));
     EXPECT_EQ(exchange.endpoints().epoch, 4u);
     dissemination::ZoneDrainUpdate old;
@@ -320,8 +330,8 @@
   }
 }
 
-// The operator's interface of every controller, on the simulated log.
-class Desks {
+// The operator API of every controller, on the simulated log.
+class OperatorApis {
  public:
   struct Answer {
     int status = 0;  // 0: none yet; -1: the connection broke
@@ -329,9 +339,9 @@
     int64_t revision = 0;
   };
 
-  explicit Desks(World* world, int controllers) : world_(world) {
+  explicit OperatorApis(World* world, int controllers) : world_(world) {
     for (int i = 0; i < controllers; ++i) {
-      desks_.push_back(std::make_unique<Desk>(this, static_cast<size_t>(i)));
+      apis_.push_back(std::make_unique<NodeApi>(this, static_cast<size_t>(i)));
     }
     world->hooks.applied = [this](size_t i, const consensus::Entry& e) {
       if (auto* api = Api(i)) api->OnApplied(world_->now, e.index);
@@ -344,18 +354,19 @@
     };
   }
 
+  // Sends a request to node `i` and returns its ticket, the key of its answer in `answers`.
   uint64_t Ask(size_t i, const http::Message& request) {
     uint64_t ticket = ++tickets_;
     answers[ticket] = Answer();
     if (auto* api = Api(i)) {
-      desks_[i]->open.insert(ticket);
+      apis_[i]->open.insert(ticket);
       api->OnRequest(world_->now, ticket, request);
       world_->Flush(i);
     }
     return ticket;
   }
   void Tick() {
-    for (size_t i = 0; i < desks_.size(); ++i) {
+    for (size_t i = 0; i < apis_.size(); ++i) {
       auto* api = Api(i);
       if (!api) continue;
       api->Tick(world_->now);
@@ -366,8 +377,8 @@
   std::map<uint64_t, Answer> answers;
 
  private:
-  struct Desk : configuration::ReplicatedLog {
-    Desk(Desks* all, size_t i) : all(all), i(i) {}
+  struct NodeApi : configuration::ReplicatedLog {
+    NodeApi(OperatorApis* all, size_t i) : all(all), i(i) {}
     World::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
@@ -393,16 +404,17 @@
     bool HasZone(const std::string&) const override { return true; }
     bool HasService(const std::string&) const override { return true; }
 
-    Desks* all;
+    OperatorApis* all;
     size_t i;
     uint64_t boot_id = 0;
     std::unique_ptr<configuration::OperatorApi> api;
     std::set<uint64_t> open;
   };
 
-  // None while the process is down or stands still.
+  // Returns the API of node `i`, nullptr while its process is down or frozen. Creates it anew after
+  // a restart, and marks the requests that were open at the crash as broken.
   configuration::OperatorApi* Api(size_t i) {
-    Desk& d = *desks_[i];
+    NodeApi& d = *apis_[i];
     World::Node& n = world_->node(i);
     if (!n.up || d.boot_id != n.boot_id) {
       for (uint64_t ticket : d.open) answers[ticket].status = -1;
@@ -426,46 +438,50 @@
   }
 
   World* world_;
-  std::vector<std::unique_ptr<Desk>> desks_;
+  std::vector<std::unique_ptr<NodeApi>> apis_;
   uint64_t tickets_ = 0;
 };
 
-// One who calls as the page says: goes on after a failure, a 5xx or a second of silence, with a
-// pause that grows, and follows 307 twice.
+// A client of the operator API. After a failure, a 5xx or a second without an answer it goes on to
+// the next controller, with exponential back-off; it follows at most two redirects (307) in a row.
 struct Caller {
   std::string kind;
   http::Message request;
-  size_t at = 0;       // the node that is asked
-  bool stays = false;  // asks that one node once, and is content with any answer
+  size_t at = 0;                // the node that it calls
+  bool single_attempt = false;  // calls that node once and takes any answer
   Millis began = 0, asked = 0, pause = 100, wait_until = 0;
   int followed = 0;
   uint64_t ticket = 0;
   bool done = false;
-  Desks::Answer answer;
-  int64_t known = 0;     // acknowledged when it began
-  int64_t revision = 0;  // that it wants to bring
+  OperatorApis::Answer answer;
+  int64_t known = 0;     // the newest acknowledged revision when it began
+  int64_t revision = 0;  // of the change that it sends
 };
 
+// One run with five controllers: partitions one of them for about twenty seconds and restarts some,
+// while callers and proxies use every controller.
 class CutRun {
  public:
   static constexpr int kControllers = 5;
-  static constexpr Millis kStaleMs = 650;  // an election time-out, and what was on its way
-  enum class How { kBoth, kOut, kIn };
+  // An election time-out and the delay of messages in transit: from then on the partitioned member
+  // must have noticed the cut.
+  static constexpr Millis kStaleMs = 650;
+  enum class How { kBoth, kOut, kIn };  // the direction of the lost packets, seen from the member
   enum class Restart { kNone, kMember, kOthers };
   struct Case {
     How how;
-    bool leader;  // the leader is cut off
+    bool leader;  // whether the leader is partitioned, or else a follower
     Restart restart;
     uint64_t seed;
   };
 
   explicit CutRun(const Case& c)
-      : case_(c), world_(MakeOptions(c.seed)), desks_(&world_, kControllers) {}
+      : case_(c), world_(MakeOptions(c.seed)), apis_(&world_, kControllers) {}
 
   void Play() {
-    Pass(3000);
-    Begin("PUT", 0, false);
-    Pass(2000);
+    Advance(3000);
+    AddCaller("PUT", 0, false);
+    Advance(2000);
     size_t leader = static_cast<size_t>(world_.leader());
     member_ = case_.leader ? leader : (leader + 1 + case_.seed) % kControllers;
     if (member_ == leader && !case_.leader) member_ = (leader + 1) % kControllers;
@@ -475,17 +491,18 @@
     for (int second = 0; second < 20; ++second) {
       if (second == 4 && case_.restart == Restart::kMember) {
         world_.Crash(member_);
-        Pass(300);
+        Advance(300);
         world_.Start(member_);
       }
       if (second == 4 && case_.restart == Restart::kOthers) {
         size_t other = (member_ + 2) % kControllers;
         world_.Crash(other);
-        Pass(300);
+        Advance(300);
         world_.Start(other);
       }
       if (second == 2 || second == 9) {
-        // A proxy on each side starts: one that reaches the member alone, one all the others.
+        // One proxy starts on each side: one that reaches only the member, one that reaches only
+        // the others.
         world_.Crash(kControllers);
         world_.Start(kControllers);
         started_[0] = world_.now;
@@ -494,27 +511,27 @@
         started_[1] = world_.now;
       }
       for (const char* kind : {"GET", "PUT", "evacuation", "rollout"}) {
-        Begin(kind, member_, true);
-        Begin(kind, member_, false);
-        Begin(kind, (member_ + 1 + static_cast<size_t>(second)) % kControllers, false);
+        AddCaller(kind, member_, true);
+        AddCaller(kind, member_, false);
+        AddCaller(kind, (member_ + 1 + static_cast<size_t>(second)) % kControllers, false);
       }
-      Pass(1000);
-      Cut();  // also of what has come back
-      const World::Node& near = world_.node(kControllers);
-      if (near.confirmed_at >= 0 && started_[0] > 0 && case_.how == How::kBoth) {
+      Advance(1000);
+      Cut();  // also cuts the nodes that were restarted
+      const World::Node& member_side = world_.node(kControllers);
+      if (member_side.confirmed_at >= 0 && started_[0] > 0 && case_.how == How::kBoth) {
         world_.fault = "a proxy that reaches the member alone was confirmed";
       }
-      const World::Node& far = world_.node(kControllers + 1);
-      if (far.confirmed_at >= 0 && started_[1] > 0) {
-        Worst("start of a proxy elsewhere", far.confirmed_at - started_[1]);
+      const World::Node& majority_side = world_.node(kControllers + 1);
+      if (majority_side.confirmed_at >= 0 && started_[1] > 0) {
+        RecordWorst("start of a proxy elsewhere", majority_side.confirmed_at - started_[1]);
         started_[1] = 0;
       }
     }
     int led = world_.leader();
     if (led >= 0) term = world_.node(static_cast<size_t>(led)).raft->term();
     world_.HealAll();
-    Pass(5000);
-    // Nobody unseated the leader that was not broken, and the member has all.
+    Advance(5000);
+    // The leader of the majority keeps its term, and the member has caught up with it.
     EXPECT_EQ(world_.leader(), led) << Name();
     if (led >= 0) {
       EXPECT_EQ(world_.node(static_cast<size_t>(led)).raft->term(), term) << Name();
@@ -537,7 +554,7 @@
            ", seed " + std::to_string(case_.seed);
   }
 
-  static std::map<std::string, Millis> worst;  // of calls during a cut, ms
+  static std::map<std::string, Millis> worst;  // longest duration of calls during a cut, by kind
 
  private:
   static World::Options MakeOptions(uint64_t seed) {
@@ -550,15 +567,15 @@
     options.confirm = true;
     return options;
   }
-  static void Worst(const std::string& what, Millis took) {
+  static void RecordWorst(const std::string& what, Millis took) {
     worst[what] = std::max(worst[what], took);
   }
 
   void Cut() {
     for (size_t i = 0; i < world_.size(); ++i) {
       if (i == member_) continue;
-      bool near = i == kControllers;  // the proxy on the member's side
-      if (!near) {
+      bool member_side = i == kControllers;  // the proxy that reaches only the member
+      if (!member_side) {
         if (case_.how == How::kBoth) world_.Cut(member_, i, true);
         if (case_.how == How::kOut) world_.CutOneWay(member_, i, true);
         if (case_.how == How::kIn) world_.CutOneWay(i, member_, true);
@@ -567,11 +584,12 @@
     }
   }
 
-  void Begin(const std::string& kind, size_t at, bool stays) {
+  // Adds a caller that starts at node `at`; see Caller::single_attempt.
+  void AddCaller(const std::string& kind, size_t at, bool single_attempt) {
     Caller c;
     c.kind = kind;
     c.at = at;
-    c.stays = stays;
+    c.single_attempt = single_attempt;
     c.began = world_.now;
     c.known = acknowledged_;
     c.request.method = kind == "PUT" ? "PUT" : kind == "evacuation" ? "POST" : "GET";
@@ -588,19 +606,20 @@
     callers_.push_back(c);
   }
 
-  void Pass(Millis span) {
+  // Advances the simulation and all callers.
+  void Advance(Millis span) {
     for (Millis end = world_.now + span; world_.now < end && world_.fault.empty();) {
       world_.Run(10);
       bool early = cut_at_ > 0 && world_.now < cut_at_ + 2000 && world_.now % 50 == 0;
       if (early) {
-        Begin("GET", member_, true);
-        Begin("GET", (member_ + 1) % kControllers, false);
+        AddCaller("GET", member_, true);
+        AddCaller("GET", (member_ + 1) % kControllers, false);
       }
       for (size_t i = 0; i < kControllers; ++i) {
         const World::Node& n = world_.node(i);
         if (n.up && n.raft && n.raft->is_leader()) led_at_[i] = world_.now;
       }
-      if (world_.now % 50 == 0) desks_.Tick();
+      if (world_.now % 50 == 0) apis_.Tick();
       for (Caller& c : callers_) {
         if (!c.done) Step(&c);
       }
@@ -612,29 +631,29 @@
     if (c->ticket == 0) {
       if (now < c->wait_until) return;
       c->asked = now;
-      c->ticket = desks_.Ask(c->at, c->request);
+      c->ticket = apis_.Ask(c->at, c->request);
     }
-    Desks::Answer answer = desks_.answers[c->ticket];
+    OperatorApis::Answer answer = apis_.answers[c->ticket];
     bool silent = answer.status == 0 && now - c->asked >= 1000;
     if (answer.status == 0 && !silent) return;
     c->ticket = 0;
-    if (c->stays) {
+    if (c->single_attempt) {
       c->done = true;
       if (answer.status == 307) CheckLocation(*c, answer.location);
-      // It names nobody that it has not heard for an election time-out.
+      // It must not name a leader from which it has received nothing for an election time-out.
       if (answer.status == 307 && case_.how != How::kOut && now > cut_at_ + kStaleMs) {
         world_.fault = "the member named a leader that it does not hear";
       }
-      bool clear = answer.status == 200 || answer.status == 404 || answer.status == 412;
-      // An answer that a majority confirmed may have been on its way as the cut began.
-      if (clear && c->began > cut_at_ + 100) {
+      bool definite = answer.status == 200 || answer.status == 404 || answer.status == 412;
+      // An answer that a majority confirmed may have been in transit when the cut began.
+      if (definite && c->began > cut_at_ + 100) {
         world_.fault = "the member answered " + std::to_string(answer.status) + " to " + c->kind;
       }
-      Worst(std::string("answer of the member itself: ") + (answer.status == 307 ? "307"
-                                                            : answer.status == 503
-                                                                ? "503"
-                                                                : "none or broken"),
-            now - c->began);
+      RecordWorst(std::string("answer of the member itself: ") + (answer.status == 307 ? "307"
+                                                                  : answer.status == 503
+                                                                      ? "503"
+                                                                      : "none or broken"),
+                  now - c->began);
       return;
     }
     if (answer.status == 307 && c->followed < 2) {
@@ -644,7 +663,7 @@
       return;
     }
     if (silent || answer.status < 0 || answer.status >= 500 || answer.status == 307) {
-      if (answer.status == 307) Worst("redirected a third time", 1);
+      if (answer.status == 307) RecordWorst("redirected a third time", 1);
       c->followed = 0;
       c->at = (c->at + 1) % kControllers;
       c->wait_until = now + c->pause;
@@ -653,7 +672,7 @@
     }
     c->done = true;
     if (cut_at_ > 0)
-      Worst(c->kind + (now < cut_at_ + 20000 ? "" : ", ended after the cut"), now - c->began);
+      RecordWorst(c->kind + (now < cut_at_ + 20000 ? "" : ", ended after the cut"), now - c->began);
     if (c->kind == "GET" && (answer.status != 200 || answer.revision < c->known)) {
       world_.fault = "a read gave " + std::to_string(answer.revision) + " after " +
                      std::to_string(c->known) + " was acknowledged";
@@ -673,19 +692,19 @@
     }
   }
 
-  // A caller is sent to one that leads, or did until shortly.
+  // Checks that a redirect names a node that leads or led at most 800 ms ago.
   void CheckLocation(const Caller& c, const std::string& ip) {
-    // "10.0.0.N/elderkeel/...", as the desks name nodes.
+    // The location is "http://10.0.0.N/elderkeel/...".
     size_t at = static_cast<size_t>(std::stoi(ip.substr(14))) - 1;
-    bool not_reporting = at == member_ && case_.how != How::kIn && cut_at_ > 0 &&
-                         c.asked > cut_at_ + kStaleMs && c.at != member_;
-    if (not_reporting) world_.fault = "sent to " + ip + ", which nobody hears";
+    bool unreachable = at == member_ && case_.how != How::kIn && cut_at_ > 0 &&
+                       c.asked > cut_at_ + kStaleMs && c.at != member_;
+    if (unreachable) world_.fault = "sent to " + ip + ", which nobody hears";
     if (world_.now - led_at_[at] > 800) world_.fault = "sent to " + ip + ", which leads no more";
   }
 
   Case case_;
   World world_;
-  Desks desks_;
+  OperatorApis apis_;
   std::deque<Caller> callers_;
   size_t member_ = 0;
   Millis cut_at_ = 0;
@@ -696,7 +715,9 @@
 };
 std::map<std::string, Millis> CutRun::worst;
 
-TEST(Cut, ForTwentySecondsNothingRestsOnTheMemberThatIsCutOff) {
+// Guards against a partitioned controller that still serves reads, confirms proxies, acknowledges
+// changes, receives redirects, or unseats the working leader when the partition ends.
+TEST(Cut, APartitionedMemberServesNothingAndDisturbsNobodyForTwentySeconds) {
   for (auto how : {CutRun::How::kBoth, CutRun::How::kOut, CutRun::How::kIn}) {
     for (bool leader : {false, true}) {
       for (auto restart :
--- a/tests/simulation/simulation.cc
+++ b/tests/simulation/simulation.cc
@@ -1,4 +1,4 @@
-// World: its nodes, its clock, and what each step does.
+// World: construction, the simulated clock, and the work of each step.
 #include "simulation/simulation.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 
 namespace elderkeel::simulation {
 
-void World::Follow(Follower* follower) {
-  follower_ = follower;
+void World::SetListener(Listener* listener) {
+  listener_ = listener;
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i]->up) follower_->Started(i);
+    if (nodes_[i]->up) listener_->OnStarted(i);
   }
 }
 
@@ -55,7 +55,7 @@
     Node& n = *nodes_[p.to];
     if (!n.up) continue;
     if (n.frozen) {
-      p.at = now + 10;  // waits in the kernel
+      p.at = now + 10;  // stays in the kernel's socket buffer
       packets_.push(std::move(p));
       continue;
     }
@@ -79,7 +79,7 @@
     Pump(i);
     if (n.leave_by && (n.raft->may_stop() || now >= n.leave_by)) Crash(i);
   }
-  if (follower_) follower_->Stepped();
+  if (listener_) listener_->OnStep();
 }
 
 void World::PumpNode(size_t i) {
@@ -94,7 +94,7 @@
   for (auto& [to, m] : membership.updates) Send(i, to, m);
   for (auto& [to, m] : membership.part_digests) Send(i, to, m);
   for (auto& [to, m] : membership.summaries) Send(i, to, m);
-  if (n.controller) PumpMachine(i);
+  if (n.controller) PumpRaft(i);
   auto effects = n.disseminator->TakeEffects();
   for (auto& [to, m] : effects.digests) Send(i, to, m);
   for (auto& [to, m] : effects.pulls) Send(i, to, m);
@@ -126,7 +126,8 @@
   n.adopted_epoch = c.epoch;
   n.adopted_sequence = c.sequence;
   if (adopted)
-    CheckWinner(n.adopted_revision, base::Hash(n.disseminator->configuration_text()), n.address.ip);
+    CheckConfigurationDigest(n.adopted_revision, base::Hash(n.disseminator->configuration_text()),
+                             n.address.ip);
 }
 
 }  // namespace elderkeel::simulation
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -1,4 +1,4 @@
-// World: what a controller does around its Raft node.
+// World: the work of a controller around its Raft node, and the confirmation of proxies.
 #include <algorithm>
 #include <utility>
 
@@ -14,7 +14,8 @@
   if (n.confirmed_at >= 0) return;
   if (n.confirmation->Holds(now, held)) {
     n.confirmed_at = now;
-    // What was acknowledged before the question was put, of at most a second ago.
+    // The question is at most a second old, so the confirmed state includes every change that was
+    // acknowledged before that.
     auto known = acknowledged_at_.upper_bound(now - 1000);
     if (known != acknowledged_at_.begin() && held.revision < std::prev(known)->second) {
       Fail(n.address.ip + " took an old configuration for confirmed");
@@ -28,16 +29,16 @@
 
 void World::OnConfirm(size_t i, const Address& from, const dissemination::Confirm& confirm) {
   Node& n = *nodes_[i];
-  uint64_t token = ++order_;
-  n.confirms[token] = {from, confirm.nonce};
+  uint64_t token = ++last_id_;
+  n.pending_confirms[token] = {from, confirm.nonce};
   if (n.raft->ConfirmRead(now, token)) return;
   AnswerConfirm(i, token, false);
 }
 
 void World::AnswerConfirm(size_t i, uint64_t token, bool confirmed) {
   Node& n = *nodes_[i];
-  auto at = n.confirms.find(token);
-  if (at == n.confirms.end()) return;
+  auto at = n.pending_confirms.find(token);
+  if (at == n.pending_confirms.end()) return;
   dissemination::ConfirmReply reply;
   reply.nonce = at->second.second;
   reply.confirmed = confirmed;
@@ -49,14 +50,15 @@
     reply.leader_port = leader->port;
   }
   Send(i, at->second.first, reply);
-  n.confirms.erase(at);
+  n.pending_confirms.erase(at);
 }
 
 void World::FinishWrites(size_t i) {
   Node& n = *nodes_[i];
-  while (!n.writing.empty() && n.writing.front().first <= now && now >= n.disk_hangs_until) {
-    consensus::WriteRequest write = std::move(n.writing.front().second);
-    n.writing.erase(n.writing.begin());
+  while (!n.pending_writes.empty() && n.pending_writes.front().first <= now &&
+         now >= n.disk_hangs_until) {
+    consensus::WriteRequest write = std::move(n.pending_writes.front().second);
+    n.pending_writes.erase(n.pending_writes.begin());
     Store(&n, write);
     n.raft->OnWriteFinished(now, write.sequence, true);
     Pump(i);
@@ -79,7 +81,7 @@
   if (write.drop_to) drop([&](const auto& e) { return e.index > write.drop_to; });
   if (write.truncate_from) drop([&](const auto& e) { return e.index < write.truncate_from; });
   log.insert(log.end(), write.entries.begin(), write.entries.end());
-  if (write.commit && random_.Below(2)) n.disk.commit = write.commit;  // not synced: may be lost
+  if (write.commit && random_.Below(2)) n.disk.commit = write.commit;  // not synced, may be lost
 }
 
 std::vector<singleton::Candidate> World::Candidates(const Node& n) {
@@ -92,19 +94,20 @@
   return candidates;
 }
 
-void World::Name(Node& n, const std::optional<singleton::Assignment>& named) {
-  if (named)
-    n.raft->Propose(now,
-                    controller::MakeCommand(controller::Command::Kind::kCatalogReader, *named));
+void World::ProposeAssignment(Node& n, const std::optional<singleton::Assignment>& assignment) {
+  if (assignment)
+    n.raft->Propose(
+        now, controller::MakeCommand(controller::Command::Kind::kCatalogReader, *assignment));
 }
 
 void World::OnResignation(size_t i, const singleton::Resignation& r) {
   Node& n = *nodes_[i];
   if (n.raft->HasCommittedInTerm())
-    Name(n, n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
+    ProposeAssignment(n,
+                      n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
 }
 
-void World::Vouch(Node& n) {
+void World::UpdateVouchers(Node& n) {
   std::optional<Address> leader, reader;
   if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
     leader = member->address();
@@ -114,13 +117,13 @@
     if (voter.id == n.state.catalog_reader.owner && !reads) reader = voter.address();
   }
   n.disseminator->SetVouchers(leader, reader);
-  if (!n.raft->HasCommittedInTerm()) n.vouchers.clear();
-  if (n.raft->HasCommittedInTerm() && n.vouchers.empty()) {
-    n.vouchers[++order_] = now;
-    if (!n.raft->ConfirmReadByHeartbeat(now, order_)) n.vouchers.clear();
+  if (!n.raft->HasCommittedInTerm()) n.heartbeat_reads.clear();
+  if (n.raft->HasCommittedInTerm() && n.heartbeat_reads.empty()) {
+    n.heartbeat_reads[++last_id_] = now;
+    if (!n.raft->ConfirmReadByHeartbeat(now, last_id_)) n.heartbeat_reads.clear();
   }
   Millis log_age = n.disseminator->log_age(now);
-  bool published = n.sequence > 0 && n.watched_epoch == n.state.catalog_reader.epoch;
+  bool published = n.sequence > 0 && n.reader_epoch == n.state.catalog_reader.epoch;
   if (reads && n.state.catalog_reader.boot_id == n.boot_id && published && log_age >= 0 &&
       log_age <= 1000) {
     n.disseminator->VouchForEndpoints(now);
@@ -131,8 +134,8 @@
   Node& n = *nodes_[i];
   TickRollouts(i);
   if (n.raft->HasCommittedInTerm())
-    Name(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
-  Vouch(n);
+    ProposeAssignment(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
+  UpdateVouchers(n);
   bool reporting = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
   if (!n.raft->is_leader() && !reporting && now >= n.join_at) {
     n.join_at = now + 400;
@@ -154,15 +157,15 @@
   }
   if (now < n.poll_at) return;
   n.poll_at = now + 500;
-  if (n.watched_epoch != n.state.catalog_reader.epoch) n.sequence = 0;
-  n.watched_epoch = n.state.catalog_reader.epoch;
+  if (n.reader_epoch != n.state.catalog_reader.epoch) n.sequence = 0;
+  n.reader_epoch = n.state.catalog_reader.epoch;
   discovery::Server server;
-  server.id = "list-" + std::to_string(list_);
+  server.id = "list-" + std::to_string(list_version_);
   if (n.sequence && n.disseminator->endpoints().servers.size() == 1 &&
       n.disseminator->endpoints().servers[0].id == server.id) {
-    n.disseminator->Confirm(now, now, n.watched_epoch);
+    n.disseminator->Confirm(now, now, n.reader_epoch);
   } else {
-    n.disseminator->Publish(now, now, {n.watched_epoch, ++n.sequence, {server}});
+    n.disseminator->Publish(now, now, {n.reader_epoch, ++n.sequence, {server}});
   }
 }
 
@@ -183,11 +186,12 @@
   if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
 }
 
-void World::PumpMachine(size_t i) {
+void World::PumpRaft(size_t i) {
   Node& n = *nodes_[i];
   for (;;) {
     consensus::RaftNode::Effects e = n.raft->TakeEffects();
-    // No disk here goes back behind what was synced, so nobody may be accused of it.
+    // No simulated disk loses synced data while a node keeps its identity, so no node may report
+    // the loss of state.
     if (!e.state_lost.empty() || e.discard_store) Fail(n.address.ip + " tells of lost state");
     if (e.messages.empty() && e.writes.empty() && e.committed.empty() && e.installed.empty() &&
         e.confirmed_reads.empty() && e.failed_reads.empty() && !e.role_changed) {
@@ -195,7 +199,8 @@
     }
     TraceEffects(i, e);
     for (auto& write : e.writes)
-      n.writing.push_back({now + 2 + static_cast<Millis>(random_.Below(20)), std::move(write)});
+      n.pending_writes.push_back(
+          {now + 2 + static_cast<Millis>(random_.Below(20)), std::move(write)});
     for (auto& out : e.messages) Send(i, out.to, out.message);
     for (const auto& snapshot : e.installed) {
       n.state = controller::ControlState();
@@ -204,54 +209,54 @@
     }
     for (const auto& entry : e.committed) {
       uint64_t digest = base::Hash(entry.data, entry.term * 8 + static_cast<uint64_t>(entry.kind));
-      auto [at, added] = committed_.emplace(entry.index, digest);
+      auto [at, added] = committed_digests_.emplace(entry.index, digest);
       if (!added && at->second != digest)
         Fail(n.address.ip + " committed another entry at " + std::to_string(entry.index));
       if (entry.kind == consensus::EntryKind::kCommand) {
         n.state.Apply(entry.data);
         if (hooks.applied) hooks.applied(i, entry);
-        if (follower_) follower_->Applied(i, entry.index);
+        if (listener_) listener_->OnApplied(i, entry.index);
       }
-      auto sent = pending_.find({&n, n.boot_id, entry.index});
-      if (sent != pending_.end()) {
+      auto sent = pending_changes_.find({&n, n.boot_id, entry.index});
+      if (sent != pending_changes_.end()) {
         if (n.raft->is_leader() && n.state.configuration.revision() == sent->second.first) {
           acknowledged_ = std::max(acknowledged_, sent->second.first);
           acknowledged_at_[now] = acknowledged_;
-          auto [at, added] = built_on_.emplace(sent->second.second, sent->second.first);
+          auto [at, added] = acknowledged_by_base_.emplace(sent->second.second, sent->second.first);
           if (!added && at->second != sent->second.first) {
             Fail("two changes built on " + std::to_string(sent->second.second) +
                  " were both acknowledged");
           }
         }
-        pending_.erase(sent);
+        pending_changes_.erase(sent);
       }
-      auto ordered = ordered_.find({&n, n.boot_id, entry.index});
-      if (ordered != ordered_.end()) {
+      auto ordered = pending_drains_.find({&n, n.boot_id, entry.index});
+      if (ordered != pending_drains_.end()) {
         if (n.raft->is_leader()) drained_zones_[ordered->second.first] = ordered->second.second;
-        ordered_.erase(ordered);
+        pending_drains_.erase(ordered);
       }
     }
     if (!n.state.configuration.empty()) {
-      CheckWinner(n.state.configuration.revision(), base::Hash(n.state.configuration.text()),
-                  n.address.ip);
+      CheckConfigurationDigest(n.state.configuration.revision(),
+                               base::Hash(n.state.configuration.text()), n.address.ip);
       n.disseminator->Commit(now, n.state.configuration);
     }
     n.disseminator->Commit(n.state.drained_zones);
-    FollowRollouts(n);
+    AdoptRollouts(n);
     if (e.role_changed && hooks.role_changed) hooks.role_changed(i);
     for (bool ok : {false, true}) {
       for (uint64_t token : ok ? e.confirmed_reads : e.failed_reads) {
-        if (n.confirms.count(token)) {
+        if (n.pending_confirms.count(token)) {
           AnswerConfirm(i, token, ok);
-        } else if (n.vouchers.count(token)) {
-          if (ok) n.disseminator->VouchForLog(n.vouchers[token]);
-          n.vouchers.erase(token);
+        } else if (n.heartbeat_reads.count(token)) {
+          if (ok) n.disseminator->VouchForLog(n.heartbeat_reads[token]);
+          n.heartbeat_reads.erase(token);
         } else if (hooks.read_done) {
           hooks.read_done(i, token, ok);
         }
       }
     }
-    if (follower_) follower_->Pumped(i, e);
+    if (listener_) listener_->OnEffects(i, e);
     if (n.raft->log_size() > 24) n.raft->Compact(n.raft->commit(), transport::Encode(n.state));
   }
   if (n.raft->is_leader()) {
--- a/tests/simulation/simulation_faults.cc
+++ b/tests/simulation/simulation_faults.cc
@@ -1,4 +1,4 @@
-// World: what can happen to a node or a link.
+// World: starts, stops and faults of nodes and links.
 #include <algorithm>
 #include <utility>
 
@@ -31,27 +31,28 @@
     if (nodes_[k].get() != &n) seeds.push_back(nodes_[k]->address);
   }
   n.members = std::make_unique<membership::Membership>(member, seeds, now);
-  dissemination::Disseminator::Options gossip;
-  gossip.seed = random_.Next();
-  gossip.max_age = n.controller ? 500 : 900;
-  gossip.seeds = seeds;
-  n.disseminator = std::make_unique<dissemination::Disseminator>(gossip, n.members.get(), now);
-  n.flights.clear();
+  dissemination::Disseminator::Options disseminator;
+  disseminator.seed = random_.Next();
+  disseminator.max_age = n.controller ? 500 : 900;
+  disseminator.seeds = seeds;
+  n.disseminator =
+      std::make_unique<dissemination::Disseminator>(disseminator, n.members.get(), now);
+  n.in_flight.clear();
   n.confirmation = std::make_unique<dissemination::Confirmation>(n.boot_id);
   n.confirmed_at = -1;
-  n.confirms.clear();
-  n.vouchers.clear();
+  n.pending_confirms.clear();
+  n.heartbeat_reads.clear();
   n.policy = std::make_unique<rollout::CanaryPolicy>(rollout::CanaryPolicy::Options{});
   n.coordinator =
       std::make_unique<rollout::RolloutCoordinator>(rollout::RolloutCoordinator::Options());
-  rollout::Observer::Options watch;
-  watch.self = member.self.id;
-  watch.boot_id = n.boot_id;
-  n.observer = std::make_unique<rollout::Observer>(watch);
+  rollout::Observer::Options observer;
+  observer.self = member.self.id;
+  observer.boot_id = n.boot_id;
+  n.observer = std::make_unique<rollout::Observer>(observer);
   if (!n.controller) return;
   n.state = controller::ControlState();
   n.assignment = std::make_unique<singleton::Assigner>(1000);
-  n.watched_epoch = n.sequence = 0;
+  n.reader_epoch = n.sequence = 0;
   n.poll_at = n.claim_at = n.join_at = 0;
   consensus::RaftNode::Options raft;
   raft.self.ip = n.address.ip;
@@ -69,14 +70,14 @@
   }
   n.raft = std::make_unique<consensus::RaftNode>(raft, n.disk, now);
   for (auto& other : nodes_) n.raft->SetZone(other->address.ip, other->zone);
-  if (follower_) follower_->Started(i);
+  if (listener_) listener_->OnStarted(i);
 }
 
 void World::Crash(size_t i) {
   Node& n = *nodes_[i];
-  if (n.up && follower_) follower_->Crashed(i);
+  if (n.up && listener_) listener_->OnCrashed(i);
   n.up = false;
-  n.writing.clear();  // what was not synced is gone
+  n.pending_writes.clear();  // writes that weren't synced are lost
   n.raft.reset();
   n.disseminator.reset();
   n.members.reset();
@@ -97,8 +98,8 @@
 
 void World::LosePower(size_t i) {
   Node& n = *nodes_[i];
-  size_t kept = random_.Below(3) == 0 ? 0 : random_.Below(n.writing.size() + 1);
-  for (size_t k = 0; k < kept; ++k) Store(&n, n.writing[k].second);
+  size_t kept = random_.Below(3) == 0 ? 0 : random_.Below(n.pending_writes.size() + 1);
+  for (size_t k = 0; k < kept; ++k) Store(&n, n.pending_writes[k].second);
   Crash(i);
 }
 
@@ -153,7 +154,7 @@
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Freeze(i, false);
     nodes_[i]->disk_hangs_until = 0;
-    if (nodes_[i]->leave_by) Crash(i);  // starts again at once instead of later
+    if (nodes_[i]->leave_by) Crash(i);  // ends the shutdown, so that Start() restarts it now
     Start(i);
   }
 }
--- a/tests/simulation/simulation_invariants.cc
+++ b/tests/simulation/simulation_invariants.cc
@@ -1,4 +1,4 @@
-// World: what must hold at each step, and once all is well again.
+// World: the invariants that hold at each step, and the check for convergence after faults.
 #include <algorithm>
 #include <utility>
 
@@ -25,7 +25,7 @@
       }
     }
     const auto& servers = n->disseminator->endpoints().servers;
-    if (servers.size() != 1 || servers[0].id != "list-" + std::to_string(list_)) {
+    if (servers.size() != 1 || servers[0].id != "list-" + std::to_string(list_version_)) {
       return n->address.ip + " has an old list";
     }
     if (n->controller && !n->raft->IsVoter(n->raft->self().id))
@@ -51,7 +51,7 @@
 
 bool World::KnowsList(size_t i) const {
   const auto& servers = nodes_[i]->disseminator->endpoints().servers;
-  return servers.size() == 1 && servers[0].id == "list-" + std::to_string(list_);
+  return servers.size() == 1 && servers[0].id == "list-" + std::to_string(list_version_);
 }
 
 void World::CheckFreshness(const Node& n) {
@@ -65,8 +65,8 @@
   }
 }
 
-void World::CheckWinner(int64_t revision, uint64_t digest, const std::string& who) {
-  auto [at, added] = winners_.emplace(revision, digest);
+void World::CheckConfigurationDigest(int64_t revision, uint64_t digest, const std::string& who) {
+  auto [at, added] = configuration_digests_.emplace(revision, digest);
   if (!added && at->second != digest)
     Fail(who + " has another winner of revision " + std::to_string(revision));
 }
--- a/tests/simulation/simulation_network.cc
+++ b/tests/simulation/simulation_network.cc
@@ -1,4 +1,4 @@
-// World: the network between the nodes.
+// World: the simulated network between the nodes.
 #include <algorithm>
 #include <utility>
 
@@ -40,7 +40,7 @@
   if (random_.Below(100) < static_cast<uint64_t>(options_.loss_percent)) return;
   if (datagram && (datagrams_lost_.count(from) || datagrams_lost_.count(at->second))) return;
   if (!datagram && connections_lost_.count({from, at->second})) return;
-  packets_.push({now + 1 + static_cast<Millis>(random_.Below(15)), ++order_, from, at->second,
+  packets_.push({now + 1 + static_cast<Millis>(random_.Below(15)), ++last_id_, from, at->second,
                  std::move(body)});
 }
 
--- a/tests/simulation/simulation_operator.cc
+++ b/tests/simulation/simulation_operator.cc
@@ -1,4 +1,4 @@
-// World: the calls of an operator.
+// World: the operator's calls, and the documents that they send.
 #include <algorithm>
 #include <utility>
 
@@ -26,7 +26,7 @@
   last_change_ = change;
   auto index = n->raft->Propose(
       now, controller::MakeCommand(controller::Command::Kind::kConfiguration, change));
-  if (index) pending_[{n, n->boot_id, *index}] = {revision, current};
+  if (index) pending_changes_[{n, n->boot_id, *index}] = {revision, current};
   return index.has_value();
 }
 
@@ -46,8 +46,8 @@
     auto index =
         n->raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kZoneDrain,
                                                       zone_drain::DrainOrder{zone, drain}));
-    if (index) ordered_[{n.get(), n->boot_id, *index}] = {zone, drain};
-    drained_zones_.erase(zone);  // until this is acknowledged, either may be in force
+    if (index) pending_drains_[{n.get(), n->boot_id, *index}] = {zone, drain};
+    drained_zones_.erase(zone);  // either state may be in force until this order is acknowledged
     return index.has_value();
   }
   return false;
--- a/tests/simulation/simulation_rollouts.cc
+++ b/tests/simulation/simulation_rollouts.cc
@@ -1,4 +1,4 @@
-// World: roll-outs, and the traffic that they move.
+// World: roll-outs, and the proxies' traffic that they shift to the new version.
 #include <algorithm>
 #include <utility>
 
@@ -16,32 +16,32 @@
 
 void World::Serve(size_t i) {
   Node& n = *nodes_[i];
-  for (size_t k = 0; k < n.flights.size();) {
-    Node::Flight flight = n.flights[k];
-    if (flight.ends > now) {
+  for (size_t k = 0; k < n.in_flight.size();) {
+    Node::InFlightRequest request = n.in_flight[k];
+    if (request.ends > now) {
       ++k;
       continue;
     }
-    n.flights.erase(n.flights.begin() + static_cast<long>(k));
-    bool failed = flight.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
-                                     : random_.Unit() < options_.old_fails;
-    if (flight.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
+    n.in_flight.erase(n.in_flight.begin() + static_cast<long>(k));
+    bool failed = request.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
+                                      : random_.Unit() < options_.old_fails;
+    if (request.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
     n.policy->CountOutcome(
-        now, {"s", flight.new_version ? "v2" : "v1", std::to_string(flight.server), "r",
+        now, {"s", request.new_version ? "v2" : "v1", std::to_string(request.server), "r",
               failed ? rollout::CanaryPolicy::Outcome::kFailed
                      : rollout::CanaryPolicy::Outcome::kComplete,
               true, random_.Unit() < 0.05});
   }
   bool ordered = traffic.ordered_at >= 0;
   bool in_term = ordered && now < traffic.ordered_at + traffic.over_ms;
-  bool listed = ordered && now > traffic.ordered_at + 1200;  // the new servers
+  bool listed = ordered && now > traffic.ordered_at + 1200;  // the endpoint list has new servers
   for (double due = options_.requests; random_.Unit() < due; due -= 1) {
     n.policy->CountRequest("s");
     traffic.requests += in_term;
     rollout::Rule rule = n.policy->RuleOf(now, "s");
     bool secondary = n.policy->TakesSecondary(now, "s", random_.Next());
     bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
-    n.flights.push_back(
+    n.in_flight.push_back(
         {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
     if (!fresh) continue;
     n.policy->CountAttempt("s", "v2");
@@ -54,15 +54,15 @@
   report.node = n.members->self().id;
   report.boot_id = n.boot_id;
   report.wants_renewal = true;
-  report.old_in_flight = static_cast<uint32_t>(n.in_flight_old());
-  report.new_in_flight = static_cast<uint32_t>(n.flights.size()) - report.old_in_flight;
+  report.old_in_flight = static_cast<uint32_t>(n.old_in_flight());
+  report.new_in_flight = static_cast<uint32_t>(n.in_flight.size()) - report.old_in_flight;
   for (uint64_t observer : n.policy->RolloutOf("s")->observers) {
     auto node = n.members->nodes().find(observer);
     if (node != n.members->nodes().end()) Send(i, node->second.address(), report);
   }
 }
 
-void World::FollowRollouts(Node& n) {
+void World::AdoptRollouts(Node& n) {
   n.coordinator->Adopt(now, n.state.rollouts);
   n.observer->Adopt(n.state.rollouts);
   n.disseminator->Commit(n.state.rollouts);
@@ -75,12 +75,13 @@
   traffic.stage = rollout->stage;
   if (!rollout::Ended(rollout->stage) || traffic.ended_at >= 0) return;
   traffic.ended_at = now;
-  // The old servers are stopped now: nobody who can be heard may have work there, or send more.
+  // The old servers are stopped now, so no reachable proxy may have requests in flight to them or
+  // send them new ones.
   if (rollout->stage != rollout::Stage::kCompleted) return;
   for (auto& other : nodes_) {
     if (other->controller || !other->up || other->frozen || !cuts_.empty()) continue;
     if (!other->policy->RolloutOf("s") && other->policy->RuleOf(now, "s").primary != "v2") continue;
-    if (other->in_flight_old() > 0) Fail(other->address.ip + " has work at stopped servers");
+    if (other->old_in_flight() > 0) Fail(other->address.ip + " has work at stopped servers");
     if (other->policy->RuleOf(now, "s").primary != "v2") {
       Fail(other->address.ip + " sends to stopped servers");
     }
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -9,6 +9,7 @@
 namespace elderkeel::simulation {
 namespace {
 
+// Runs until the cluster has converged; fails with `why` if it hasn't after `within` ms.
 void Stabilize(World* world, Millis within, const std::string& why) {
   std::string state = "nothing ran";
   for (Millis waited = 0; waited < within && world->fault.empty(); waited += 250) {
@@ -19,8 +20,9 @@
   FAIL() << why << ": " << (world->fault.empty() ? state : world->fault);
 }
 
-// Random cuts, crashes, wipes, freezes and hanging disks, one wiped or lost disk at a time, while
-// an operator changes the configuration and the platform's list changes.
+// Injects random cuts, crashes, power losses, shutdowns, freezes and hanging disks, and wipes one
+// disk at a time, while an operator changes the configuration and drains zones and the platform's
+// endpoint list changes.
 void Chaos(uint64_t seed, int controllers) {
   World::Options options;
   options.seed = seed;
@@ -64,10 +66,10 @@
         world.ChangeList();
         break;
       case 8: {
-        // One machine's disk may be lost once the fleet has had time to take its successor in.
+        // At most one disk may be lost until the cluster has admitted the replacement as a voter.
         if (world.now - wiped_at < 15000) break;
-        bool calm = world.Converged().empty();
-        if (!calm) break;
+        bool converged = world.Converged().empty();
+        if (!converged) break;
         wiped_at = world.now;
         int leader = world.leader();
         size_t victim = random.Below(2) && leader >= 0 ? static_cast<size_t>(leader) : c;
@@ -97,6 +99,8 @@
   EXPECT_GT(world.acknowledged(), 3) << "seed " << seed;
 }
 
+// Guards against any violation of World's invariants under random faults, and against a cluster
+// that doesn't converge after them.
 class Seeds : public ::testing::TestWithParam<int> {};
 TEST_P(Seeds, ThreeControllersThroughChaos) {
   for (int k = 0; k < 8; ++k) Chaos(static_cast<uint64_t>(GetParam() * 100 + k), 3);
@@ -104,21 +108,24 @@
 TEST_P(Seeds, FourControllersThroughChaos) {
   for (int k = 0; k < 8; ++k) Chaos(static_cast<uint64_t>(GetParam() * 100 + 50 + k), 4);
 }
-// ELDERKEEL_SEED_GROUPS=100 looks much further than the tests of every day.
+// Returns the number of seed groups; ELDERKEEL_SEED_GROUPS=100 runs many more than the default.
 int SeedGroups() {
   const char* text = std::getenv("ELDERKEEL_SEED_GROUPS");
   return text ? std::max(1, std::atoi(text)) : 4;
 }
 INSTANTIATE_TEST_SUITE_P(Simulation, Seeds, ::testing::Range(1, 1 + SeedGroups()));
 
-TEST(Simulation, StartsElectsAndSpreads) {
+// A new cluster must elect a leader and spread a first change to all nodes.
+TEST(Simulation, ANewClusterElectsALeaderAndSpreadsAChange) {
   World world({});
   world.Run(1500);
   ASSERT_TRUE(world.Change());
   Stabilize(&world, 3000, "start");
 }
 
-TEST(Simulation, AWipedMemberAtItsOldAddressGetsANewVote) {
+// A voter that lost its disk may have voted in the current term; it must come back under a
+// new member id, or it could vote twice.
+TEST(Simulation, AWipedMemberAtItsOldAddressBecomesAVoterUnderANewId) {
   World world({});
   world.Run(2000);
   ASSERT_TRUE(world.Change());
@@ -132,6 +139,8 @@
   EXPECT_EQ(world.node(0).raft->voters().size(), 3u);
 }
 
+// The catalog reader may run in the leader's process. After a crash of both, a change of the
+// endpoint list must still reach every node.
 TEST(Simulation, TheCatalogReaderLostWithTheLeaderIsReplaced) {
   World world({});
   world.Run(2000);
@@ -141,7 +150,8 @@
   world.Crash(static_cast<size_t>(leader));
   world.ChangeList();
   world.Run(4000);
-  // Two of three are enough to elect, to name a holder, and to bring the list round.
+  // Two of three controllers suffice to elect a leader, to assign a catalog reader and to spread
+  // the list.
   for (size_t i = 0; i < world.size(); ++i) {
     if (static_cast<int>(i) == leader) continue;
     ASSERT_EQ(world.node(i).disseminator->endpoints().servers.size(), 1u);
@@ -151,8 +161,9 @@
   Stabilize(&world, 8000, "after its return");
 }
 
+// A catalog reader that restarted numbered its lists from 1 again within its old epoch, so that all
+// nodes ignored them as outdated.
 TEST(Simulation, ARestartedCatalogReaderIsNotTakenForItsEarlierIncarnation) {
-  // Found on the bench: its numbering began anew within the old epoch, and its list was ignored.
   World world({});
   world.Run(2000);
   world.Change();
@@ -168,6 +179,7 @@
   Stabilize(&world, 6000, "after the restart of the core");
 }
 
+// A leader that is cut off from the other voters must not acknowledge a change, and must step down.
 TEST(Simulation, AMinorityLeaderAcknowledgesNothing) {
   World world({});
   world.Run(2000);
@@ -178,17 +190,19 @@
   for (size_t k = 0; k < 3; ++k) {
     if (static_cast<int>(k) != leader) world.Cut(static_cast<size_t>(leader), k, true);
   }
-  world.Change();  // reaches the leader that is cut off
+  world.Change();  // is proposed at the leader that is cut off
   world.Run(400);
   EXPECT_EQ(world.acknowledged(), before);
   world.Run(3000);
-  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).raft->is_leader());  // check-quorum
+  EXPECT_FALSE(world.node(static_cast<size_t>(leader)).raft->is_leader());  // it lost its quorum
   for (size_t k = 0; k < 3; ++k) world.Cut(static_cast<size_t>(leader), k, false);
   world.Change();
   Stabilize(&world, 6000, "after the cut");
 }
 
-TEST(Simulation, ALeaderWhoseDiskHangsGivesWay) {
+// A leader whose disk hangs can commit by the disks of the others, but must hand over instead of
+// leading on without a working disk.
+TEST(Simulation, ALeaderWhoseDiskHangsIsReplaced) {
   World world({});
   world.Run(2000);
   world.Change();
@@ -198,14 +212,16 @@
   int64_t before = world.acknowledged();
   world.Change();
   world.Run(300);
-  EXPECT_GT(world.acknowledged(), before);  // the two others have it on disk
+  EXPECT_GT(world.acknowledged(), before);  // the two others have synced it
   world.Run(3500);
   EXPECT_NE(world.leader(), leader);
   EXPECT_GE(world.leader(), 0);
   Stabilize(&world, 12000, "after the hang");
 }
 
-TEST(Simulation, AControllerThatStaysUnreachableIsNotCountedForEver) {
+// A voter that stays unreachable uses up a part of the failures that the group tolerates. It must
+// be removed in time, and become a voter again when it returns.
+TEST(Simulation, AControllerThatStaysUnreachableLosesItsVoteUntilItReturns) {
   World::Options options;
   options.controllers = 4;
   World world(options);
@@ -217,7 +233,8 @@
   world.Crash(gone);
   world.Run(30000);
   size_t voters = world.node(static_cast<size_t>(world.leader())).raft->voters().size();
-  // Node 3 stands in the zone of node 0, so either of them is no loss; others are waited for.
+  // Nodes 0 and 3 share a zone, so either of them is removed early; the others are the only voter
+  // of their zone and keep their vote for longer.
   EXPECT_EQ(voters, gone == 0 || gone == 3 ? 3u : 4u);
   world.Run(35000);
   EXPECT_EQ(world.node(static_cast<size_t>(world.leader())).raft->voters().size(), 3u);
@@ -226,7 +243,9 @@
   EXPECT_EQ(world.node(gone).raft->voters().size(), 4u);
 }
 
-TEST(Simulation, WhatTheLeaderHasNotSyncedCountsForNothing) {
+// An entry that the leader holds only in memory must not count towards the quorum: a power loss
+// would lose an acknowledged change.
+TEST(Simulation, AnEntryThatTheLeaderHasNotSyncedDoesNotCountTowardsTheQuorum) {
   World world({});
   world.Run(2000);
   world.Change();
@@ -238,13 +257,16 @@
   world.Cut(leader, other, true);
   ASSERT_TRUE(world.Change());
   world.Run(600);
-  // One disk has it, of three: no majority, whatever the leader holds in memory.
+  // Only one disk of three holds the entry: that is no majority, although the leader has it in
+  // memory.
   EXPECT_EQ(world.acknowledged(), before);
   world.Cut(leader, other, false);
   Stabilize(&world, 10000, "after the hang");
 }
 
-TEST(Simulation, ARefusedWriteEndsAMembersPartUntilItsStoreIsReadAnew) {
+// After a failed write it is unknown what the disk holds. The member must neither lead nor vote
+// until it has restarted from its store, or it could break a promise that it hasn't stored.
+TEST(Simulation, AFailedWriteExcludesAMemberUntilItRestartsFromItsStore) {
   World world({});
   world.Run(2000);
   world.Change();
@@ -256,7 +278,7 @@
   EXPECT_FALSE(raft.is_leader());
   world.Run(100);
   raft.TakeEffects();
-  // Asked for its vote it says nothing.
+  // It doesn't reply to a request for its vote.
   consensus::Message ask;
   ask.type = consensus::MessageType::kRequestVote;
   ask.cluster = raft.cluster();
@@ -275,7 +297,9 @@
   Stabilize(&world, 8000, "after its store was read anew");
 }
 
-TEST(Simulation, OneMonitorsSuspicionIsNotADeath) {
+// A node that only one of its monitors can't reach must not be declared dead, or one faulty link
+// would remove a healthy node.
+TEST(Simulation, TheSuspicionOfOneMonitorDoesNotMakeANodeDead) {
   World world({});
   world.Run(2000);
   world.Change();
@@ -298,14 +322,16 @@
       suspected |= state == membership::State::kSuspect;
     }
   }
-  EXPECT_TRUE(suspected);  // the watcher did accuse
+  EXPECT_TRUE(suspected);  // the monitor did suspect it
   world.Cut(isolated, observer, false);
   Stabilize(&world, 4000, "after the cut");
 }
 
-TEST(Disseminator, TakesOnlyWhatIsNewer) {
+// Guards against an endpoint list or a configuration that is replaced by an older one, and against
+// a patch that is applied to a base the node doesn't hold.
+TEST(Disseminator, AdoptsOnlyNewerStateAndPullsWhenAPatchHasNoBase) {
   membership::Membership members({}, {}, 0);
-  dissemination::Disseminator exchange({}, &members, 0);
+  dissemination::Disseminator disseminator({}, &members, 0);
   auto list = [](uint64_t epoch, uint64_t sequence) {
     dissemination::EndpointUpdate update;
     update.epoch = epoch;
@@ -320,30 +346,31 @@
   } steps[] = {{0, 1, "0.1"}, {0, 1, "0.1"}, {2, 3, "2.3"}, {2, 2, "2.3"},
                {1, 9, "2.3"}, {2, 4, "2.4"}, {3, 1, "3.1"}, {0, 1, "3.1"}};
   for (const Step& step : steps) {
-    exchange.OnEndpointUpdate(0, {"10.0.0.2", 1}, list(step.epoch, step.sequence));
-    EXPECT_EQ(exchange.endpoints().servers[0].id, step.held);
+    disseminator.OnEndpointUpdate(0, {"10.0.0.2", 1}, list(step.epoch, step.sequence));
+    EXPECT_EQ(disseminator.endpoints().servers[0].id, step.held);
   }
   auto config = [&](int64_t revision, int64_t base, const std::string& body) {
-    exchange.OnConfigurationUpdate(0, {"10.0.0.2", 1}, {revision, base, body});
-    return exchange.revision();
+    disseminator.OnConfigurationUpdate(0, {"10.0.0.2", 1}, {revision, base, body});
+    return disseminator.revision();
   };
   EXPECT_EQ(config(4, 0, R"({"revision":4,"route-list":[]})"), 4);
   EXPECT_EQ(config(3, 0, R"({"revision":3,"route-list":[]})"), 4);
   EXPECT_EQ(config(6, 4, R"({"revision":6,"upsert":{"route-list":[{"label":"x"}]}})"), 6);
-  EXPECT_NE(exchange.configuration_text().find("\"label\":\"x\""), std::string::npos);
-  exchange.TakeEffects();
-  // A patch on what this node does not have: it asks for the whole instead.
+  EXPECT_NE(disseminator.configuration_text().find("\"label\":\"x\""), std::string::npos);
+  disseminator.TakeEffects();
+  // The base of this patch is missing, so the node requests the full document.
   EXPECT_EQ(config(9, 8, R"({"revision":9})"), 6);
-  ASSERT_EQ(exchange.TakeEffects().pulls.size(), 1u);
+  ASSERT_EQ(disseminator.TakeEffects().pulls.size(), 1u);
 }
 
-// Voters, what may be lost, and which of them have the entry on disk: is it committed?
-TEST(Consensus, CommitsOnlyWhatOutlivesTheToleratedLoss) {
+// Guards against a commit that the tolerated loss of machines, zones or regions would undo. Each
+// case gives the voters' zones, the tolerance and the voters that have synced the entry.
+TEST(Consensus, CommitsOnlyEntriesThatSurviveTheToleratedLoss) {
   struct Case {
     const char* name;
     std::vector<const char*> zones;  // of the voters; the first leads
     consensus::Tolerance tolerance;
-    std::vector<size_t> synced;  // besides the leader
+    std::vector<size_t> synced;  // indices of voters, besides the leader
     bool committed;
   } cases[] = {
       {"a majority of three", {"a", "b", "c"}, {1, 0, 0}, {1}, true},
@@ -374,8 +401,9 @@
     options.regions = {{"a", "x"}, {"b", "x"}, {"c", "y"}};
     consensus::RaftNode raft(options, {}, 0);
     Millis now = 0;
-    // Grants it every vote; of its appends only those told to are answered.
-    auto turn = [&](bool sync_all) {
+    // Advances by 10 ms and grants every vote. Appends are answered for the voters of `synced`, or
+    // for all with `sync_all`.
+    auto advance = [&](bool sync_all) {
       now += 10;
       raft.Tick(now);
       auto effects = raft.TakeEffects();
@@ -400,17 +428,17 @@
         raft.Receive(now, reply, out.to);
       }
     };
-    for (int k = 0; k < 200 && !raft.HasCommittedInTerm(); ++k) turn(true);
+    for (int k = 0; k < 200 && !raft.HasCommittedInTerm(); ++k) advance(true);
     ASSERT_TRUE(raft.HasCommittedInTerm()) << c.name;
     consensus::Index index = *raft.Propose(now, "change");
-    for (int k = 0; k < 30; ++k) turn(false);
+    for (int k = 0; k < 30; ++k) advance(false);
     EXPECT_EQ(raft.commit() >= index, c.committed) << c.name;
   }
 }
 
-// What was acknowledged outlives the loss that is tolerated, disks included, while every other
-// machine loses power and what it had not synced.
-TEST(Simulation, WhatWasAcknowledgedOutlivesTheLossThatIsTolerated) {
+// Guards against acknowledged changes that are lost when as many machines as tolerated lose their
+// disks, while all others lose power and what they hadn't synced.
+TEST(Simulation, AcknowledgedChangesSurviveTheToleratedLoss) {
   struct Case {
     const char* name;
     int controllers, zones;
@@ -441,7 +469,7 @@
       world.Run(4000);
       world.Change();
       Stabilize(&world, 8000, c.name);
-      // A voter may be away just then: its absence is part of what is tolerated.
+      // In some runs a voter is down before the change; it counts as one of the tolerated losses.
       bool one_absent = c.wiped > 1 && seed % 3 == 0;
       size_t absent = world.random().Below(static_cast<uint64_t>(c.controllers));
       if (one_absent) {
@@ -471,8 +499,8 @@
   }
 }
 
-// Both sides of a cut are sent changes on one version, again and again, also while voters are
-// exchanged; the world checks that at most one of each base is acknowledged.
+// Both sides of a partition receive changes of the same revision repeatedly, also while voters are
+// replaced. World checks that at most one change of each revision is acknowledged.
 TEST(Simulation, OfTwoChangesDuringACutAtMostOneIsAcknowledged) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
     World::Options options;
@@ -503,8 +531,9 @@
   }
 }
 
-// A control process is killed and back within a moment, just as the list changes.
-TEST(Simulation, AProcessThatComesStraightBackMasksNoChangeOfTheList) {
+// A controller process crashes and restarts within 300 ms, just as the endpoint list changes. Its
+// short absence must not keep the new list from any node.
+TEST(Simulation, AProcessThatRestartsAtOnceHidesNoChangeOfTheList) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     World::Options options;
     options.seed = seed;
@@ -537,9 +566,9 @@
   }
 }
 
-// Found by a hunt: a proxy that had left in order came back under its old address, and nobody told
-// it that its former life was on record as left. It knew nobody, and nobody told it anything.
-TEST(Simulation, ANodeThatLeftAndCameBackIsOneOfTheFleetAgain) {
+// A proxy that had shut down in order came back under its old address. The others still
+// listed it as left and sent it nothing, also not that entry, so it learned of no other node.
+TEST(Simulation, ANodeThatLeftAndRestartedJoinsTheClusterAgain) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     World::Options options;
     options.seed = seed;
@@ -560,6 +589,8 @@
   }
 }
 
+// A node that was cut off during an update must receive it soon after the cut ends, although nobody
+// sends that update again of its own accord.
 TEST(Simulation, ANodeThatMissedAnUpdateGetsIt) {
   World world({});
   world.Run(2000);
@@ -578,9 +609,9 @@
   Stabilize(&world, 6000, "after its return");
 }
 
-// After hundreds of changes, and during more of them, a member that was away has the newest state
-// and its vote again within seconds, and never leads with less than was acknowledged.
-// ELDERKEEL_CATCH_UP_SEEDS=1000 prints how long it took over so many seeds.
+// A member that was absent for hundreds of changes must have the newest state and its vote again
+// within 5 s while changes go on, and must never lead without an acknowledged change.
+// ELDERKEEL_CATCH_UP_SEEDS=1000 runs that many seeds and prints how long they took.
 TEST(Simulation, AnAbsentMemberCatchesUpDuringChanges) {
   enum class Kind { kRestarted, kWiped, kFrozen, kNew };
   struct Case {
@@ -594,7 +625,7 @@
   const char* text = std::getenv("ELDERKEEL_CATCH_UP_SEEDS");
   uint64_t seeds = text ? static_cast<uint64_t>(std::max(1, std::atoi(text))) : 3;
   for (const Case& c : cases) {
-    std::map<Millis, int> histogram;  // by 250 ms
+    std::map<Millis, int> histogram;  // number of seeds by duration, in buckets of 250 ms
     Millis worst = 0;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       SCOPED_TRACE(std::string(c.name) + " seed " + std::to_string(seed));
@@ -625,17 +656,17 @@
       world.Freeze(victim, false);
       world.Start(victim);
       int64_t wanted = world.acknowledged();
-      Millis begun = world.now;
-      auto back = [&] {
+      Millis started_at = world.now;
+      auto has_caught_up = [&] {
         int leader = world.leader();
         const World::Node& node = world.node(victim);
         return leader >= 0 && node.state.configuration.revision() >= wanted &&
                world.node(static_cast<size_t>(leader)).raft->IsVoter(node.raft->self().id) &&
                node.raft->IsVoter(node.raft->self().id);
       };
-      while (!back() && world.now - begun < 20000 && world.fault.empty()) run(30, 30);
+      while (!has_caught_up() && world.now - started_at < 20000 && world.fault.empty()) run(30, 30);
       ASSERT_EQ(world.fault, "");
-      Millis took = world.now - begun;
+      Millis took = world.now - started_at;
       EXPECT_LE(took, 5000);
       worst = std::max(worst, took);
       ++histogram[took / 250 * 250];
@@ -649,7 +680,9 @@
   }
 }
 
-TEST(Simulation, LossOfOneMemberIsNoticedAndAFrozenOneNoticesItself) {
+// A frozen node must be declared dead by the others. When it resumes it has received no heartbeats,
+// but must not take the others for dead, since it was its own process that stood still.
+TEST(Simulation, AFrozenNodeIsDeclaredDeadAndSuspectsNobodyWhenItResumes) {
   World world({});
   world.Run(2000);
   world.Change();
@@ -665,7 +698,7 @@
   EXPECT_EQ(considered_dead, 6);
   world.Freeze(4, false);
   world.Run(100);
-  // It slept: that it heard nobody makes nobody suspect.
+  // The missing heartbeats are due to its own suspension, so it suspects nobody.
   for (const auto& [id, node] : world.node(4).members->nodes()) {
     EXPECT_EQ(node.state, membership::State::kAlive);
   }
