--- a/tests/programs/programs_test.cc
+++ b/tests/programs/programs_test.cc
@@ -5,38 +5,43 @@
 namespace elderkeel {
 namespace {
 
-TEST_F(Programs, TheFullPathThroughLossAndReturn) {
+// Takes the real programs through configuration changes, the loss of the leader and of all
+// controllers, diagnosis, changed settings and a shutdown. Guards against programs that work in the
+// simulation only.
+TEST_F(Programs, KeepServingAndAcknowledgedChangesThroughLossAndReturnOfControllers) {
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, true);
   for (int i = 0; i < kProxies; ++i) Start("proxy", "p" + std::to_string(i), i, true);
-  ASSERT_EQ(Operate("PUT", 0, Document(3, "/a/")).status, 200);
-  // A change that is larger than replication carries is refused, and stands in nobody's way.
-  http::Message large = Operate("PUT", 3, Document(9, "/a/") + std::string(9u << 20, ' '));
+  ASSERT_EQ(CallAnyController("PUT", 0, Document(3, "/a/")).status, 200);
+  // A change that exceeds the limit of replication is rejected and doesn't block later changes.
+  http::Message large =
+      CallAnyController("PUT", 3, Document(9, "/a/") + std::string(9u << 20, ' '));
   EXPECT_EQ(large.status, 413);
   EXPECT_NE(large.body.find(std::to_string(4u << 20)), std::string::npos) << large.body;
   for (int i = 0; i < kProxies; ++i) {
     EXPECT_TRUE(Eventually([&] { return Call(Ready(i), "GET", "/elderkeel/ready").status == 200; }))
         << i;
-    EXPECT_EQ(Ask(i, "/a/x"), 200);
-    EXPECT_TRUE(Eventually([&] { return Ask(i, "/b/x") == 404; }));
+    EXPECT_EQ(SendRequest(i, "/a/x"), 200);
+    EXPECT_TRUE(Eventually([&] { return SendRequest(i, "/b/x") == 404; }));
   }
 
-  // Two changes on one version, sent to different controllers: one wins.
+  // Of two changes of the same revision, sent to different controllers, one is accepted.
   int first = 0, second = 0;
-  std::thread rival([&] { second = Operate("PUT", 3, Document(5, "/b/"), 1).status; });
-  first = Operate("PUT", 3, Document(4, "/b/"), 2).status;
+  std::thread rival([&] { second = CallAnyController("PUT", 3, Document(5, "/b/"), 1).status; });
+  first = CallAnyController("PUT", 3, Document(4, "/b/"), 2).status;
   rival.join();
   EXPECT_EQ(std::min(first, second), 200);
   EXPECT_EQ(std::max(first, second), 412);
   int64_t current = first == 200 ? 4 : 5;
-  EXPECT_EQ(Operate("PUT", current, Document(current, "/b/")).status, 400);
-  EXPECT_EQ(Operate("PUT", current, "{\"revision\":").status, 400);
-  EXPECT_TRUE(Eventually([&] { return Ask(0, "/b/x") == 200 && Ask(1, "/b/x") == 200; }));
-  EXPECT_TRUE(Eventually([&] { return Ask(0, "/a/x") == 404; }));
+  EXPECT_EQ(CallAnyController("PUT", current, Document(current, "/b/")).status, 400);
+  EXPECT_EQ(CallAnyController("PUT", current, "{\"revision\":").status, 400);
+  EXPECT_TRUE(
+      Eventually([&] { return SendRequest(0, "/b/x") == 200 && SendRequest(1, "/b/x") == 200; }));
+  EXPECT_TRUE(Eventually([&] { return SendRequest(0, "/a/x") == 404; }));
 
-  // The leader dies; the others go on. It comes back and knows what it missed.
+  // The leader is killed and the others go on. After its restart it catches up.
   std::string text, leader;
   ASSERT_TRUE(Eventually([&] {
-    Verb({"controller", "status", "--control", Control(0).ToString()}, &text);
+    RunCommand({"controller", "status", "--control", Control(0).ToString()}, &text);
     size_t at = text.find("leader      127.0.1.");
     if (at == std::string::npos) return false;
     leader = "c" + std::to_string(text[at + 20] - '1');
@@ -44,36 +49,39 @@
   })) << text;
   EXPECT_EQ(Stop(leader, SIGKILL), -SIGKILL);
   ASSERT_EQ(
-      Operate(
+      CallAnyController(
           "PATCH", current,
           R"({"revision":9,"upsert":{"route-list":[{"label":"r2","host":"h.example","path-prefix":"/c/","variant":"effectful","timeout-ms":900,"target":"s"}]}})")
           .status,
       200);
-  EXPECT_TRUE(Eventually([&] { return Ask(0, "/c/x") == 200 && Ask(1, "/c/x") == 200; }));
-  EXPECT_EQ(Ask(0, "/b/x"), 200);
+  EXPECT_TRUE(
+      Eventually([&] { return SendRequest(0, "/c/x") == 200 && SendRequest(1, "/c/x") == 200; }));
+  EXPECT_EQ(SendRequest(0, "/b/x"), 200);
   Start("controller", leader, leader[1] - '0', false);
   EXPECT_TRUE(Eventually([&] {
-    http::Message answer = Operate("GET", -1, "", leader[1] - '0');
+    http::Message answer = CallAnyController("GET", -1, "", leader[1] - '0');
     return answer.status == 200 && answer.body.find("\"revision\":9") != std::string::npos;
   }));
 
-  // All controllers die at once: proxies serve on, and what was acknowledged is there again.
+  // All controllers are killed at once. The proxies keep serving, and after the restart the
+  // controllers still have the acknowledged changes.
   for (int i = 0; i < kControllers; ++i) Stop("c" + std::to_string(i), SIGKILL);
-  EXPECT_EQ(Ask(0, "/c/x"), 200);
-  EXPECT_EQ(Verb({"controller", "status", "--control", Control(0).ToString()}, &text), 3);
+  EXPECT_EQ(SendRequest(0, "/c/x"), 200);
+  EXPECT_EQ(RunCommand({"controller", "status", "--control", Control(0).ToString()}, &text), 3);
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, false);
-  EXPECT_NE(Operate("GET", -1, "").body.find("\"revision\":9"), std::string::npos);
+  EXPECT_NE(CallAnyController("GET", -1, "").body.find("\"revision\":9"), std::string::npos);
 
-  // The records tell what became of a request, and say which node could not be asked.
-  // A proxy says that a route does not exist once it knows again that it is up to date.
-  EXPECT_TRUE(Eventually([&] { return Ask(1, "/nowhere/") == 404; }));
+  // A proxy answers 404 for an unknown route once its configuration is confirmed as current again.
+  // The diagnosis reports the outcome of that request from the proxy's records.
+  EXPECT_TRUE(Eventually([&] { return SendRequest(1, "/nowhere/") == 404; }));
   EXPECT_TRUE(Eventually([&] {
-    return Verb({"controller", "diagnose", "--control", Control(0).ToString(), "--attempt", "id-1"},
-                &text) == 0 &&
+    return RunCommand(
+               {"controller", "diagnose", "--control", Control(0).ToString(), "--attempt", "id-1"},
+               &text) == 0 &&
            text.find("conclusion  p1 answered 404") != std::string::npos;
   })) << text;
 
-  // Settings that are not valid are logged and the old ones stay; valid ones are taken.
+  // Invalid settings are logged and the old ones stay in force; valid ones are applied.
   std::string settings = Settings("p0", 0, false);
   std::ofstream(settings, std::ios::app) << "elderkeel.connect-ms=never\n";
   kill(running_["p0"], SIGHUP);
@@ -84,19 +92,20 @@
   Settings("p0", 0, false);
   std::ofstream(settings, std::ios::app) << "elderkeel.connect-ms=300\n";
   EXPECT_TRUE(Eventually([&] { return logged("event=settings.applied"); }));  // without a signal
-  EXPECT_EQ(Ask(0, "/c/x"), 200);
+  EXPECT_EQ(SendRequest(0, "/c/x"), 200);
 
   EXPECT_EQ(Stop("p1", SIGTERM), 0);
   EXPECT_EQ(Stop("c1", SIGTERM), 0);
-  EXPECT_EQ(Ask(0, "/c/x"), 200);
+  EXPECT_EQ(SendRequest(0, "/c/x"), 200);
 }
 
-// A controller that has a data folder and can't open its store there has no part in the log until
-// it can. It says so, and sends callers on.
-TEST_F(Programs, AControllerWhoseStoreCannotBeOpenedHasNoPartUntilItCan) {
+// A controller that can't open the store in its data folder must not join the Raft group without
+// it, or it could vote twice in a term. It reports the state, redirects callers, and joins once it
+// can open the store.
+TEST_F(Programs, AControllerWhoseStoreCannotBeOpenedStaysOutOfTheGroupUntilItCan) {
   std::ofstream(dir_ / "data-c2") << "a file where the folder is to be";
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, true);
-  ASSERT_EQ(Operate("PUT", 0, Document(3, "/a/")).status, 200);
+  ASSERT_EQ(CallAnyController("PUT", 0, Document(3, "/a/")).status, 200);
   auto status = [&](int i) { return Call(Control(i), "GET", "/elderkeel/status").body; };
   auto count = [](const std::string& text, const std::string& what) {
     size_t times = 0;
@@ -109,9 +118,9 @@
       << status(2);
   EXPECT_EQ(Call(Control(2), "GET", "/elderkeel/config", "", "", 0).status, 307);
   std::string text;
-  EXPECT_EQ(Verb({"controller", "status", "--control", Control(2).ToString()}, &text), 1);
+  EXPECT_EQ(RunCommand({"controller", "status", "--control", Control(2).ToString()}, &text), 1);
   EXPECT_NE(text.find("store       unopened: "), std::string::npos) << text;
-  std::this_thread::sleep_for(std::chrono::milliseconds(1500));  // some more tries
+  std::this_thread::sleep_for(std::chrono::milliseconds(1500));  // several more attempts
   std::string log = *base::ReadFile((dir_ / "c2.log").string());
   EXPECT_EQ(count(log, "event=store.unopened"), 1u) << log;
   EXPECT_EQ(count(log, "event=log.opened"), 0u) << log;
@@ -126,21 +135,22 @@
   EXPECT_EQ(count(status(2), "store.opened"), 1u);
 }
 
-TEST_F(Programs, AnOrdinaryCommandLine) {
+// Guards the exit status and the texts of the command line, on which operators' scripts rely.
+TEST_F(Programs, TheCommandLineReportsHelpVersionAndInvalidInput) {
   std::string text;
-  EXPECT_EQ(Verb({"proxy", "--help"}, &text), 0);
+  EXPECT_EQ(RunCommand({"proxy", "--help"}, &text), 0);
   EXPECT_NE(text.find("run"), std::string::npos);
-  EXPECT_EQ(Verb({"controller", "--version"}, &text), 0);
+  EXPECT_EQ(RunCommand({"controller", "--version"}, &text), 0);
   EXPECT_EQ(text, "elderkeel controller " ELDERKEEL_VERSION "\n");
-  EXPECT_EQ(Verb({"proxy", "frobnicate"}, &text), 2);
+  EXPECT_EQ(RunCommand({"proxy", "frobnicate"}, &text), 2);
   std::string settings = Settings("c9", 0, false);
-  EXPECT_EQ(Verb({"controller", "check", "--settings", settings}, &text), 0);
+  EXPECT_EQ(RunCommand({"controller", "check", "--settings", settings}, &text), 0);
   std::ofstream(settings, std::ios::app) << "elderkeel.poll-ms=soon\n";
-  EXPECT_EQ(Verb({"proxy", "run", "--settings", settings}, &text), 2);
+  EXPECT_EQ(RunCommand({"proxy", "run", "--settings", settings}, &text), 2);
   EXPECT_EQ(text, settings + ": elderkeel.poll-ms: has the wrong type\n");
   std::string configuration = (dir_ / "configuration.json").string();
   std::ofstream(configuration) << Document(3, "/a");
-  EXPECT_EQ(Verb({"controller", "check", "--configuration", configuration}, &text), 2);
+  EXPECT_EQ(RunCommand({"controller", "check", "--configuration", configuration}, &text), 2);
   EXPECT_NE(text.find("route-list/0/path-prefix: has the wrong form"), std::string::npos) << text;
 }
 
--- a/tests/programs/shutdown_test.cc
+++ b/tests/programs/shutdown_test.cc
@@ -3,14 +3,16 @@
 #include "programs/programs_fixture.h"
 #include "soak/stall_watch.h"
 
-// Programs that end while they are used: clients go on until the process is gone.
+// Tests of the shutdown of programs under load: clients send requests until the process has exited.
 
 namespace elderkeel {
 namespace {
 
-constexpr base::Millis kLossSlackMs = 200;  // within which a request that was read is answered
+// Calls that began later than this before the exit, in ms, may stay unanswered. Runs with a longer
+// stall of the machine aren't judged.
+constexpr base::Millis kLossSlackMs = 200;
 
-// One call or request, as its sender saw it.
+// One call or request and its outcome, as its sender observed it.
 struct Sent {
   std::string attempt_id = "";
   base::Millis at = 0;
@@ -18,7 +20,7 @@
   http::Message answer = {};
 };
 
-// How long the machine itself stood still, at most.
+// Returns the longest stall of the machine itself, in ms.
 base::Millis LongestStall(const soak::StallWatch& watch) {
   base::Millis longest = 0;
   for (const soak::Stall& stall : watch.stalls()) longest = std::max(longest, stall.for_ms);
@@ -27,14 +29,14 @@
 
 class ProgramsThatEnd : public Programs {
  protected:
-  // A client that sends one request after the other until the process is gone, on a connection that
-  // it keeps for as long as the proxy does. One in five takes its server 0.3 to 2.2 s.
-  void UseUntilGone(int client, std::vector<Sent>* sent) {
+  // Sends requests one after the other until the process has exited, on a connection that is reused
+  // for as long as the proxy keeps it open. The server works 0.3 to 2.2 s on one request in five.
+  void SendUntilExit(int client, std::vector<Sent>* sent) {
     base::Random random(static_cast<uint64_t>(client) + 1);
-    for (int number = 0; !gone_; ++number) {
+    for (int number = 0; !exited_; ++number) {
       base::Loop loop;
       http::HttpConnection connection(&loop, RequestRouter(0), 1000, http::Limits());
-      for (bool keep = true; keep && !gone_; ++number) {
+      for (bool keep = true; keep && !exited_; ++number) {
         base::Millis work_ms = static_cast<base::Millis>(
             random.Next() % 5 == 0 ? 300 + random.Next() % 1900 : 5 + random.Next() % 40);
         Sent request;
@@ -46,14 +48,14 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
   }
-  // A configuration whose route lets requests last, and its service take many.
-  std::string Patient(int64_t revision, const std::string& prefix) {
+  // A configuration whose route allows 3 s per request and whose service allows 200 connections.
+  std::string SlowRequestDocument(int64_t revision, const std::string& prefix) {
     std::string document = Document(revision, prefix);
     document.replace(document.find("\"timeout-ms\":1000"), 17, "\"timeout-ms\":3000");
     document.replace(document.find("\"max-conns\":20"), 14, "\"max-conns\":200");
     return document;
   }
-  // True if the connection can be used again.
+  // Sends one request and waits for its outcome. Returns whether the connection can be reused.
   bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis work_ms,
                 Sent* request) {
     bool done = false;
@@ -72,51 +74,52 @@
     }
     return request->answered && request->answer.keep_alive && connection->Usable();
   }
-  // Rule LOST: the server ran it, and its answer didn't come, though nothing excuses that.
+  // Rule LOST: the server executed the request, but its answer didn't reach the client, although
+  // the grace period and the request's time-out of 3 s allowed for it.
   bool IsLost(const Sent& request, base::Millis term_at, base::Millis grace_ms) {
-    base::Millis ends = RunEnds(request.attempt_id);
+    base::Millis ends = RunEndsAt(request.attempt_id);
     bool served = request.answered && request.answer.Find("Elderkeel-Server-Seal") != nullptr;
     if (ends < 0 || served) return false;
     bool cuttable = request.at <= term_at + 3000 && ends >= term_at + grace_ms * 5 / 6;
     return !cuttable && ends < request.at + 3000;
   }
-  std::atomic<bool> gone_{false};
+  std::atomic<bool> exited_{false};
 };
 
-// Requests that were sent from three seconds after SIGTERM on were passed on and then cut, and so
-// were some whose servers would have answered in time. Beside the signal: a second one, changed
-// settings, and a configuration without the route that is used.
-TEST_F(ProgramsThatEnd, AProxyThatIsUsedUntilItIsGoneLosesNothing) {
+// A proxy forwarded requests that arrived later than three seconds after SIGTERM and then cut them
+// off, as well as some that their servers would have answered in time. During the shutdown the test
+// also sends a second signal, changes the settings, and removes the route for a while.
+TEST_F(ProgramsThatEnd, AProxyThatIsUsedUntilItExitsLosesNoRequest) {
   constexpr base::Millis kGraceMs = 6000;
   constexpr int kClients = 16;
   capacity_ = 100;
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, true);
   Start("proxy", "p0", 0, true);
-  ASSERT_EQ(Operate("PUT", 0, Patient(3, "/a/")).status, 200);
-  ASSERT_TRUE(Eventually([&] { return Ask(0, "/a/x") == 200; }));
+  ASSERT_EQ(CallAnyController("PUT", 0, SlowRequestDocument(3, "/a/")).status, 200);
+  ASSERT_TRUE(Eventually([&] { return SendRequest(0, "/a/x") == 200; }));
   soak::StallWatch stalls;
   std::vector<std::vector<Sent>> sent(kClients);
   std::vector<std::thread> clients;
-  for (int i = 0; i < kClients; ++i) clients.emplace_back([&, i] { UseUntilGone(i, &sent[i]); });
+  for (int i = 0; i < kClients; ++i) clients.emplace_back([&, i] { SendUntilExit(i, &sent[i]); });
   std::this_thread::sleep_for(std::chrono::milliseconds(1000));
   base::Millis term_at = base::SteadyMillis();
   pid_t proxy = running_["p0"];
   kill(proxy, SIGTERM);
-  std::thread trouble([&] {
+  std::thread disturbance([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(800));
     std::ofstream(Settings("p0", 0, false), std::ios::app) << "elderkeel.connect-ms=300\n";
     kill(proxy, SIGHUP);
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
     kill(proxy, SIGTERM);
-    EXPECT_EQ(Operate("PUT", 3, Patient(4, "/b/")).status, 200);
-    EXPECT_EQ(Operate("PUT", 4, Patient(5, "/a/")).status, 200);
+    EXPECT_EQ(CallAnyController("PUT", 3, SlowRequestDocument(4, "/b/")).status, 200);
+    EXPECT_EQ(CallAnyController("PUT", 4, SlowRequestDocument(5, "/a/")).status, 200);
   });
   int status = 0;
   waitpid(proxy, &status, 0);
   base::Millis took = base::SteadyMillis() - term_at;
   running_.erase("p0");
-  gone_ = true;
-  trouble.join();
+  exited_ = true;
+  disturbance.join();
   for (std::thread& client : clients) client.join();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   size_t after = 0, served = 0, lost = 0;
@@ -128,7 +131,7 @@
       if (!IsLost(request, term_at, kGraceMs)) continue;
       ++lost;
       std::cout << "lost: " << request.attempt_id << " sent at " << request.at - term_at
-                << " ms, its server ends at " << RunEnds(request.attempt_id) - term_at
+                << " ms, its server ends at " << RunEndsAt(request.attempt_id) - term_at
                 << " ms, status " << request.answer.status << "\n";
     }
   }
@@ -142,13 +145,14 @@
   EXPECT_LT(took, kGraceMs);
 }
 
-// A controller went as soon as its log was elsewhere, with calls unanswered whose answers take up
-// to 1.5 s, since nodes that are asked are silent.
-TEST_F(ProgramsThatEnd, AControllerAnswersTheCallsThatItHasRead) {
+// A controller exited as soon as it had handed over its part in the log, and left calls unanswered
+// that it had read. Such a call can take up to 1.5 s, since it queries nodes that don't reply.
+TEST_F(ProgramsThatEnd, AControllerAnswersTheCallsThatItHasReadBeforeItExits) {
   for (int i = 0; i < kControllers; ++i) Start("controller", "c" + std::to_string(i), i, true);
   for (int i = 0; i < kProxies; ++i) Start("proxy", "p" + std::to_string(i), i, true);
-  ASSERT_EQ(Operate("PUT", 0, Document(3, "/a/")).status, 200);
-  ASSERT_TRUE(Eventually([&] { return Ask(0, "/a/x") == 200 && Ask(1, "/a/x") == 200; }));
+  ASSERT_EQ(CallAnyController("PUT", 0, Document(3, "/a/")).status, 200);
+  ASSERT_TRUE(
+      Eventually([&] { return SendRequest(0, "/a/x") == 200 && SendRequest(1, "/a/x") == 200; }));
   for (int i = 0; i < kProxies; ++i) kill(running_["p" + std::to_string(i)], SIGSTOP);
   soak::StallWatch stalls;
   std::vector<Sent> calls(60);
@@ -158,10 +162,10 @@
   kill(controller, SIGTERM);
   std::thread waiter([&] {
     waitpid(controller, nullptr, 0);
-    gone_ = true;
+    exited_ = true;
   });
   for (Sent& call : calls) {
-    if (gone_) break;
+    if (exited_) break;
     call.at = base::SteadyMillis();
     callers.emplace_back([&, this] {
       call.answer = Call(Control(0), "GET", "/elderkeel/status", "Connection: close\r\n", "", 0);
@@ -170,20 +174,20 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(60));
   }
   waiter.join();
-  base::Millis gone_at = base::SteadyMillis();
+  base::Millis exited_at = base::SteadyMillis();
   for (std::thread& caller : callers) caller.join();
-  // The process takes no more calls from the first refused connection on; its exit takes its time,
-  // under the sanitizers above all.
+  // The process accepts no calls from the first refused connection on. The exit itself can take
+  // much longer, in particular under the sanitizers.
   for (const Sent& call : calls) {
-    if (call.answer.reason == "connect refused") gone_at = std::min(gone_at, call.at);
+    if (call.answer.reason == "connect refused") exited_at = std::min(exited_at, call.at);
   }
   size_t lost = 0, answered = 0;
   for (const Sent& call : calls) {
     answered += call.answered;
-    bool read = call.at > 0 && call.at < gone_at - kLossSlackMs;
+    bool read = call.at > 0 && call.at < exited_at - kLossSlackMs;
     if (!read || call.answered) continue;
     ++lost;
-    std::cout << "a call " << gone_at - call.at
+    std::cout << "a call " << exited_at - call.at
               << " ms before the end got no answer: " << call.answer.reason << "\n";
   }
   EXPECT_GT(answered, 10u);
