--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -1,8 +1,8 @@
-// The bytes that other processes, stores, operators and scripts rely on, pinned: whoever changes
-// one of them breaks a roll-out of the programs, in which old and new ones work side by side.
+// Fixes the bytes on which other processes, stores, operators and scripts rely. During an upgrade
+// old and new programs run side by side, so a change of these bytes breaks the upgrade.
 //
-// A change that is meant is written to the files anew: ELDERKEEL_WRITE_GOLDEN=1 elderkeel_tests
-// --gtest_filter='Golden.*'.
+// After an intended change, rewrite the expected files:
+//   ELDERKEEL_WRITE_GOLDEN=1 elderkeel_tests --gtest_filter='Golden.*'
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -26,7 +26,8 @@
 namespace elderkeel {
 namespace {
 
-// Text with a name for each part, in the order added.
+// Collects named texts in the order added. The destructor compares them with a file of
+// tests/data, or rewrites that file first if ELDERKEEL_WRITE_GOLDEN is set.
 class Golden {
  public:
   explicit Golden(const std::string& file) : path_(std::string(ELDERKEEL_TEST_DATA "/") + file) {}
@@ -37,6 +38,7 @@
     EXPECT_EQ(text_, expected ? *expected : "") << path_;
   }
   void Add(const std::string& name, const std::string& text) { text_ += name + " " + text + "\n"; }
+  // Adds the encoded message in hexadecimal, and checks that it decodes to the same message.
   template <class Message>
   void AddEncoded(const std::string& name, const Message& message) {
     std::string bytes = transport::Encode(message);
@@ -47,7 +49,6 @@
       hex.push_back(kDigits[byte & 15]);
     }
     Add(name, hex);
-    // What was encoded is read back as the same.
     auto decoded = transport::Decode<Message>(bytes);
     ASSERT_TRUE(decoded.has_value()) << name;
     EXPECT_EQ(transport::Encode(*decoded), bytes) << name;
@@ -208,13 +209,13 @@
   golden.AddEncoded("node", node);
   golden.Add("node-digest", std::to_string(node.ViewDigest()));
   golden.AddEncoded("heartbeat", membership::Heartbeat{1, 2, 3, 4});
-  membership::MembershipUpdate table;
-  table.nodes = {node};
-  table.wanted_ids = {8, 9};
-  golden.AddEncoded("table", table);
-  membership::PartDigests sums;
-  for (size_t i = 0; i < sums.parts.size(); ++i) sums.parts[i] = i * i;
-  golden.AddEncoded("sums", sums);
+  membership::MembershipUpdate update;
+  update.nodes = {node};
+  update.wanted_ids = {8, 9};
+  golden.AddEncoded("table", update);
+  membership::PartDigests part_digests;
+  for (size_t i = 0; i < part_digests.parts.size(); ++i) part_digests.parts[i] = i * i;
+  golden.AddEncoded("sums", part_digests);
   membership::MembershipSummary summary;
   summary.parts = 5;
   summary.view_digests = {{1, 2}, {3, 4}};
@@ -299,7 +300,7 @@
                     diagnosis::Query{1, diagnosis::Question::About::kFailures, "route", 30});
   golden.AddEncoded("query-reply",
                     diagnosis::Reply{1, "edge-1", 1234, true, {"event=a", "event=b"}, 7});
-  // The numbers by which logs and frames name states.
+  // The numbers and names by which logs and frames identify states.
   for (int stage = 0; stage <= static_cast<int>(rollout::Stage::kReverted); ++stage) {
     golden.Add("stage-" + std::to_string(stage),
                std::string(rollout::StageName(static_cast<rollout::Stage>(stage))) + " " +
@@ -315,18 +316,18 @@
   }
 }
 
-// Fields that came later: where they are not set a frame is the one of before, and it is read
-// without them.
+// Checks a message with fields that were added later. Unless they are set, the frame must be
+// the same as before their addition, so that programs of either version can read it.
 template <class Message>
 void CheckLaterFields(Golden* golden, const std::string& name, const Message& before,
-                      const Message& with) {
-  std::string bytes = transport::Encode(with);
+                      const Message& extended) {
+  std::string bytes = transport::Encode(extended);
   EXPECT_EQ(bytes.substr(0, transport::Encode(before).size()), transport::Encode(before)) << name;
   auto decoded = transport::Decode<Message>(transport::Encode(before));
   ASSERT_TRUE(decoded.has_value()) << name;
   EXPECT_FALSE(decoded->has_later_fields()) << name;
   EXPECT_FALSE(transport::Decode<Message>(bytes.substr(0, bytes.size() - 1)).has_value()) << name;
-  golden->AddEncoded(name, with);
+  golden->AddEncoded(name, extended);
 }
 
 TEST(Golden, FieldsThatCameLater) {
@@ -365,7 +366,7 @@
   for (size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(static_cast<size_t>(kinds[i]), i + 1);
 }
 
-// Each key of the settings file, with a value that the field it belongs to then holds.
+// Checks that each key of the settings file sets its field, so that existing files stay valid.
 TEST(Golden, SettingsKeys) {
   const std::string text =
       "node-name=n\nrole=r\nip=10.0.0.1\nzone=z\nregion=g\nentry=directory\nrollout=k\n"
@@ -445,52 +446,56 @@
   EXPECT_EQ(s->zones.size(), 2u);
 }
 
-// What the command line shows of a controller's answers.
+// The texts in which the command line shows a controller's answers.
 TEST(Golden, CommandLineTexts) {
   Golden golden("golden_console.txt");
-  auto show = [&](const std::string& name, std::string (*render)(const std::string&, bool*),
-                  const std::string& json) {
+  auto add_rendered = [&](const std::string& name, std::string (*render)(const std::string&, bool*),
+                          const std::string& json) {
     bool degraded = false;
     std::string text = render(json, &degraded);
     golden.Add(name + (degraded ? " degraded" : " well"), "\n" + text);
   };
-  show("status", &diagnosis::StatusText,
-       R"({"node":"c0","store":{"state":"disk","reason":""},"role":"leader","term":3,"commit":9,)"
-       R"("leader":"10.0.0.1:7200","settled":true,"voters":[{"address":"10.0.0.1:7200",)"
-       R"("control":"10.0.0.1:8382","silent-ms":0},{"address":"10.0.0.2:7200","control":"",)"
-       R"("silent-ms":-1}],"revision":7,"evacuation":{"version":2,"zones":["z1","z2"]},)"
-       R"("rollouts":[{"service":"s","version":"v2","stage":"canary","reason":"ordered"}],)"
-       R"("duty":{"epoch":4,"holder":"10.0.0.2:7200"},"catalog":{"epoch":4,"sequence":5,)"
-       R"("servers":6,"age-ms":70,"verified-ms":80},"nodes":[{"address":"10.0.0.9:7201",)"
-       R"("program":"proxy","zone":"z1","state":"alive","revision":"7","ready":"yes",)"
-       R"("state-line":"x"},{"address":"10.0.0.1:7200","program":"controller","zone":"z1",)"
-       R"("state":"alive"}],"events":[{"ago-ms":5,"event":"role.leader","detail":"3"}]})");
-  show(
+  add_rendered(
+      "status", &diagnosis::StatusText,
+      R"({"node":"c0","store":{"state":"disk","reason":""},"role":"leader","term":3,"commit":9,)"
+      R"("leader":"10.0.0.1:7200","settled":true,"voters":[{"address":"10.0.0.1:7200",)"
+      R"("control":"10.0.0.1:8382","silent-ms":0},{"address":"10.0.0.2:7200","control":"",)"
+      R"("silent-ms":-1}],"revision":7,"evacuation":{"version":2,"zones":["z1","z2"]},)"
+      R"("rollouts":[{"service":"s","version":"v2","stage":"canary","reason":"ordered"}],)"
+      R"("duty":{"epoch":4,"holder":"10.0.0.2:7200"},"catalog":{"epoch":4,"sequence":5,)"
+      R"("servers":6,"age-ms":70,"verified-ms":80},"nodes":[{"address":"10.0.0.9:7201",)"
+      R"("program":"proxy","zone":"z1","state":"alive","revision":"7","ready":"yes",)"
+      R"("state-line":"x"},{"address":"10.0.0.1:7200","program":"controller","zone":"z1",)"
+      R"("state":"alive"}],"events":[{"ago-ms":5,"event":"role.leader","detail":"3"}]})");
+  add_rendered(
       "status-unsettled", &diagnosis::StatusText,
       R"({"node":"c0","store":{"state":"unopened","reason":"full"},"settled":false,)"
       R"("leader":null,"unknown":"no majority","revision":0,"duty":{"epoch":0,"holder":null},)"
       R"("catalog":{"servers":0,"age-ms":-1},"evacuation":{"version":0,"zones":[]},)"
       R"("nodes":[{"address":"a","program":"proxy","zone":"z","state":"dead","revision":"unknown","ready":"unknown"}]})");
-  show("status-unreadable", &diagnosis::StatusText, "{");
-  show("rollouts", &diagnosis::RolloutsText,
-       R"({"node":"c0","settled":true,"by-order":true,"in-force":{"s":"v1"},"rollouts":[)"
-       R"({"service":"s","version":"v2","from":"v1","status":"in_progress","stage":"canary",)"
-       R"("reason":"ordered","number":1,"over-ms":60000,"elapsed-ms":500,"watchers":[)"
-       R"({"address":"10.0.0.1:7200","vote":"abstains","ago-ms":20,"why":"few samples",)"
-       R"("proxies-heard":2,"proxies-in-sight":3,"requests":100,"sent-to-new":5,)"
-       R"("not-confirmed":1,"not-heard":0,"missing":["10.0.0.9:7201"],"routes":[{"route":"r1",)"
-       R"("old":{"answers":90,"failed":1,"broken-off":0,"timed":80,"late":2},)"
-       R"("new":{"answers":5,"failed":0,"broken-off":0,"timed":5,"late":0}}]},)"
-       R"({"address":"10.0.0.2:7200","vote":"unknown"}]}]})");
-  show("rollouts-without-leader", &diagnosis::RolloutsText,
-       R"({"node":"c0","settled":false,"by-order":false,"in-force":{},"rollouts":[]})");
-  show("diagnosis", &diagnosis::DiagnosisText,
-       R"({"conclusion":"p1 answered 404","records":[{"time":"12:00","zone":"z1","node":"p1",)"
-       R"("outcome":"not run","record":"event=request.failed"}],"silent":["10.0.0.9:7201"],)"
-       R"("not-asked":[],"cut":true})");
-  show("failures", &diagnosis::DiagnosisText,
-       R"({"conclusion":"no record of a failure","records":[],"silent":[],"not-asked":["a"],)"
-       R"("cut":false,"missing":3})");
+  add_rendered("status-unreadable", &diagnosis::StatusText, "{");
+  add_rendered(
+      "rollouts", &diagnosis::RolloutsText,
+      R"({"node":"c0","settled":true,"by-order":true,"in-force":{"s":"v1"},"rollouts":[)"
+      R"({"service":"s","version":"v2","from":"v1","status":"in_progress","stage":"canary",)"
+      R"("reason":"ordered","number":1,"over-ms":60000,"elapsed-ms":500,"watchers":[)"
+      R"({"address":"10.0.0.1:7200","vote":"abstains","ago-ms":20,"why":"few samples",)"
+      R"("proxies-heard":2,"proxies-in-sight":3,"requests":100,"sent-to-new":5,)"
+      R"("not-confirmed":1,"not-heard":0,"missing":["10.0.0.9:7201"],"routes":[{"route":"r1",)"
+      R"("old":{"answers":90,"failed":1,"broken-off":0,"timed":80,"late":2},)"
+      R"("new":{"answers":5,"failed":0,"broken-off":0,"timed":5,"late":0}}]},)"
+      R"({"address":"10.0.0.2:7200","vote":"unknown"}]}]})");
+  add_rendered("rollouts-without-leader", &diagnosis::RolloutsText,
+               R"({"node":"c0","settled":false,"by-order":false,"in-force":{},"rollouts":[]})");
+  add_rendered(
+      "diagnosis", &diagnosis::DiagnosisText,
+      R"({"conclusion":"p1 answered 404","records":[{"time":"12:00","zone":"z1","node":"p1",)"
+      R"("outcome":"not run","record":"event=request.failed"}],"silent":["10.0.0.9:7201"],)"
+      R"("not-asked":[],"cut":true})");
+  add_rendered(
+      "failures", &diagnosis::DiagnosisText,
+      R"({"conclusion":"no record of a failure","records":[],"silent":[],"not-asked":["a"],)"
+      R"("cut":false,"missing":3})");
 }
 
 }  // namespace
--- a/tests/compatibility/stored_data_test.cc
+++ b/tests/compatibility/stored_data_test.cc
@@ -1,6 +1,6 @@
-// A data folder that a controller of version 0.1.0 (commit 517eb81) wrote: 150 routes sent whole,
-// 120 patches, two drained zones of which one was taken back, a roll-out, snapshots and the log
-// since.
+// Reads a data folder that a controller of version 0.1.0 (commit 517eb81) wrote. It holds a full
+// document with 150 routes, 120 patches, two zone drains of which one was ended again, a roll-out,
+// snapshots, and the log entries after them. Guards against a release that can't read stored data.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -36,6 +36,7 @@
   std::filesystem::path copy_;
 };
 
+// All stored parts must decode, and applying the log must yield the state that was written.
 TEST_F(StoredDataTest, IsReadCompletely) {
   consensus::RestoredState restored = Load();
   EXPECT_FALSE(restored.empty);
@@ -64,11 +65,12 @@
   EXPECT_NE(state->catalog_reader.owner, 0u);
 }
 
-// A member that starts on it votes no second time in its term and serves what was committed.
-TEST_F(StoredDataTest, IsTakenUpByAMember) {
+// A member that starts with this data must keep its identity and term, so that it doesn't vote
+// twice in a term, and must have the committed entries.
+TEST_F(StoredDataTest, RestoresAMember) {
   consensus::RestoredState restored = Load();
   consensus::RaftNode::Options options;
-  options.self.id = 1;  // the store knows better
+  options.self.id = 1;  // the stored id takes precedence
   consensus::RaftNode raft(options, restored, 0);
   EXPECT_EQ(raft.self().id, restored.hard_state.self);
   EXPECT_EQ(raft.term(), restored.hard_state.term);
