--- a/src/configuration/configuration_state.h
+++ b/src/configuration/configuration_state.h
@@ -28,15 +28,15 @@
 class ConfigurationState {
  public:
   // The number of most recent changes whose repetition is recognized. A repetition of an older
-  // change can't be told from a stale one, so it is answered with 503 instead of 412.
+  // change can't be distinguished from a stale one, so it is answered with 503 instead of 412.
   static constexpr size_t kMaxApplied = 4096;
 
   // Returns status 413, with the limit in the reason, if `bytes` exceeds kMaxDocumentBytes.
   static base::Verdict CheckSize(size_t bytes);
   // Returns whether `change` may be proposed, or the status to answer: 200 if it has already been
   // applied, 400 if it is invalid, 412 if it is not based on the current revision, 413 if it or the
-  // resulting document is too large, 503 if it is too old to say. Sizes are checked only here, so
-  // Apply() rejects no committed change for its size.
+  // resulting document is too large, 503 if it is too old to determine whether it was applied.
+  // Apply() checks no sizes, so it rejects no committed change for its size.
   base::Verdict Evaluate(const Change& change) const;
   // Applies a committed change. Returns whether it took effect.
   bool Apply(const Change& change);
--- a/src/configuration/operator_api.h
+++ b/src/configuration/operator_api.h
@@ -24,9 +24,9 @@
 // Changes are processed one at a time, so that a verdict never depends on an uncommitted entry.
 // Before any verdict a quorum confirms that this controller still leads (docs/consensus.md, reads).
 // Each call is answered within `call_timeout` milliseconds, with 503 if necessary; callers then
-// retry at another controller. A pending order whose opposite takes effect meanwhile, or whose
-// caller has disconnected, may be a delayed copy of one that another controller has acknowledged:
-// proposing it would undo a newer order, so it is dropped.
+// retry at another controller. A pending order that is opposed or superseded meanwhile, or whose
+// caller has disconnected, may be a delayed copy of one that another controller has acknowledged.
+// It is not proposed, since it could undo a newer order.
 class OperatorApi {
  public:
   // Sends the answer to the request with this ticket. Called at most once per request.
@@ -55,7 +55,8 @@
   // The entry at `index` was applied to the states.
   void OnApplied(base::Millis now, uint64_t index);
   // Leadership was gained or lost, or the leader has committed its first entry in this term.
-  // Several such changes may have happened since the last call.
+  // Several such changes may have happened since the last call. Answers all pending calls with 503
+  // unless this controller still leads in the same term.
   void OnRoleChanged();
   // Answers calls that are past their deadline with 503 and retries read confirmations. Called
   // periodically.
--- a/src/configuration/parsed_configuration.h
+++ b/src/configuration/parsed_configuration.h
@@ -29,7 +29,7 @@
 
 // An accepted configuration document with an index of its routes and services by label, so that the
 // cost of a patch depends on the size of the patch and not of the document. Controllers hold the
-// replicated configuration in it, and the dissemination of configurations holds its copy.
+// replicated configuration in this form, and so does the Disseminator with its copy of it.
 //
 // The text is byte for byte what was sent, or what ApplyPatch() would have returned. The index is
 // built when it is first needed. A document that the index doesn't cover (labels that aren't
--- a/src/forwarding/attempts.cc
+++ b/src/forwarding/attempts.cc
@@ -14,12 +14,12 @@
 using http::Message;
 using telemetry::Step;
 
-constexpr base::Millis kMinRemainingMs = 2;  // too little for an attempt to succeed
+constexpr base::Millis kMinRemainingMs = 2;  // with less, an attempt can't succeed in time
 // Bytes of a streamed answer that the client hasn't taken, from which on reading is paused.
 constexpr size_t kMaxUnsentBytes = 256 << 10;
 constexpr double kMeanLatencyWeight = 0.05;  // of one latency in its route's mean
-// Multiples of the route's mean latency: after the first an attempt is late, after the second a
-// hedge is due.
+// Multiples of the route's mean latency: an attempt that takes longer than the first is late; a
+// hedge is due after the second, or after half of the route's target latency if that is longer.
 constexpr double kLateFactor = 3.2;
 constexpr double kHedgeFactor = 2;
 
@@ -143,8 +143,8 @@
   if (!settings_.second_sends || !pending->route->idempotent || pending->hedge_at != 0) return;
   if (!pending->attempt_log.MayAttempt()) return;
   base::Millis after = HedgeDelay(MeanLatencyMs(pending->route_index), *pending->route);
-  // An attempt at a version that is still being rolled out is hedged only once it counts as late:
-  // an earlier hedge would hide how slow the version is.
+  // An attempt at a secondary version, which may be one under trial, is hedged only once it counts
+  // as late: an earlier hedge would hide how slow the version is.
   bool unproven = balancer_.at(attempt.server).version_role == ServerState::VersionRole::kSecondary;
   if (unproven) after = std::max(after, attempt.late_after);
   pending->hedge_at = attempt.sent_at + after;
@@ -250,7 +250,8 @@
   AttemptResult result = ClassifyOutcome(*pending, outcome);
   int status = outcome.answer.status;
   const ServerState& state = balancer_.at(attempt.server);
-  // Only the version that gets most requests counts for the route's mean.
+  // Only attempts at the primary version count for the route's mean. Except at the start of a
+  // promotion, that version gets most of the requests.
   bool counts = state.version_role == ServerState::VersionRole::kPrimary;
   base::Millis now = base::SteadyMillis();
   if (base::IsLogged(base::LogLevel::kDebug)) {
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -8,8 +8,8 @@
 
 constexpr base::Millis kDefaultKeepAliveMs = 8000;  // for servers that state no keep-alive time
 // A non-idempotent request doesn't use a connection that has been idle for longer than the first
-// limit, as the server may be closing it, nor one idle for less than the second, as bytes of an
-// earlier answer may still arrive on it.
+// limit or half of the keep-alive time, as the server may be closing it, nor one idle for less than
+// the second limit, as bytes of an earlier answer may still arrive on it.
 constexpr base::Millis kMaxIdleForNonIdempotentMs = 300;
 constexpr base::Millis kMinIdleForNonIdempotentMs = 15;
 constexpr size_t kMaxHeaderBytes = 64 << 10;
--- a/src/forwarding/load_balancer.cc
+++ b/src/forwarding/load_balancer.cc
@@ -198,8 +198,8 @@
                      : best;
 }
 
-// Returns the eligible server with the lowest score below its limit, or kNone. Sets `any_eligible`
-// if a server was eligible, even at its limit.
+// Of the eligible servers with fewer attempts in flight than their limit, returns the one with the
+// lowest score, or kNone. Sets `any_eligible` if a server was eligible, even at its limit.
 uint32_t LoadBalancer::ChooseBest(base::Millis now, const Request& request, bool secondary,
                                   bool include_ejected, uint32_t preferred_zone,
                                   bool* any_eligible) {
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -23,7 +23,7 @@
 // Of the servers that may take a request, the one with the lowest score is chosen: its latency
 // relative to that of all servers, times its load, plus penalties for distance and rank. The limit
 // on attempts in flight at a server follows the outcomes of its attempts. Failing servers are
-// ejected; a probe, or a successful attempt, ends an ejection.
+// ejected; a probe, or an attempt that gets a valid answer, ends an ejection.
 class LoadBalancer {
  public:
   struct Options {
@@ -81,7 +81,7 @@
   };
   // Sets the service's shares. Without any, all of its requests prefer this proxy's own zone.
   void SetShares(uint32_t service, std::vector<Share> shares);
-  // The requests that the available servers of one zone work on at once, in total.
+  // The number of requests that the available servers of one zone can process at once.
   struct ZoneSlots {
     uint32_t zone;  // index
     double slots;
@@ -119,9 +119,10 @@
     const std::vector<uint32_t>& tried;    // servers of earlier attempts; never chosen again
     const std::vector<uint32_t>& regions;  // the allowed regions; empty: all
   };
-  // Returns the server with the lowest score below its limit, among those that take requests for
-  // the service's primary or secondary version, or kNone. Ejected servers are chosen only for the
-  // primary version, when no other server is eligible.
+  // Chooses among the servers that take requests for the service's primary version, or for its
+  // secondary one if `secondary` is true. Of those with fewer attempts in flight than their limit,
+  // returns the one with the lowest score; kNone if there is none. Ejected servers are chosen only
+  // for the primary version, when no other server is eligible.
   uint32_t Choose(base::Millis now, const Request& request, bool secondary = false);
   // Whether any server of the service may take requests for its primary version, even if the server
   // is ejected or at its limit now.
--- a/src/forwarding/load_sharing.h
+++ b/src/forwarding/load_sharing.h
@@ -23,7 +23,7 @@
   void OnAttemptEnded(base::Millis now, uint32_t service) { tracker_.End(now, KeyOf(service)); }
   // Recomputes all shares if that is due; to be called regularly.
   void Tick(base::Millis now);
-  // The report for a peer, and a report that arrived from one.
+  // Returns this proxy's report for a peer; merges a report that was received from one.
   load::LoadReport MakeReport(base::Millis now) const;
   void MergeReport(base::Millis now, const load::LoadReport& report);
 
--- a/src/forwarding/outlier_detection.cc
+++ b/src/forwarding/outlier_detection.cc
@@ -33,9 +33,9 @@
       kLatencyWeight * (std::clamp(latency_ratio, 0.1, 10.0) - state->latency_ratio);
 }
 
-// An abandoned attempt counts against its server. On an established connection, a server that has
-// stopped responding shows no other sign of failure; if this one were ignored, requests would
-// continue to go there.
+// An attempt abandoned at kOverdueAge or later counts as a failure, except in slow start. On an
+// established connection, a server that has stopped responding shows no other sign of failure; if
+// this one were ignored, requests would continue to go there.
 void LoadBalancer::OnAttemptAbandoned(base::Millis now, uint32_t server, base::Millis sent_at,
                                       double mean_ms) {
   RemoveInFlight(server, sent_at);
--- a/src/forwarding/request_completion.cc
+++ b/src/forwarding/request_completion.cc
@@ -23,7 +23,7 @@
     Erase(pending);
     return;
   }
-  // Must precede Erase(), which abandons the attempts: the server may still execute one in flight.
+  // An attempt in flight is pending in the log and rules out 503: its server may still execute it.
   int status = deadline ? 504 : 502;
   if (pending->attempt_log.IsCertainlyNotRun()) status = 503;
   Message answer = http::OwnAnswer(status, cause.reason);
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -58,6 +58,7 @@
   std::vector<AddressedReport> MakeProxyReports() {
     return version_routing_.MakeReports(base::SteadyMillis());
   }
+  // An observer of a roll-out has answered a report: extends the lease to send to the new version.
   void OnLeaseRenewal(const rollout::LeaseRenewal& renewal) {
     version_routing_.OnLeaseRenewal(base::SteadyMillis(), renewal);
   }
@@ -182,8 +183,8 @@
                     http::HttpConnection* connection);
   // Sets when the request is hedged if this attempt has no answer by then.
   void ScheduleHedge(PendingRequest* pending, const Attempt& attempt);
-  // Sends a second attempt if the first is still in flight, a server is idle, and the retry budget
-  // allows it.
+  // Sends another attempt if exactly one is in flight, the chosen server has no attempt of this
+  // proxy in flight, and the retry budget allows it.
   void SendHedge(PendingRequest* pending);
   http::HttpConnection::BodySink StreamAnswer(Ticket ticket, uint64_t attempt,
                                               const http::Message& so_far, int64_t length);
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -41,7 +41,7 @@
   // Takes a token for a retry; returns false if there is none.
   bool TryWithdraw(uint32_t service) { return Take(service, 0); }
   // Takes a token for a hedge, which matters less than a retry after a failure: one token must be
-  // left for a retry. A bucket that holds fewer than two tokens must be full instead.
+  // left for a retry. If cap() is below two tokens, the bucket must be full instead.
   bool TryWithdrawForHedge(uint32_t service) {
     return Take(service, std::clamp(cap_ - 1, 0.0, 1.0));
   }
--- a/src/forwarding/server_messages.cc
+++ b/src/forwarding/server_messages.cc
@@ -44,6 +44,7 @@
       has_length = true;
       continue;
     }
+    // A client's Connection header must not remove headers of the protocol, such as the attempt id.
     if (!IsProtocolHeader(header.name) && http::IsHopByHop(header.name, connection)) continue;
     AppendHeader(header.name, header.value, &out);
   }
--- a/src/forwarding/server_state.h
+++ b/src/forwarding/server_state.h
@@ -20,7 +20,7 @@
   uint32_t zone = 0;
   uint32_t region = 0;
   uint32_t version = 0;
-  int capacity = 1;     // requests that the server works on at once
+  int capacity = 1;     // requests that the server can process at once
   bool listed = false;  // in the newest list
   bool draining = false;
 
@@ -66,10 +66,10 @@
   bool IsAvailable() const { return IsUsable() && ejected_until == 0; }
 };
 
-// What the outcome of an attempt shows of the server.
+// What the outcome of an attempt shows about the server.
 enum class Signal : uint8_t {
   kGood,         // it gave a complete, valid answer
-  kFull,         // it rejected the request without running it, taken as lack of room
+  kFull,         // it rejected the request without running it, taken as a lack of capacity
   kBroken,       // the connection failed after a byte was sent, or the answer was invalid
   kUnreachable,  // the connection failed before a byte was sent
   kMisplaced,    // another server now has its address
--- a/src/forwarding/slow_start_owner.h
+++ b/src/forwarding/slow_start_owner.h
@@ -24,18 +24,19 @@
 // Proxies with the same view of the zone determine the same owner. Does no I/O; the caller passes
 // the current time.
 //
-// Proxies learn of each other's start and shutdown at different times. A proxy that can't be sure
-// to be the only owner owns nothing:
+// A start or a shutdown becomes known to the other proxies at different times. A proxy that might
+// not be the only owner owns nothing:
 // - A proxy that shuts down accepts requests for some time. Until that ends it keeps the servers
 //   that it owns and gains none; the others don't take those over for as long, counted from when
-//   they learn of its shutdown.
+//   SetProxies() lists it as having left.
 // - A proxy that has just started may not have the others in its view yet, nor they this one.
 //
 // Invariant: a server never has two owners at the same time, provided that a proxy that starts and
-// the running ones learn of each other within kPropagationMs.
+// the running ones have each other in view within kPropagationMs.
 class SlowStartOwner {
  public:
-  // The time in which all proxies of a zone learn of a start, and the started one learns of them.
+  // The longest time from a proxy's start until all proxies of its zone have it in view, and it has
+  // them.
   static constexpr base::Millis kPropagationMs = 1500;
 
   // `accept_period`: how long a proxy keeps accepting requests after the signal to shut down.
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -52,8 +52,9 @@
   if (policy_.active()) policy_.CountRequest(services_->Name(service));
 }
 
-// A request selected for the secondary version goes there if that has room. A retry goes to the
-// version that has proven good.
+// A request selected for the secondary version goes there if that has a server available. A retry
+// goes to the old version while that takes requests, since it has proven good: this is the primary
+// version until the promotion begins, and the secondary one while traffic is shifting.
 uint32_t VersionRouting::ChooseServer(base::Millis now, const PendingRequest& pending,
                                       const Choose& choose) const {
   if (!policy_.active()) return choose(false);
@@ -63,7 +64,7 @@
                        : policy_.RetriesToSecondary(now, service);
   uint32_t server = secondary ? choose(true) : LoadBalancer::kNone;
   if (server == LoadBalancer::kNone) server = choose(false);
-  // While traffic is shifting, requests that one version has no room for go to the other.
+  // While traffic is shifting, requests that one version has no capacity for go to the other.
   if (server == LoadBalancer::kNone && policy_.RetriesToSecondary(now, service)) {
     server = choose(true);
   }
--- a/src/forwarding/version_routing.h
+++ b/src/forwarding/version_routing.h
@@ -33,6 +33,7 @@
   std::vector<uint32_t> Adopt(base::Millis now, const rollout::Rollouts& rollouts);
   // Applies the rules that follow from the roll-outs and the time. Returns the same as Adopt().
   std::vector<uint32_t> Review(base::Millis now);
+  // An observer of a roll-out has answered a report: extends the lease to send to the new version.
   void OnLeaseRenewal(base::Millis now, const rollout::LeaseRenewal& renewal);
   // Whether any state of the roll-outs has been applied.
   bool known() const { return version_ > 0; }
@@ -41,6 +42,7 @@
   // Whether traffic is moving to a version that is being promoted.
   bool IsShifting() const { return policy_.IsShifting(); }
 
+  // Counts a request for the service's roll-out, if one is in progress.
   void OnRequest(uint32_t service);
   // Chooses the server of the request's next attempt, or returns LoadBalancer::kNone. Calls
   // `choose` for the version that the request goes to. If that has no server available, it calls
@@ -48,6 +50,8 @@
   using Choose = std::function<uint32_t(bool secondary)>;
   uint32_t ChooseServer(base::Millis now, const PendingRequest& pending,
                         const Choose& choose) const;
+  // Count the beginning and the outcome of an attempt for the roll-out of its server's service, if
+  // one is in progress.
   void OnAttemptBegun(uint32_t server);
   void OnAttemptEnded(const PendingRequest& pending, const Attempt& attempt,
                       rollout::CanaryPolicy::Outcome outcome, base::Millis duration);
--- a/tests/forwarding/at_most_once_test.cc
+++ b/tests/forwarding/at_most_once_test.cc
@@ -163,8 +163,8 @@
   if (c.when == When::kBefore) misbehave_on("before");
   if (c.when != When::kFresh) {
     EXPECT_EQ(SendRequest(true, "before", 2000), c.when == When::kBefore ? status : 200);
-    // A non-idempotent request uses only a connection idle for a while; misbehaviour on an idle
-    // connection happens in that time.
+    // A non-idempotent request uses a connection only after 15 ms of idle time. Misbehaviour on the
+    // idle connection happens 5 ms after the answer, so before the request is sent.
     if (!idempotent || c.when == When::kBefore) RunFor(&loop_, 18);
   } else {
     bad.on_connection = [&] { return c.deed; };
@@ -363,7 +363,7 @@
 }
 
 // Pipelined requests are answered in order, whichever server is faster. A non-idempotent one isn't
-// sent before those ahead of it are answered, and not at all if the client disconnects until then.
+// sent before those ahead of it are answered, and not at all if the client disconnects before that.
 TEST_F(AtMostOnce, PipelinedNonIdempotentRequestWaitsForThoseAheadOfIt) {
   for (bool leaves : {false, true}) {
     Open();
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -17,7 +17,8 @@
 using forwarding::ServerState;
 using forwarding::Signal;
 
-// A further attempt after one that may have run could run a request twice that isn't idempotent.
+// Guards against running a non-idempotent request twice, by another attempt after one that may have
+// run, and against answering that a request was not executed although it may have run.
 TEST(AttemptLog, AllowsAttemptsAndPromisesNotRunByTheOutcomesSoFar) {
   struct Case {
     const char* name;
@@ -100,7 +101,8 @@
   LoadBalancer balancer_;
 };
 
-// Requests could leave the zone without need, or wait in it although other zones have room.
+// Guards against requests that leave the zone without need, or wait in it although other zones have
+// room.
 TEST_F(LoadBalancerTest, PrefersItsOwnZoneUntilThatIsAtItsLimit) {
   balancer_.Adopt(0, MakeSnapshot({Entry("near", "here"), Entry("far", "there")}));
   EXPECT_EQ(Choices(0)["near"], 200);
@@ -110,8 +112,8 @@
   EXPECT_EQ(Choices(1)["far"], 200);
 }
 
-// A request sent to a server that is about to stop could be lost; a retry on the same server is
-// likely to fail again.
+// Guards against losing a request that is sent to a server about to stop, and against a retry on
+// the same server, which is likely to fail again.
 TEST_F(LoadBalancerTest, NeverChoosesDrainingUnlistedOrTriedServers) {
   balancer_.Adopt(
       0, MakeSnapshot({Entry("a", "here"), Entry("b", "here", true), Entry("c", "there")}));
@@ -126,8 +128,8 @@
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), {}));
 }
 
-// A server that can't be reached could keep receiving requests; readmitted untested, it could fail
-// many at once.
+// Guards against sending requests to a server that can't be reached, and against readmitting one
+// untested, which could fail many requests at once.
 TEST_F(LoadBalancerTest, EjectsAFailingServerAndReadmitsItByATrialRequest) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   balancer_.Begin(0, 0);
@@ -145,8 +147,8 @@
   EXPECT_EQ(Choices(10101, false)["a"], 200);
 }
 
-// The answers of a health endpoint can be wrong both ways: they could keep a working server ejected
-// for ever, or readmit a failing one for good.
+// Guards against a health endpoint whose answers are wrong: they must neither keep a working server
+// ejected for ever nor readmit a failing one for good.
 TEST_F(LoadBalancerTest, AnswersToRequestsOutweighWrongProbeResults) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   base::Millis now = 0;
@@ -166,7 +168,7 @@
   EXPECT_EQ(Choices(now + 6)["b"], 200);
 }
 
-// If all servers are ejected, requests would fail although one of them may work.
+// Guards against failing all requests when every server is ejected, although one of them may work.
 TEST_F(LoadBalancerTest, ChoosesAnEjectedServerWhenNoOtherIsEligible) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here")}));
   balancer_.Begin(0, 0);
@@ -174,7 +176,7 @@
   EXPECT_EQ(Choices(20)["a"], 200);
 }
 
-// Requests could go to a slower server although a faster one has room.
+// Guards against sending requests to a slower server although a faster one has room.
 TEST_F(LoadBalancerTest, AvoidsSlowServersThoseInSlowStartAndUnresponsiveOnes) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "here"),
                                    Entry("cold", "here", false, 3000)}));
@@ -209,7 +211,8 @@
   EXPECT_EQ(balancer_.DueProbes(100000).size(), 1u);
 }
 
-// Without shares, every proxy prefers its own zone, which could overload the servers of one zone.
+// Guards against overloading the servers of one zone: without shares, every proxy prefers its own
+// zone.
 TEST_F(LoadBalancerTest, DistributesRequestsByTheSharesOfZones) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there"), Entry("c", "yonder")}));
   auto zones = balancer_.SlotsByZone(names_.Find("s"));
@@ -223,7 +226,7 @@
   EXPECT_EQ(choices["c"], 0);
 }
 
-// Hedges could spend the whole budget and leave none for retries after failures.
+// Guards against hedges that spend the whole budget and leave none for retries after failures.
 TEST(RetryBudget, HedgesLeaveATokenForRetries) {
   struct Case {
     double slack;  // of ten nodes together
@@ -247,9 +250,9 @@
   }
 }
 
-// Many nodes, each with its own budget, could together exceed the bound: under uneven load, after
-// restarts, or if all spend their savings at once. Over any window the sum of retries stays within
-// ratio x requests + slack, even if every retry that is allowed is sent.
+// Guards against nodes with separate budgets that together exceed the bound, under uneven load,
+// after restarts, or when all spend their savings at once. Over any window the sum of retries stays
+// within ratio x requests + slack, even if every retry that is allowed is sent.
 TEST(RetryBudget, AllNodesTogetherStayWithinTheBound) {
   const double ratio = 0.2, slack = 30;
   const size_t nodes = 12;
@@ -293,7 +296,7 @@
   }
 }
 
-// A node that restarts could spend again what it has spent before the restart.
+// Guards against a node that restarts and spends again what it spent before the restart.
 TEST(RetryBudget, ANodeStartsWithoutTokens) {
   forwarding::RetryBudget b({0.2, 60, 0.75});
   b.SetNodes(10);
@@ -304,13 +307,13 @@
   EXPECT_FALSE(b.TryWithdraw(1));  // each service has its own tokens
 }
 
-// A request could leave the regions that its route allows, or go to a zone that is drained.
+// Guards against requests that leave the regions allowed by their route, or go to a drained zone.
 TEST_F(LoadBalancerTest, ChoosesOnlyAllowedRegionsAndNoDrainedZones) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there"), Entry("c", "afar")}));
   EXPECT_EQ(Choices(0)["a"], 200);
   allowed_ = {regions_.Intern("there")};  // a zone without a region forms its own
   EXPECT_EQ(Choices(0)["b"], 200);
-  EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // nor for a retry
+  EXPECT_EQ(Choices(0, true, {1})["none"], 200);  // a retry stays in the region too
   allowed_ = {regions_.Intern("nowhere")};
   EXPECT_EQ(Choices(0)["none"], 200);
   EXPECT_FALSE(balancer_.HasUsable(names_.Find("s"), allowed_));
@@ -326,8 +329,8 @@
   EXPECT_EQ(balancer_.at(0).slow_start_until, 3300);
 }
 
-// During a roll-out, an unproven version could get more requests than allowed, or a rejected one
-// any.
+// Guards against an unproven version getting more requests than allowed during a roll-out, and
+// against a rejected version getting any.
 TEST_F(LoadBalancerTest, ChoosesOnlyServersOfVersionsThatTheRuleAllows) {
   auto list = [](std::vector<std::pair<std::string, std::string>> servers) {
     discovery::EndpointSnapshot endpoints = MakeSnapshot({});
--- a/tests/forwarding/slow_start_test.cc
+++ b/tests/forwarding/slow_start_test.cc
@@ -21,9 +21,9 @@
   return options;
 }
 
-// All proxies of a zone send as much as they may to one server in slow start, while their views of
-// the zone differ and proxies restart. If two owned it at once, it would get more than its bound
-// within a second.
+// Guards against two proxies owning a server in slow start at once, so that it gets more than its
+// bound within a second. All proxies of a zone send it as much as they may, while their views of
+// the zone differ and proxies restart.
 TEST(Warmup, RequestsOfAllProxiesStayWithinTheBound) {
   constexpr double kPerS = 2.7, kBound = 2.7 * 1.5 + 8;
   constexpr size_t kProxies = 12;
@@ -42,7 +42,7 @@
       proxies[i]->Adopt(now, MakeSnapshot({in_slow_start}));
       proxies[i]->SetZoneProxies(now, {all[i], all, {}});
     };
-    // One that restarts later has no state from before and owns nothing at first.
+    // A proxy that restarts later has lost its state and owns nothing at first.
     for (size_t i = 0; i < kProxies; ++i) start(i, 0, 8000);
     std::vector<base::Millis> sent;
     for (base::Millis now = 1; now < 8000; now += 5) {
@@ -217,7 +217,7 @@
     SlowStartZone::kWarmupPerS * SlowStartZone::kExcess + SlowStartZone::kSlack;
 
 // Proxies that shut down together still accept requests. If each drops the others from its view
-// once it learns that they leave, all of them own the server in slow start at once (review/3).
+// once it is notified that they leave, all of them own the server in slow start at once (review/3).
 TEST(SlowStart, ProxiesThatLeaveTogetherStayWithinTheBound) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     size_t proxies = 3 + seed % 8;
@@ -236,9 +236,9 @@
   }
 }
 
-// Proxies that shut down right after their start, before they have each other in view, learn of the
-// others only that they have left. Each then could become the owner while it still accepts requests
-// (found by the soak).
+// Proxies that shut down right after their start, before they have each other in view, receive only
+// the notices that the others have left. Each could then become the owner while it still accepts
+// requests (found by the soak).
 TEST(SlowStart, ProxiesThatLeaveRightAfterTheirStartSendNoMoreThanOneOwner) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     size_t proxies = 4 + seed % 6;
--- a/tests/forwarding/stand_in.h
+++ b/tests/forwarding/stand_in.h
@@ -177,7 +177,7 @@
     Connection* c = connection.get();
     c->self = this;
     c->number = ++connections;
-    transport::TuneSocket(fd, 10000);  // sends without delay (TCP_NODELAY)
+    transport::TuneSocket(fd, 10000);  // TCP_NODELAY; TCP user timeout of 10 s
     c->socket.reset(bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(c->socket.get(), &OnReadable, nullptr, &OnEvent, c);
     open_.push_back(std::move(connection));
