--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -81,7 +81,8 @@
   // The addresses of the leader and the catalog reader, which can confirm that state is current; no
   // address if unknown or this node itself.
   void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
-  // The adopted configuration can't be used: requests the complete document again.
+  // The adopted configuration can't be used. Until this node adopts a document again, it reports to
+  // its peers that it has none, so that they send it the complete document.
   void RejectConfiguration();
   // Adopts a list that this node read from the platform for itself alone. Returns false if the list
   // that it holds was requested later.
--- a/src/controller/catalog_poller.cc
+++ b/src/controller/catalog_poller.cc
@@ -7,9 +7,9 @@
 
 namespace elderkeel::controller {
 namespace {
-// The leader assigns another owner if it has received nothing from the current one for so long.
+// The leader assigns another owner if it has received nothing from the current one for this long.
 constexpr base::Millis kOwnerTimeoutMs = 1000;
-// The reader resigns if no reading has succeeded for so long.
+// The reader resigns if no reading has succeeded for this long and there is another voter.
 constexpr base::Millis kMaxPlatformOutageMs = 3000;
 constexpr base::Millis kResignIntervalMs = 5000;
 constexpr base::Millis kClaimIntervalMs = 200;
@@ -127,8 +127,9 @@
   });
 }
 
-// The role was assigned to an earlier incarnation of this process. The sequence numbers that it
-// used are lost, so this incarnation requests an epoch of its own.
+// The assignment in the log doesn't carry the boot id of this process: either the leader has just
+// assigned the role, without a boot id, or an earlier incarnation of this process claimed it. The
+// sequence numbers of an earlier incarnation are lost, so this one requests an epoch of its own.
 void CatalogPoller::ClaimRole(base::Millis now) {
   if (now - claimed_at_ < kClaimIntervalMs) return;
   claimed_at_ = now;
--- a/src/controller/catalog_poller.h
+++ b/src/controller/catalog_poller.h
@@ -28,8 +28,8 @@
   // For the leader: proposes an owner if there is none, or another one if the leader receives
   // nothing from it any more.
   void ReviewAssignment(base::Millis now);
-  // An owner gives up the role or claims it for a new incarnation. Ignored unless this controller
-  // leads.
+  // An owner gives up the role, or claims it for the present incarnation of its process. Ignored
+  // unless this controller leads.
   void OnResignation(base::Millis now, const singleton::Resignation& resignation);
   // The log assigned the role, to this controller or to another one.
   void OnAssigned(base::Millis now);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -568,9 +568,9 @@
   });
 }
 
-// Stops the event loop once this member may leave the log and all requests are answered. It stops
-// without that shortly before the end of the grace time, since the platform would kill the process
-// then; its disk, with what this member has stored, may well come back.
+// Stops the event loop once this member may leave the log and all requests are answered. Shortly
+// before the end of the grace time it stops in any case, since the platform would kill the process
+// then. What only this member has stored is not lost if a process starts with the same disk later.
 void Controller::StopWhenDeparted(base::Millis since) {
   lifecycle::ShutdownSchedule schedule(context_.settings.GraceMs(), 0);
   base::Millis waited = base::SteadyMillis() - since;
--- a/src/controller/diagnosis_service.cc
+++ b/src/controller/diagnosis_service.cc
@@ -27,8 +27,8 @@
   Tick(now);
 }
 
-// Includes the proxies that membership reports as dead, after the reachable ones: that may be
-// wrong, and the answer names those that do not reply.
+// Includes the proxies that membership reports as dead, after the reachable ones: membership may be
+// wrong about them, and the answer names those that do not reply.
 std::vector<diagnosis::Target> DiagnosisService::TargetsOf(
     const diagnosis::Question& question) const {
   std::vector<diagnosis::Target> targets;
--- a/src/controller/freshness_voucher.cc
+++ b/src/controller/freshness_voucher.cc
@@ -5,8 +5,8 @@
 namespace elderkeel::controller {
 namespace {
 constexpr base::Millis kReadTimeoutMs = 1000;
-// The reader confirms its list only if the log's state here was confirmed as the newest at most so
-// long ago: older state may name a reader that has been replaced.
+// The reader confirms its list only if the log's state here was confirmed as the newest at most
+// this long ago: older state may name a reader that has been replaced.
 constexpr base::Millis kMaxAssignmentAgeMs = 1000;
 }  // namespace
 
--- a/src/discovery/endpoints.h
+++ b/src/discovery/endpoints.h
@@ -59,7 +59,7 @@
   std::string next;  // token of the next page; empty on the last page
 };
 // Parses a page of the platform's list. Error: kProtocolError if the page is truncated, lacks a
-// required field, or has one of the wrong type.
+// required field, has one of the wrong type, or has an address that is not IPv4 with a port.
 base::Result<Page> ParsePage(std::string_view text);
 
 // Whether the newer of two readings shows no change.
--- a/src/rollout/canary_policy.cc
+++ b/src/rollout/canary_policy.cc
@@ -6,11 +6,12 @@
 
 namespace elderkeel::rollout {
 namespace {
-// Of the share that may be exposed: what a canary is meant to get, and what it can't exceed by
-// count.
+// As fractions of Options::share: the probability with which a request is selected for a canary,
+// and the credit that each request adds. The credit bounds the number of attempts whatever is
+// selected.
 constexpr double kTargetFraction = 0.6;
 constexpr double kMaxFraction = 0.9;
-constexpr double kMaxCredit = 3;  // attempts that a proxy may save up
+constexpr double kMaxCredit = 3;  // attempts for which unused credit may accumulate
 // The part of the canary share that a proxy keeps while it sees the new version fail.
 constexpr double kFailingFraction = 0.25;
 constexpr uint32_t kBreakerMinFailures = 3;
@@ -52,6 +53,7 @@
 void CanaryPolicy::OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal) {
   // The lease runs from the time of the report, not from the arrival of the renewal: the renewal
   // may have spent longer than the lease in transit or in the socket of a suspended process.
+  // A time in the future is from before a restart of the machine and renews nothing.
   bool has_report_time = renewal.asked_at != 0;
   if (has_report_time && renewal.asked_at > now) return;
   for (auto& [service, state] : active_) {
--- a/src/rollout/canary_policy.h
+++ b/src/rollout/canary_policy.h
@@ -94,7 +94,8 @@
     uint32_t requests = 0;
     uint32_t exposed = 0;             // attempts sent to the new version
     std::map<std::string, Row> rows;  // by the route's label
-    // Answers and failures of the new version, as seen by this proxy in this stage.
+    // Answers and failures of the new version, as seen by this proxy in this stage and since the
+    // circuit breaker last opened.
     uint32_t answers = 0, failures = 0;
     uint64_t failing_servers = 0;  // bit set of hashes of the servers' ids
     // While promoting: until then, all requests go to the old version.
@@ -109,8 +110,8 @@
     bool breaker_open = state.rollout.stage == Stage::kPromoting && now < state.breaker_open_until;
     return now - state.lease_renewed_at < options_.lease && !breaker_open;
   }
-  // The share of the traffic that has moved to the new version: 0 before the promotion, 1 at the
-  // end of the ramp.
+  // Which share of the requests beyond the canary's has moved to the new version: 0 before the
+  // promotion, 1 at the end of the ramp.
   double ShiftedShare(base::Millis now, const ServiceState& state) const;
 
   Options options_;
--- a/src/rollout/coordinator.cc
+++ b/src/rollout/coordinator.cc
@@ -206,8 +206,8 @@
     } else {
       step.kind = Step::Kind::kObservers;
       step.observers = ChooseObservers(service, candidates, rollout.observers);
-      // A lost observer is dropped, and replaced if there is another candidate; the last one stays.
-      // The order of the ids doesn't matter.
+      // A lost observer is dropped, and replaced if there is another candidate. Without any
+      // candidate the observers stay. A different order of the same ids is no change.
       if (step.observers == rollout.observers || step.observers.empty()) continue;
       std::vector<uint64_t> sorted = step.observers, before = rollout.observers;
       std::sort(sorted.begin(), sorted.end());
--- a/src/rollout/coordinator.h
+++ b/src/rollout/coordinator.h
@@ -48,15 +48,15 @@
   struct ReceivedVote {
     Vote vote;
     base::Millis at = 0;                    // when it was received
-    std::vector<uint64_t> former_boot_ids;  // of the observer, the last 16
+    std::vector<uint64_t> former_boot_ids;  // the observer's 16 most recent ones before `vote`'s
   };
-  // The newest vote on roll-out `number` of each observer, by observer. Votes of a process that
-  // the observer has since restarted are left out.
+  // The last vote on roll-out `number` of each observer, by observer. A delayed vote from before a
+  // restart of the observer does not replace it.
   const std::map<uint64_t, ReceivedVote>& VotesOn(uint64_t number) const;
 
-  // How long before `limit`, the order's time limit, a roll-out starts to move its traffic. Every
-  // request that is sent after that to a version which then turns bad counts towards the exposure
-  // in full, so the move starts as late as its own length allows.
+  // How long before `limit`, the order's time limit, a roll-out may start to move its traffic.
+  // Every request that is sent after that to a version which then turns bad counts towards the
+  // exposure in full, so the move starts no earlier than its own length requires.
   static base::Millis PromotionTime(base::Millis limit);
 
  private:
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -20,7 +20,8 @@
   uint32_t late = 0;    // took longer than three times the route's mean
   uint32_t timed = 0;   // answers whose latency may be compared: not of a server in slow start
   // Servers that answered, as a bit set of hashes of their ids; and those with broken and late
-  // answers. A fault that a single server shows is not attributed to its version.
+  // answers. Broken or late answers of only one among several servers are not attributed to the
+  // version.
   uint64_t seen = 0;
   uint64_t broken_at = 0;
   uint64_t late_at = 0;
@@ -115,14 +116,14 @@
   uint64_t version = 0;  // of the Rollouts that the observer has adopted
   Opinion opinion = Opinion::kAbstains;
   std::string why;
-  uint32_t age_ms = 0;     // of the order, by the proxy that adopted it first
-  uint32_t reporting = 0;  // proxies whose last report is recent
-  uint32_t known_proxies = 0;
+  uint32_t age_ms = 0;            // of the order, by the proxy that adopted it first
+  uint32_t reporting = 0;         // reachable proxies whose last report is recent
+  uint32_t known_proxies = 0;     // proxies that are reachable by the observer's membership
   uint64_t requests = 0;          // for the service, by all proxies
   uint64_t exposed = 0;           // attempts sent to the new version, by all proxies
   uint32_t unconfirmed = 0;       // proxies that report and have not confirmed the stage
   uint32_t not_reporting = 0;     // proxies that don't report and have not confirmed it
-  std::vector<uint64_t> missing;  // ids of some proxies of both kinds
+  std::vector<uint64_t> missing;  // ids of the first 8 proxies of both kinds
   std::vector<Row> rows;          // the sums over all proxies
   template <class A>
   void serialize(A& a) {
--- a/src/rollout/observer.cc
+++ b/src/rollout/observer.cc
@@ -21,7 +21,7 @@
 struct RateLimit {
   double floor;  // accepted whatever the old version's rate is
   double margin;
-  double old_rate_factor;  // times the old version's own rate, if that is more than `floor`
+  double old_rate_factor;  // accepted: this times the old version's rate, if more than `floor`
 };
 constexpr RateLimit kFailedRate{0.01, 0.08, 1.5};
 constexpr RateLimit kBrokenRate{0.03, 0.10, 1.5};
--- a/src/rollout/observer.h
+++ b/src/rollout/observer.h
@@ -11,8 +11,8 @@
 namespace elderkeel::rollout {
 
 // Detects that the rate of an event has risen above its accepted rate: Page's cumulative sum
-// (CUSUM) of the log-likelihood ratio of Wald's sequential test. It needs no window, so it finds a
-// version that turns bad late as soon as one that is bad from the start.
+// (CUSUM) of the log-likelihood ratio of Wald's sequential test. It needs no window, so it detects
+// a version that turns bad late as quickly as one that is bad from the start.
 class ChangeTest {
  public:
   // Adds `trials`, of which `events` showed the event. `accepted` is the accepted rate, `suspect`
@@ -69,7 +69,9 @@
     double canary_share = 0.06;           // share of the requests that proxies aim at for a canary
     base::Millis vote_interval = 400;     // a vote is also sent whenever it changes
     base::Millis report_lifetime = 1500;  // after which a proxy no longer counts as reporting
-    base::Millis max_tick_gap = 1000;     // a longer gap between ticks: the process was suspended
+    // A longer gap between ticks is taken for a suspension of the process; the observer then
+    // abstains for this long.
+    base::Millis max_tick_gap = 1000;
   };
   explicit Observer(Options options) : options_(options) {}
 
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -126,9 +126,10 @@
 };
 
 // Detects versions in force that the log doesn't have yet, from the server list. A service without
-// a version in force, or whose version in force has no server left, gets the version that most of
-// its accepting servers have; the version of a roll-out that has not completed is left out. Returns
-// pairs of service and version; if there are none, no entry is needed.
+// a version in force, or whose version in force has no accepting server left, gets the version that
+// most of its accepting servers have; the version of a roll-out that has not completed is left out.
+// While a roll-out is under way, a version in force is not replaced. Returns pairs of service and
+// version; if there are none, no entry is needed.
 std::vector<std::pair<std::string, std::string>> DetectVersions(
     const Rollouts& state, const discovery::EndpointSnapshot& endpoints);
 
--- a/src/singleton/assigner.h
+++ b/src/singleton/assigner.h
@@ -57,9 +57,9 @@
   // or a proposal is under way.
   std::optional<Assignment> Review(base::Millis now, const Assignment& current,
                                    const std::vector<Candidate>& candidates);
-  // The assignment to propose in answer to a resignation or claim; none if it refers to
-  // an assignment that is not the current one, the claim is not valid, nobody else can take the
-  // role, or a proposal is under way.
+  // The assignment to propose in answer to a resignation or claim; none if it refers to another
+  // epoch than the current one, a claim is not of the current owner or repeats its boot id, nobody
+  // else can take the role, or a proposal is under way.
   std::optional<Assignment> OnResignation(base::Millis now, const Assignment& current,
                                           const std::vector<Candidate>& candidates,
                                           const Resignation& resignation);
@@ -76,8 +76,8 @@
 };
 
 // Chooses an owner that has not been silent for more than `max_silence`. The leader is chosen only
-// if there is nobody else, so that one failure doesn't lose both the leader and the owner. 0 if
-// there is no candidate apart from `except`.
+// if there is nobody else, so that one failure doesn't lose both the leader and the owner. Never
+// chooses `except`. Returns 0 if no candidate is left.
 consensus::MemberId PickOwner(const std::vector<Candidate>& candidates, consensus::MemberId except,
                               base::Millis max_silence);
 
--- a/tests/rollout/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -54,7 +54,8 @@
 };
 const auto* const report = ::testing::AddGlobalTestEnvironment(new Report);
 
-// Checks what holds under any fault: how many requests an unproven version gets, and for how long.
+// Checks what holds under any fault: the simulation reports none of its own checks as failed and,
+// if the version is bad, how many requests it gets and for how long are bounded.
 void CheckExposure(const World& world, bool bad, const std::string& what) {
   const World::Traffic& t = world.traffic;
   EXPECT_EQ(world.fault, "") << what;
--- a/tests/rollout/rollout_test.cc
+++ b/tests/rollout/rollout_test.cc
@@ -192,7 +192,8 @@
   CanaryPolicy policy({0.1, 1000000, 1000});
   policy.Adopt(0, state);
   EXPECT_FALSE(policy.TakesSecondary(0, "s", 1));  // a new proxy has no credit
-  // With 40 draws per request almost every request is selected; the share is still kept.
+  // Each request tries the same 40 keys, some of which are selected, so only the credit limits the
+  // share.
   uint32_t sent = 0;
   for (int i = 0; i < 5000; ++i) {
     policy.CountRequest("s");
@@ -368,8 +369,9 @@
   EXPECT_EQ(vote.missing, (std::vector<uint64_t>{2}));
 }
 
-// Guards against stages that are entered without a majority, too early, or while proxies still use
-// the version that the traffic moves away from.
+// Guards against a promotion without votes for kGood from a majority of all observers, a reversal
+// before the time limit without a majority of the received votes, and stages that are entered too
+// early or while proxies still use the version that the traffic moves away from.
 TEST(RolloutCoordinator, EntersTheStageThatVotesConfirmationsAndTimeLimitRequire) {
   using O = Opinion;
   struct Case {
--- a/tests/singleton/assigner_test.cc
+++ b/tests/singleton/assigner_test.cc
@@ -62,7 +62,7 @@
   }
 }
 
-// Guards against a new epoch on every review while an assignment is on its way through the log.
+// Guards against a further entry at every review while a proposed assignment is not yet committed.
 TEST(Assigner, DoesNotProposeAgainWhileAProposalIsUnderWay) {
   Assigner assigner(kMaxSilenceMs);
   std::vector<Candidate> candidates = {{1, 0, true}, {3, 10, false}};
