--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -73,7 +73,8 @@
 // Most monitors of a region's nodes are in that region. When the whole region is lost, each of its
 // proxies has a single monitor left, in another region, which detects the failure late. The failure
 // of its controllers is detected within about a second, so the state of a region is derived from
-// them. A region without controllers is never in the result.
+// them. A region without controllers is never in the result. If no controller is alive anywhere,
+// all regions that have controllers are in it, so that none of these is preferred to another.
 std::set<std::string> Directory::UnreachableRegions() const {
   std::set<std::string> alive, unreachable;
   for (const auto& [id, node] : members_->nodes()) {
@@ -89,7 +90,8 @@
 Directory::Choice Directory::Choose(base::Millis now, const Resolution& resolution) {
   std::set<std::string> unreachable_regions = UnreachableRegions();
   // Areas around the client, nearest first: its zone, the rest of its region, all other regions.
-  // The region is that of the zone, or the one in the query if the zone is not known.
+  // The region is that of the zone, or the one in the query if the zone is not known. If no proxy
+  // is in either, all are in the last area and count as equally near.
   std::string region = members_->RegionOf(resolution.zone);
   if (region.empty()) region = resolution.region;
   struct Area {
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -27,15 +27,16 @@
 
 // Answers clients' calls with the addresses of proxies that can serve them, nearest first. A
 // controller's directory server calls it for each request. Its answers are computed from the
-// membership at each call, and its only own state is a random generator that picks the addresses.
+// membership at each call; only the random generator that picks the addresses keeps state between
+// calls.
 class Directory {
  public:
   struct Options {
     size_t max_addresses = 64;  // in an answer
     int64_t ttl_s = kTtlS;
     int64_t ttl_most_s = kTtlS;  // of an answer that sends a client to another region
-    // For so long after the start, requests get 503 rather than proxies that may not be able to
-    // serve: the membership may not include the usable ones yet.
+    // For this long after the start, requests are answered 503 if no usable proxy is known, since
+    // the membership may not list the usable ones yet. Later, other proxies are named instead.
     base::Millis startup_wait = 1000;
   };
 
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -15,7 +15,7 @@
 constexpr size_t kMinLinkBytesPerMs = 250;      // 2 Mbit/s
 constexpr size_t kApproxEndpointBytes = 64;     // size of one endpoint in an update
 constexpr base::Millis kResendAfterMs = 500;    // before a large update is sent to a peer again
-constexpr size_t kReliableSources = 3;  // nearest peers, which retries reach over connections
+constexpr size_t kReliableSources = 3;          // nearest peers; retries to them use connections
 
 SyncSchedule::Options ScheduleOptions(const Disseminator::Options& options) {
   SyncSchedule::Options schedule;
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -61,7 +61,8 @@
     std::vector<std::pair<base::Address, EndpointUpdate>> endpoint_updates;
     std::vector<std::pair<base::Address, ZoneDrainUpdate>> zone_drains;
     std::vector<std::pair<base::Address, RolloutUpdate>> rollouts;
-    // Is sent after all other messages to the same peer; over a connection if `follows` is true.
+    // A reply to a synchronization request. It is sent after all other messages to the same peer,
+    // and over a connection if `follows` is true.
     struct Reply {
       base::Address to;
       SyncReply reply;
@@ -106,8 +107,8 @@
   void OnRolloutUpdate(base::Millis now, const base::Address& from, const RolloutUpdate& update);
   // `from` reports that it has this version of the roll-outs; requests it if it is newer.
   void OnRolloutVersion(base::Millis now, const base::Address& from, uint64_t version);
-  // The node is reachable for the first time, or again. If this node noted that it may have missed
-  // updates, it is sent a digest.
+  // `node` is reachable for the first time, or again. Sends it a digest if OnNodeUnreachable()
+  // noted that it may miss updates.
   void OnNodeReachable(base::Millis now, const membership::Node& node);
   // Notes that the node may miss updates, if this node is one of its monitors.
   void OnNodeUnreachable(const membership::Node& node);
@@ -190,7 +191,7 @@
   struct PeerEndpoints {
     EndpointVersion has;
     bool exact = false;      // it has an unmodified copy of version `has`
-    bool requested = false;  // a large update is sent too
+    bool requested = false;  // if true, the update is sent even if it is large
     int64_t asked_at = EndpointUpdate::kUnsolicited;
   };
 
@@ -234,11 +235,13 @@
   bool IsBehindOnEndpoints(const PeerState& peer) const;
   // The approximate size of an update with all endpoints.
   size_t EndpointsBytes() const;
-  // A reply reports that `endpoints` was read at `read_at`, on this node's clock.
+  // Records a reply's report that the list of version `endpoints` was read at `read_at`, on this
+  // node's clock. Has no effect unless this node has an unmodified copy of that version.
   void NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at);
 
-  // Both return false, and send nothing, if the update is too large to be sent unsolicited. A large
-  // update that was recently sent to the same peer is not sent again.
+  // SendConfiguration() and SendEndpoints() return false, and send nothing, if the update is too
+  // large to be sent unsolicited. They return true without sending a large update that was recently
+  // sent to the same peer.
   bool SendConfiguration(base::Millis now, const base::Address& to, int64_t peer_has,
                          bool requested);
   bool SendEndpoints(base::Millis now, const base::Address& to, const PeerEndpoints& peer);
@@ -263,9 +266,11 @@
   // it.
   bool MayRequestFrom(base::Millis now, const base::Address& from, const SyncReply& reply,
                       const PeerState& peer);
-  // Adopts `endpoints`; records the change in the history if both lists are unmodified copies.
+  // Adopts `endpoints`. Records the change in the history if both lists are unmodified copies;
+  // otherwise clears the history.
   void Replace(discovery::EndpointSnapshot endpoints, bool exact);
-  // State of the log has become newer, possibly by a request that `fetch` limits.
+  // Called when state of the log has become newer: resets the back-off `fetch` of the requests for
+  // it, and counts the claims that this node's versions now cover.
   void LogAdvanced(Fetch* fetch);
   // The nodes to send a new update to: up to `near_count` random ones of this zone and, if
   // `origin`, one of each other zone.
@@ -292,9 +297,10 @@
   zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
   bool has_endpoints_ = false;
-  // The platform was last asked for the content of endpoints_ at `read_at_` or later, and was asked
-  // for the list that was adopted at `read_before_` or earlier, both on this process's clock. These
-  // are bounds because the time that an update was in transit is unknown.
+  // Bounds on when the platform was asked, on this process's clock; the exact times are unknown, as
+  // the time that an update was in transit is. `read_at_`: the earliest possible time of the last
+  // request that returned the content of endpoints_. `read_before_`: the latest possible time of
+  // the request that returned the list when this node adopted it.
   base::Millis read_at_ = -1;
   base::Millis read_before_ = -1;
   EndpointVersion succeeds_;  // `EndpointUpdate::succeeds` of endpoints_
--- a/src/dissemination/sync.h
+++ b/src/dissemination/sync.h
@@ -45,11 +45,11 @@
 // a pure state machine. `Disseminator` owns one for the log's state and one for the endpoints.
 //
 // While the state is known to be younger than `max_age`, no request is due. After that the first
-// request goes to one peer, the last one that answered with fresh state. Each further
-// `retry_interval` without a fresh answer, the next two peers in turn are asked, so the time until
-// a reachable and current peer is asked is bounded by the number of peers, whichever one it is.
-// Once all were asked without success the interval doubles, up to `max_retry_interval`, since then
-// no peer has fresh state.
+// request goes to one peer, the last one that answered with fresh state. After each
+// `retry_interval` without a fresh answer, the next two peers are asked in turn. So every peer, and
+// with it any that is reachable and current, is asked within a time that the number of peers
+// bounds. Each time that all were asked without success the interval doubles, up to
+// `max_retry_interval`, since then no peer has fresh state.
 class SyncSchedule {
  public:
   struct Options {
--- a/src/http/http.cc
+++ b/src/http/http.cc
@@ -284,7 +284,8 @@
   evbuffer_ptr end = evbuffer_search(in, "\r\n\r\n", 4, nullptr);
   if (end.pos < 0) {
     if (available > limits.header_bytes) return Fail(431, "head too large");
-    // Bare line feeds make the head invalid; it is rejected without waiting for the rest.
+    // An empty line without CR makes the head invalid. It is rejected at once, since a client that
+    // sends bare line feeds may never send the CRLF CRLF that ends a head.
     if (evbuffer_search(in, "\n\n", 2, nullptr).pos >= 0)
       return Fail(400, "line that ends without CR");
     return Progress::kMore;
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -38,9 +38,9 @@
   void Send(std::string bytes, bool head_request, Done done);
   // Accepts a response to the next request only if its header `header` has the value `value`. A
   // response with another value is a late one to an earlier request: it is discarded, and the next
-  // response is awaited. A second response of that kind, and one where the header is missing or
-  // repeated so that it can't be attributed to a request, ends the request with kBroken and closes
-  // the connection.
+  // response is awaited. The request ends with kBroken and the connection is closed if the header
+  // is missing or repeated, so that the response can't be attributed to a request; or if a late
+  // response is the second one, has a body that was passed to a sink, or ends the connection.
   void Expect(const char* header, std::string value) {
     expect_header_ = header;
     expect_value_ = std::move(value);
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -30,8 +30,8 @@
     kNotReady,   // still serves, but reports that it is not ready
     kDraining,   // also closes idle connections
     kRejecting,  // rejects new requests without sending them to a server; those in flight go on
-    kAnswering,  // accepts no connections, and fails the requests that are still in flight
-    kStopped,    // no connection is busy any more, or the grace time is almost over
+    kAnswering,  // accepts no connections, and fails the requests whose answer has not begun
+    kStopped,    // the notice is over and no connection is busy, or the grace time is almost over
   };
 
   Lifecycle() : Lifecycle(Options()) {}
@@ -62,7 +62,8 @@
   base::Millis accept_until() const { return leaving() ? left_at_ + schedule_.accept_until : -1; }
 
   // `busy`: the number of connections that have a request in flight or unsent bytes of an answer.
-  // kStopped begins only when there are none, or when the platform is about to kill the process.
+  // kStopped begins when there are none after the notice, or when the platform is about to kill the
+  // process.
   Phase PhaseAt(base::Millis now, size_t busy) const {
     if (!leaving()) return Phase::kServing;
     base::Millis elapsed = now - left_at_;
@@ -76,8 +77,8 @@
   // The time since SIGTERM; 0 before it.
   base::Millis LeavingFor(base::Millis now) const { return leaving() ? now - left_at_ : 0; }
 
-  // The time until the schedule's next phase begins, `max_wait` at the most. kStopped may begin
-  // earlier, as soon as no connection is busy.
+  // The time until the schedule's next phase begins, `max_wait` at the most. After the notice,
+  // kStopped may begin earlier, as soon as no connection is busy.
   // REQUIRES: leaving()
   base::Millis UntilNextPhase(base::Millis now, base::Millis max_wait) const {
     base::Millis elapsed = now - left_at_;
--- a/src/lifecycle/settings_watcher.cc
+++ b/src/lifecycle/settings_watcher.cc
@@ -20,7 +20,8 @@
 void SettingsWatcher::Check(Cause cause) {
   auto text = base::ReadFile(path_);
   if (!text) {
-    // At the timer, the file may be unreadable only because it is being replaced: not logged.
+    // A check by the timer may find the file unreadable because it is just being replaced, so only
+    // SIGHUP logs the error.
     if (cause == Cause::kSignal) base::Warn("settings.rejected", text.error());
     return;
   }
--- a/src/lifecycle/shutdown_schedule.h
+++ b/src/lifecycle/shutdown_schedule.h
@@ -31,7 +31,7 @@
   base::Millis notice_until;  // until then the process stays even if idle: clients may still come
   base::Millis accept_until;  // later requests are rejected
   base::Millis last_sixth;    // start of the last sixth of the grace time
-  base::Millis give_up_at;    // requests that are still in flight are failed
+  base::Millis give_up_at;    // requests whose answer has not begun are failed
   base::Millis exit_at;       // the process ends, even with requests in flight
 };
 
--- a/src/load/load_tracker.h
+++ b/src/load/load_tracker.h
@@ -23,8 +23,8 @@
     a(zone, age_ms, proxies, means);
   }
 };
-// The zones that one proxy has load figures of. Carried by digests between proxies, serialized
-// field by field by cereal.
+// The load of each zone that one proxy has figures for. Digests between proxies carry it; cereal
+// serializes it field by field.
 using LoadReport = std::vector<ZoneLoad>;
 
 // A hash of the name of a zone or service, which stands for the name in load reports.
@@ -45,8 +45,9 @@
   void Begin(base::Millis now, uint32_t service) { Count(now, service, 1); }
   void End(base::Millis now, uint32_t service) { Count(now, service, -1); }
 
-  // Updates the estimates with the load that was measured since the last call. Does nothing if that
-  // was too short a time ago to measure.
+  // Updates the estimates with the load that was measured since the last update. Does nothing if
+  // that update is less than 100 ms ago, too short a time for a measurement. The first call only
+  // starts the measurement.
   void Tick(base::Millis now);
   // Returns the report for a peer. `proxies`: the number of known proxies in this zone.
   LoadReport MakeReport(base::Millis now, size_t proxies) const;
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -234,7 +234,7 @@
 }
 
 // Merges two records with the same boot id and incarnation: the result has the worse of the two
-// states and the suspecters of both.
+// states and the suspecters of both. A suspected node becomes dead if these suspecters suffice.
 void Membership::MergeSuspicion(const Node& node, const Node& record) {
   Node merged = record;
   merged.suspecters.clear();
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -42,7 +42,7 @@
   struct Options {
     Node self;
     base::Millis heartbeat = 250;  // interval
-    int missed_heartbeats = 5;     // a monitor suspects a node after this many without one
+    int missed_heartbeats = 5;  // intervals without a heartbeat until a monitor suspects the node
     // Region by zone. All zones that are not listed form one region of their own.
     std::map<std::string, std::string> regions;
     uint64_t seed = 1;
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -9,8 +9,8 @@
 namespace elderkeel::proxy {
 namespace {
 constexpr base::Millis kRequestIntervalMs = 250;
-constexpr base::Millis kConfirmIntervalMs =
-    100;  // limits the load on the leader, which answers all
+// Limits the load on the leader, which answers all proxies that have just started.
+constexpr base::Millis kConfirmIntervalMs = 100;
 constexpr base::Millis kProbeIntervalMs = 25;
 constexpr base::Millis kProbePeriodMs = 3000;  // controllers that have a leader confirm within it
 }  // namespace
--- a/src/proxy/startup_confirmation.h
+++ b/src/proxy/startup_confirmation.h
@@ -47,7 +47,7 @@
   base::Timer probe_timer_;
   base::Millis started_at_ = 0;
   base::Millis next_request_at_ = 0;  // when the next controller is asked
-  base::Millis next_confirm_at_ = 0;  // not before this is a confirmation requested
+  base::Millis next_confirm_at_ = 0;  // earliest time of the next request for a confirmation
   size_t next_controller_ = 0;
 };
 
--- a/src/transport/frame.h
+++ b/src/transport/frame.h
@@ -100,9 +100,9 @@
 };
 
 // Whether a message type has fields that were added after its first version. SerializeLaterFields()
-// writes them after those of `serialize`, and only if `has_later_fields()` returns true. Versions
-// that don't have these fields ignore the bytes; where the bytes are missing, the fields keep their
-// defaults.
+// writes them after those of `serialize`, and only if `has_later_fields()` returns true. Program
+// versions that don't have these fields ignore the bytes; where the bytes are missing, the fields
+// keep their defaults.
 template <class Message, class = void>
 struct HasLaterFields : std::false_type {};
 template <class Message>
--- a/src/transport/mesh.cc
+++ b/src/transport/mesh.cc
@@ -45,7 +45,7 @@
   BuffereventPtr socket;
   bool connected = false;
   base::Millis last_used = 0;
-  base::Millis retry_at = 0;  // no new connection before
+  base::Millis retry_at = 0;  // earliest time of the next attempt to connect
   base::Timer connect_timer;
 
   // Closes the connection with the frames queued on it and starts the back-off.
--- a/src/transport/mesh.h
+++ b/src/transport/mesh.h
@@ -50,8 +50,8 @@
   struct Link;                // an outgoing connection
   struct IncomingConnection;  // an accepted connection
   void Accepted(int fd);
-  // Returns the link to `to`, connecting if it has no socket; nullptr if that failed just now or
-  // before, less than the back-off ago.
+  // Returns the link to `to`, and starts to connect if it has no socket. Returns nullptr if
+  // connecting fails at once, or if the back-off after an earlier failure is not over.
   Link* OpenLink(const base::Address& to);
   void ReadDatagrams();
   bool ReadFrames(IncomingConnection* incoming);
--- a/tests/directory/directory_test.cc
+++ b/tests/directory/directory_test.cc
@@ -101,7 +101,7 @@
   Put(3, "a1", membership::State::kAlive, false);  // not ready
   EXPECT_EQ(NamedProxies("a1"), (Set{"1", "2"}));
   Put(2, "a1", membership::State::kDead);
-  // Two of the zone's three proxies are lost: two of its region's are added.
+  // Two of the zone's three proxies are not usable: two of its region's are added.
   Set named = NamedProxies("a1");
   EXPECT_EQ(named.count("1"), 1u);
   EXPECT_EQ(named.size(), 3u);
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -227,11 +227,11 @@
 struct ProxyFaultCase {
   const char* name;
   ProxyFault fault;
-  bool lasts;  // during the measurement; otherwise it has ended before
+  bool lasts;  // whether the fault goes on during the measurement, or has ended before it
 };
 
-// Returns the worst staleness of any proxy, measured kContactMs after the faults that don't last
-// have ended.
+// Returns the worst staleness of any proxy. A fault that doesn't last ends kContactMs or more
+// before the measurement, which leaves the proxy that time to catch up.
 Millis MeasureProxyFault(const ProxyFaultCase& c, int routes, uint64_t seed) {
   World::Options options;
   options.zones = options.controllers = 4;
--- a/tests/lifecycle/lifecycle_test.cc
+++ b/tests/lifecycle/lifecycle_test.cc
@@ -53,7 +53,7 @@
     size_t busy;
     Phase phase;
   } cases[] = {
-      {10100, 0, Phase::kNotReady},  // clients may still come, also if idle
+      {10100, 0, Phase::kNotReady},  // clients may still come, even if the proxy is idle
       {12499, 0, Phase::kNotReady},  {12500, 3, Phase::kDraining},  {12500, 0, Phase::kStopped},
       {12749, 1, Phase::kDraining},  {12750, 1, Phase::kRejecting}, {12750, 0, Phase::kStopped},
       {15499, 2, Phase::kRejecting}, {15500, 2, Phase::kAnswering}, {15500, 0, Phase::kStopped},
