--- a/src/base/error.h
+++ b/src/base/error.h
@@ -7,35 +7,37 @@
 
 namespace elderkeel::base {
 
-// What kind of error it is: what a caller may decide by. The reason of an error is for people.
+// The category of an error. Callers branch on it; `Error::reason` is text for people only.
 enum class ErrorCode : uint8_t {
-  kInvalidArgument,  // the caller's input: settings, a document, a call
-  kNotFound,         // what was asked for does not exist
-  kCorruption,       // stored data is damaged for good
-  kIoError,          // the operating system or a disk refused; a later attempt may succeed
-  kUnavailable,      // a peer could not be reached, or did not serve the call
-  kTimeout,          // no answer in time
-  kProtocolError,    // a peer sent something that is malformed
+  kInvalidArgument,  // the input is invalid: settings, a document, a call
+  kNotFound,         // the requested object does not exist
+  kCorruption,       // stored data is damaged; a retry does not help
+  kIoError,          // the operating system or a disk failed; a retry may succeed
+  kUnavailable,      // a peer was unreachable or rejected the call
+  kTimeout,          // no answer before the deadline
+  kProtocolError,    // a peer sent a malformed message
 };
+// Returns the name of `code` in lower case, for example "io_error".
 const char* ErrorCodeName(ErrorCode code);
 
-// What went wrong, at which step, and with whom. Errors are values; none crosses the event loop as
-// an exception.
+// A failed operation: the category, the step that failed, the peer involved and the reason. Errors
+// are returned as values; no exception may propagate through the event loop.
 struct Error {
   ErrorCode code = ErrorCode::kInvalidArgument;
-  std::string step;    // of the work, as a dotted name: "store.open"
-  std::string peer;    // address or name of the other side; empty for this process itself
-  std::string reason;  // a sentence for people
+  std::string step;    // the operation that failed, as a dotted name: "store.open"
+  std::string peer;    // address, name or path of the other side; empty for this process
+  std::string reason;  // description for people
 
+  // Returns `step=... peer=... reason="..."`; an empty peer is written as "self".
   std::string ToString() const;
 };
 
-// A value or an error; a success without a value or an error.
+// Result holds a value or an error; Status holds success or an error.
 template <class T>
 using Result = tl::expected<T, Error>;
 using Status = tl::expected<void, Error>;
 
-// For `return Failure(...)` from a function that returns a Result or a Status.
+// Builds the error to return from a function that returns a Result or a Status.
 inline tl::unexpected<Error> Failure(Error error) {
   return tl::unexpected<Error>(std::move(error));
 }
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -10,10 +10,10 @@
 
 spdlog::logger& Logger() {
   static spdlog::logger logger = [] {
-    spdlog::logger made("elderkeel", std::make_shared<spdlog::sinks::stdout_sink_mt>());
-    made.set_pattern("time=%Y-%m-%dT%H:%M:%S.%e level=%l %v");
-    made.flush_on(spdlog::level::trace);
-    return made;
+    spdlog::logger created("elderkeel", std::make_shared<spdlog::sinks::stdout_sink_mt>());
+    created.set_pattern("time=%Y-%m-%dT%H:%M:%S.%e level=%l %v");
+    created.flush_on(spdlog::level::trace);
+    return created;
   }();
   return logger;
 }
@@ -59,12 +59,12 @@
 
 void SetLogLevel(LogLevel level) { Logger().set_level(Convert(level)); }
 
-LogLevel ParseLogLevel(std::string_view name, LogLevel otherwise) {
+LogLevel ParseLogLevel(std::string_view name, LogLevel fallback) {
   if (name == "debug") return LogLevel::kDebug;
   if (name == "info") return LogLevel::kInfo;
   if (name == "warn") return LogLevel::kWarn;
   if (name == "error") return LogLevel::kError;
-  return otherwise;
+  return fallback;
 }
 
 bool IsLogged(LogLevel level) { return Logger().should_log(Convert(level)); }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -9,10 +9,10 @@
 
 namespace elderkeel::base {
 
-// One line of key=value pairs per event.
+// The value of a log field, converted to text.
 class LogValue {
  public:
-  // Implicit, so that calls name values as they are.
+  // The constructors are implicit so that callers can pass strings and numbers directly.
   // NOLINTBEGIN(google-explicit-constructor)
   LogValue(std::string_view text) : text_(text) {}
   LogValue(const char* text) : text_(text) {}
@@ -26,6 +26,7 @@
   std::string text_;
 };
 
+// One key=value pair of a log line.
 struct LogField {
   std::string_view key;
   LogValue value;
@@ -33,19 +34,25 @@
 
 enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
+// Sets the lowest level that is written.
 void SetLogLevel(LogLevel level);
-// Whether lines of this level are written: asked first where a line costs much to make.
+// Whether lines of this level are written. Callers check it before building an expensive line.
 bool IsLogged(LogLevel level);
-LogLevel ParseLogLevel(std::string_view name, LogLevel otherwise);
-// With debug lines on, each line ends in `steady_ms`, the clock that all processes of a machine
-// share.
+// Parses "debug", "info", "warn" or "error"; returns `fallback` for any other name.
+LogLevel ParseLogLevel(std::string_view name, LogLevel fallback);
+// Writes one line to stdout: the time, the level, the event name and the fields as key=value pairs.
+// At level debug each line ends with `steady_ms`, the steady clock in ms, which all processes of a
+// machine share, so that their lines can be ordered.
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 void Debug(std::string_view event, std::initializer_list<LogField> fields = {});
 void Info(std::string_view event, std::initializer_list<LogField> fields = {});
 void Warn(std::string_view event, std::initializer_list<LogField> fields = {});
+// Writes the step, the peer and the reason of `error` as fields.
 void Warn(std::string_view event, const Error& error);
 
-// Quotes a value when it holds spaces, quotes or control bytes, so that a line stays one line.
+// Appends `value` to `out`. An empty value, or one that contains spaces, quotes, '=' or control
+// bytes, is quoted and its control bytes are replaced by '?', so that the line stays one line and
+// can be parsed.
 void AppendLogValue(std::string* out, std::string_view value);
 
 }  // namespace elderkeel::base
--- a/src/base/loop.cc
+++ b/src/base/loop.cc
@@ -19,22 +19,24 @@
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NOLOCK);
   base_.reset(event_base_new_with_config(config.get()));
   if (!base_ || pipe2(pipe_, O_NONBLOCK | O_CLOEXEC) != 0) {
-    std::fprintf(stderr, "event=loop.failed reason=\"no event loop could be made\"\n");
+    std::fprintf(
+        stderr,
+        "event=loop.failed reason=\"the event loop or its wake-up pipe could not be created\"\n");
     std::exit(1);
   }
-  wake_.reset(event_new(
+  wake_event_.reset(event_new(
       base_.get(), pipe_[0], EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->Drain(); }, this));
-  event_add(wake_.get(), nullptr);
-  defer_.reset(event_new(
+      [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->RunPosted(); }, this));
+  event_add(wake_event_.get(), nullptr);
+  deferred_event_.reset(event_new(
       base_.get(), -1, 0,
       [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->RunDeferred(); }, this));
 }
 
 Loop::~Loop() {
   RunDeferred();
-  wake_.reset();
-  defer_.reset();
+  wake_event_.reset();
+  deferred_event_.reset();
   signals_.clear();
   close(pipe_[0]);
   close(pipe_[1]);
@@ -50,11 +52,11 @@
     first = posted_.empty();
     posted_.push_back(std::move(work));
   }
-  // A full pipe already wakes the loop, so a failed write loses nothing.
+  // The write fails if the pipe is full; the loop then wakes up anyway, so no work is lost.
   if (first && write(pipe_[1], "w", 1) < 0) return;
 }
 
-void Loop::Drain() {
+void Loop::RunPosted() {
   char bytes[64];
   while (read(pipe_[0], bytes, sizeof bytes) > 0) {
   }
@@ -67,7 +69,7 @@
 }
 
 void Loop::Defer(std::function<void()> work) {
-  if (deferred_.empty()) event_active(defer_.get(), EV_TIMEOUT, 0);
+  if (deferred_.empty()) event_active(deferred_event_.get(), EV_TIMEOUT, 0);
   deferred_.push_back(std::move(work));
 }
 
@@ -89,7 +91,7 @@
 }
 
 Millis UntilMultiple(Millis now, Millis after, Millis every) {
-  // Not the same moments in all processes: those of a fleet should not all wake together.
+  // A random offset for each process, so that the processes of a fleet don't all wake up at once.
   static const Millis kPhase = static_cast<Millis>(RandomSeed() % 1000);
   Millis due = now + std::max<Millis>(after, 0) + kPhase;
   return (due + every - 1) / every * every - kPhase - now;
@@ -98,12 +100,13 @@
 void Timer::Fire(evutil_socket_t, short, void* self) {
   auto* timer = static_cast<Timer*>(self);
   if (timer->loop_) {
-    // Half a period at the least: a timer may fire a little early.
+    // Wait for at least half a period: a timer that fired slightly early would otherwise fire
+    // again at the same multiple.
     timer->Arm(timer->loop_, UntilMultiple(SteadyMillis(), timer->every_ / 2, timer->every_));
     timer->fire_();
     return;
   }
-  // Moved out first: the callback may start this timer anew or destroy it.
+  // Moved out before the call, because the callback may restart or destroy this timer.
   std::function<void()> fire = std::move(timer->fire_);
   timer->fire_ = nullptr;
   fire();
--- a/src/base/names.h
+++ b/src/base/names.h
@@ -8,21 +8,24 @@
 
 namespace elderkeel::base {
 
-// Maps names to dense indices at the door, so that tables inside are plain vectors. An index, once
-// given, keeps its meaning while the process runs.
+// Assigns dense indices, from 0 on, to names, so that tables can be vectors that are indexed by
+// them. An assigned index never changes and is never reused.
 class Names {
  public:
-  static constexpr uint32_t kNone = UINT32_MAX;
+  static constexpr uint32_t kNone = UINT32_MAX;  // no index
 
+  // Returns the index of `name`; assigns the next one if the name is new.
   uint32_t Intern(const std::string& name) {
-    auto [at, added] = indices_.emplace(name, static_cast<uint32_t>(names_.size()));
+    auto [entry, added] = indices_.emplace(name, static_cast<uint32_t>(names_.size()));
     if (added) names_.push_back(name);
-    return at->second;
+    return entry->second;
   }
+  // Returns the index of `name`, or kNone if it has none.
   uint32_t Find(const std::string& name) const {
-    auto at = indices_.find(name);
-    return at == indices_.end() ? kNone : at->second;
+    auto entry = indices_.find(name);
+    return entry == indices_.end() ? kNone : entry->second;
   }
+  // REQUIRES: index < size().
   const std::string& Name(uint32_t index) const { return names_[index]; }
   size_t size() const { return names_.size(); }
 
--- a/src/base/program.h
+++ b/src/base/program.h
@@ -9,13 +9,15 @@
 
 namespace elderkeel::base {
 
-// What both programs do with a settings file; the results are exit codes.
+// Functions that the main functions of proxy and controller share. They return exit codes.
 
+// Prints the reason of an invalid file to stderr and returns 2.
 inline int Complain(const std::string& path, const Error& error) {
   std::cerr << path << ": " << error.reason << "\n";
   return 2;
 }
 
+// Validates a settings file. Returns 0 if it is valid and 2 if not.
 inline int CheckSettingsFile(const std::string& path) {
   auto settings = LoadSettings(path);
   if (!settings) return Complain(path, settings.error());
@@ -23,6 +25,8 @@
   return 0;
 }
 
+// Loads the settings, starts a Process and runs the event loop until it is stopped. Returns 0 after
+// that, 2 if the settings are invalid and 1 if the process fails to start.
 template <class Process>
 int RunProcess(const std::string& path) {
   auto settings = LoadSettings(path);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -5,7 +5,8 @@
 
 namespace elderkeel::base {
 
-// SplitMix64: small, seedable, and the same on every machine, which the simulation needs.
+// The SplitMix64 pseudo-random generator. It yields the same sequence for a seed on every machine,
+// which makes simulations reproducible. Not for secrets.
 class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
@@ -15,18 +16,21 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
     return z ^ (z >> 31);
   }
+  // Returns a number in [0, bound); 0 if `bound` is 0.
   uint64_t Below(uint64_t bound) { return bound == 0 ? 0 : Next() % bound; }
+  // Returns a number in [0, 1).
   double Unit() { return static_cast<double>(Next() >> 11) * (1.0 / 9007199254740992.0); }
 
  private:
   uint64_t state_;
 };
 
-// A seed from the operating system; for everything that must differ between two starts of a
+// Returns a seed from the operating system, for values that must differ between two runs of a
 // process.
 uint64_t RandomSeed();
 
-// FNV-1a with a final mix: places names on rings and digests documents; not for secrets.
+// Returns the FNV-1a hash of `bytes`, mixed once more by SplitMix64. It places names on hash rings
+// and makes digests of documents. Not for secrets.
 inline uint64_t Hash(std::string_view bytes, uint64_t seed = 0) {
   uint64_t h = 0xcbf29ce484222325ull ^ (seed * 0x9e3779b97f4a7c15ull);
   for (unsigned char c : bytes) h = (h ^ c) * 0x100000001b3ull;
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -15,16 +15,17 @@
 
 enum class Kind { kText, kInteger, kNumber, kFlag, kAddress, kList };
 
+// A field of the settings file: its rule in the schema and how it is stored in Settings.
 struct Field {
   const char* name;
   Kind kind;
-  double minimum;
+  double minimum;  // bounds of integers and numbers
   double maximum;
   bool required;
-  std::function<void(Settings*, const rapidjson::Value&)> take;
+  std::function<void(Settings*, const rapidjson::Value&)> assign;
 };
 
-Address TakeAddress(const rapidjson::Value& v) {
+Address ToAddress(const rapidjson::Value& v) {
   Result<Address> parsed = ParseAddress(v.GetString());
   return parsed ? *parsed : Address{};
 }
@@ -48,10 +49,10 @@
   {                                                                                             \
     name, Kind::kFlag, 0, 0, false, [](Settings* s, const auto& v) { s->member = v.GetBool(); } \
   }
-#define ADDRESS(name, member)                                          \
-  {                                                                    \
-    name, Kind::kAddress, 0, 0, false,                                 \
-        [](Settings* s, const auto& v) { s->member = TakeAddress(v); } \
+#define ADDRESS(name, member)                                        \
+  {                                                                  \
+    name, Kind::kAddress, 0, 0, false,                               \
+        [](Settings* s, const auto& v) { s->member = ToAddress(v); } \
   }
 
 const std::vector<Field>& Fields() {
@@ -165,25 +166,27 @@
   return schema;
 }
 
+// Removes spaces, tabs and carriage returns at both ends.
 std::string Trim(const std::string& text) {
   size_t first = text.find_first_not_of(" \t\r");
   if (first == std::string::npos) return "";
   return text.substr(first, text.find_last_not_of(" \t\r") - first + 1);
 }
 
-std::vector<std::string> Split(const std::string& text, char by) {
+// Returns the trimmed parts of `text` between separators, without empty ones.
+std::vector<std::string> Split(const std::string& text, char separator) {
   std::vector<std::string> parts;
   std::stringstream stream(text);
   std::string part;
-  while (std::getline(stream, part, by)) {
+  while (std::getline(stream, part, separator)) {
     part = Trim(part);
     if (!part.empty()) parts.push_back(part);
   }
   return parts;
 }
 
-// A value becomes the type its field asks for when it reads as one; otherwise it stays a string and
-// the schema says so.
+// Converts a value to the type of its field. A value that can't be converted stays a string, so
+// that the validation reports the wrong type.
 rapidjson::Value ToJson(const Field& field, const std::string& text,
                         rapidjson::Document::AllocatorType& a) {
   char* end = nullptr;
@@ -218,7 +221,7 @@
   return rapidjson::Value(text.c_str(), a);
 }
 
-tl::unexpected<Error> Bad(const std::string& reason) {
+tl::unexpected<Error> InvalidSetting(const std::string& reason) {
   return Failure(ErrorCode::kInvalidArgument, "settings", "", reason);
 }
 
@@ -241,7 +244,8 @@
   char* end = nullptr;
   long port = std::strtol(text.c_str() + colon + 1, &end, 10);
   if (end == text.c_str() + colon + 1 || *end != '\0' || port < 1 || port > 65535) {
-    return Failure(ErrorCode::kInvalidArgument, "address", text, "has no port from 1 to 65535");
+    return Failure(ErrorCode::kInvalidArgument, "address", text,
+                   "the port is not a number from 1 to 65535");
   }
   address.port = static_cast<uint16_t>(port);
   return address;
@@ -271,7 +275,7 @@
   std::string rule =
       validator.GetInvalidSchemaKeyword() ? validator.GetInvalidSchemaKeyword() : "unknown";
   if (rule == "required") {
-    // The release of RapidJSON in use names the rule only; which field is missing is found here.
+    // RapidJSON reports only that the rule `required` failed, so the missing field is looked up.
     const rapidjson::Value* object = validator.GetInvalidDocumentPointer().Get(document);
     const rapidjson::Value* rules = validator.GetInvalidSchemaPointer().Get(schema);
     if (object && object->IsObject() && rules && rules->IsObject() &&
@@ -282,7 +286,7 @@
         }
       }
     }
-    return field + ": lacks a needed field";
+    return field + ": a required field is missing";
   }
   if (rule == "type") return field + ": has the wrong type";
   if (rule == "minimum" || rule == "exclusiveMinimum") return field + ": is too small";
@@ -297,50 +301,51 @@
   rapidjson::Document document(rapidjson::kObjectType);
   for (const Field& field : Fields()) {
     auto at = lines.find(field.name);
-    // An empty value of a field that may be left out counts as left out.
+    // An optional field with an empty value is treated as absent.
     if (at == lines.end() || (at->second.empty() && !field.required)) continue;
     document.AddMember(rapidjson::StringRef(field.name),
                        ToJson(field, at->second, document.GetAllocator()), document.GetAllocator());
   }
   std::string fault = SchemaFault(kSchema, document);
-  if (!fault.empty()) return Bad(fault);
+  if (!fault.empty()) return InvalidSetting(fault);
 
   Settings settings;
   for (const Field& field : Fields()) {
     if (!document.HasMember(field.name)) continue;
     const rapidjson::Value& value = document[field.name];
     if (field.kind == Kind::kAddress && !ParseAddress(value.GetString())) {
-      return Bad(std::string(field.name) + ": is not an address and port");
+      return InvalidSetting(std::string(field.name) + ": is not an address and port");
     }
     if (std::string(field.name) == "port-range" && value.Size() != 2) {
-      return Bad("port-range: needs a first and a last port");
+      return InvalidSetting("port-range: needs a first and a last port");
     }
-    field.take(&settings, value);
+    field.assign(&settings, value);
   }
   for (const auto& [name, value] : lines) {
     if (name.rfind("zones.", 0) == 0) settings.zones[name.substr(6)] = value;
   }
   if (lines.count("seed-list") && settings.seeds.size() != Split(lines["seed-list"], ',').size()) {
-    return Bad("seed-list: holds something that is not an address and port");
+    return InvalidSetting("seed-list: holds something that is not an address and port");
   }
   if (settings.region.empty()) settings.region = settings.RegionOf(settings.zone);
-  if (settings.poll_ms > 0 && settings.poll_ms < 50) return Bad("elderkeel.poll-ms: is too small");
+  if (settings.poll_ms > 0 && settings.poll_ms < 50)
+    return InvalidSetting("elderkeel.poll-ms: is too small");
   in_addr parsed{};
   if (inet_pton(AF_INET, settings.ip.c_str(), &parsed) != 1) {
-    return Bad("ip: is not an IPv4 address");
+    return InvalidSetting("ip: is not an IPv4 address");
   }
   if (ParseLogLevel(settings.log_level, LogLevel::kDebug) !=
       ParseLogLevel(settings.log_level, LogLevel::kError)) {
-    return Bad("elderkeel.log-level: is none of debug, info, warn, error");
+    return InvalidSetting("elderkeel.log-level: is none of debug, info, warn, error");
   }
   if (settings.telemetry_sink != "stdout" && settings.telemetry_sink != "file") {
-    return Bad("elderkeel.telemetry-sink: is none of stdout, file");
+    return InvalidSetting("elderkeel.telemetry-sink: is none of stdout, file");
   }
   if (settings.telemetry_sink == "file" && settings.telemetry_file.empty()) {
-    return Bad("elderkeel.telemetry-file: is missing for the sink 'file'");
+    return InvalidSetting("elderkeel.telemetry-file: is missing for the sink 'file'");
   }
   if (settings.port_first == 0 || settings.port_last < settings.port_first + 1) {
-    return Bad("port-range: needs at least two ports");
+    return InvalidSetting("port-range: needs at least two ports");
   }
   return settings;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -13,6 +13,7 @@
 
 namespace elderkeel::base {
 
+// An IPv4 address and a port.
 struct Address {
   std::string ip;
   uint16_t port = 0;
@@ -25,33 +26,37 @@
   }
 };
 
-// Reads `a.b.c.d:port`; nothing else, since names are not looked up.
+// Parses `a.b.c.d:port`. Host names are an error, since no names are resolved.
 Result<Address> ParseAddress(const std::string& text);
 
-// The settings of one process, read from lines of the form a.b=value and checked by a schema.
-// Fields that are not known are ignored. docs/settings.md lists them all.
+// The settings of one process, parsed from lines of the form a.b=value and validated against a
+// schema. Unknown fields are ignored. docs/settings.md lists all fields. A suffix gives the unit of
+// a member: _ms, _s, _mb, _bytes, _percent.
 struct Settings {
   std::string node_name;
   std::string role;
   std::string ip;
   std::string zone;
   std::string region;
-  std::string entry;      // how clients find this fleet: `directory`, or by the platform's choice
-  std::string rollout;    // the kind of deployment; empty for the first kind, a gateway
-  std::string contracts;  // the parts of the platform's rules that are in force, joined by commas
+  std::string entry;      // how clients find the proxies: `directory`, else chosen by the platform
+  std::string rollout;    // the kind of deployment; empty for a gateway
+  std::string contracts;  // comma-separated list of the platform's rules that are in force
   std::string data_dir;
-  std::map<std::string, std::string> zones;  // each zone's region
-  std::vector<Address> seeds;
+  std::map<std::string, std::string> zones;  // zone -> region
+  std::vector<Address> seeds;                // nodes to contact first in order to join the fleet
+  // Listeners: client requests, readiness checks, the operator API, and the directory.
   Address front, readiness, control, directory;
-  uint16_t port_first = 0, port_last = 0;
+  uint16_t port_first = 0, port_last = 0;  // the port range, inclusive
   bool bootstrap = false;
   int64_t memory_mb = 256;
   int64_t max_fds = 1024;
 
+  // The platform's API, from which the list of servers is read.
   Address platform;
   double platform_rate_per_s = 10;
   int64_t platform_lag_ms = 1000;
 
+  // Bounds that the platform sets for this fleet.
   int64_t contact_ms = 4000;
   int64_t ack_ms = 5000;
   int64_t drain_ms = 3000;
@@ -61,68 +66,75 @@
   double retry_window_s = 10;
   double retry_slack = 10;
   int64_t evacuate_ms = 5000;
-  double warmup_excess = 1.5;  // a cold server may get so many times its stated rate
-  double warmup_slack = 8;     // and so many requests on top, in any second
-  double ttl_max_s = 5;        // of the directory's answers
-  double canary_share = 0.1;   // of a service's requests that may reach a version not proven
-  int64_t canary_slack = 50;   // and so many on top
-  int64_t rollback_ms = 5000;  // from when a version is plainly bad until nothing is sent there
-
-  // What may be lost at once without loss of what was acknowledged.
+  double warmup_excess = 1.5;  // limit for a server in slow start, as a multiple of its stated rate
+  double warmup_slack = 8;     // plus this many requests, in any one second
+  double ttl_max_s = 5;        // longest time to live of the directory's answers
+  double canary_share = 0.1;   // share of a service's requests that may reach an unproven version
+  int64_t canary_slack = 50;   // plus this many requests
+  int64_t rollback_ms = 5000;  // from when a version is clearly failing until it gets no requests
+
+  // How many machines, zones and regions may fail at once without loss of acknowledged data.
   int64_t tolerance_machines = 1;
   int64_t tolerance_zones = 0;
   int64_t tolerance_regions = 0;
 
-  // Ours, with defaults that suit a fleet of tens of nodes in one region.
+  // elderkeel's own settings. The defaults suit a fleet of tens of nodes in one region.
   std::string log_level = "info";
-  int64_t poll_ms =
-      0;  // how often the catalog reader reads the platform's list; 0: as `PollMs` says
-  int64_t stale_catalog_ms = 6000;  // with no update of the list for so long, a node reads it
-  int64_t heartbeat_ms = 250;       // ring heartbeats
-  int64_t digest_ms = 400;          // digest exchange with a random peer
+  // Interval at which the catalog reader polls the platform's list; 0: PollMs() derives it.
+  int64_t poll_ms = 0;
+  // A node whose list has not been updated for this long reads the platform's list itself.
+  int64_t stale_catalog_ms = 6000;
+  int64_t heartbeat_ms = 250;  // interval of the heartbeats between ring neighbours
+  int64_t digest_ms = 400;     // interval of the digest exchange with a random peer
   int64_t raft_heartbeat_ms = 120;
-  int64_t election_ms = 600;          // an election starts after one to two times this silence
-  int64_t connect_ms = 250;           // time for a connection to a server to come up
-  int64_t held_body_bytes = 1 << 20;  // answers up to this size are held whole
-  int64_t wait_share_percent = 25;    // of a route's aim: the longest wait for a server's slot
-  bool second_sends = true;           // a second send of a slow repeatable request, under budget
+  int64_t election_ms = 600;          // the election timeout is one to two times this
+  int64_t connect_ms = 250;           // timeout for connecting to a server
+  int64_t held_body_bytes = 1 << 20;  // answers up to this size are buffered completely
+  int64_t wait_share_percent = 25;    // longest wait for a server, as share of the target latency
+  bool second_sends = true;           // hedge slow idempotent requests, within the retry budget
   std::string telemetry_sink = "stdout";
   std::string telemetry_file;
   int64_t telemetry_flush_ms = 500;
 
-  // A change of the list has `drain_ms` from when it can be read until the last proxy must know it.
-  // A third of that goes by until the next reading at worst; a reading that fails has another try.
+  // The interval of polling the platform's list. `drain_ms` after a change of the list becomes
+  // readable, all proxies must have applied it. By default up to 30 % of that passes before the
+  // next poll, which leaves time for another one if a poll fails.
   int64_t PollMs() const {
     return poll_ms > 0 ? poll_ms : std::clamp<int64_t>(drain_ms * 3 / 10, 250, 10000);
   }
   int64_t GraceMs() const { return static_cast<int64_t>(grace_s * 1000); }
-  // Within so long whatever was acknowledged is known everywhere: half of the shortest time that
-  // the platform allows for any of it.
+  // The time within which an acknowledged change reaches all nodes: half of the shortest bound that
+  // the platform sets for any kind of change.
   int64_t PropagationMs() const {
     return std::min({apply_ms, drain_ms, evacuate_ms, rollback_ms}) / 2;
   }
+  // Returns the region of a zone; empty if the zone is unknown.
   std::string RegionOf(const std::string& of_zone) const {
     auto at = zones.find(of_zone);
     return at == zones.end() ? std::string() : at->second;
   }
-  // Servers of a version get traffic only by an operator's order. Elsewhere versions mean nothing.
+  // Whether a version of a service gets traffic only after an operator starts its roll-out. If
+  // false, versions don't affect routing.
   bool VersionsByOrder() const;
   uint16_t ControllerPort() const { return port_first; }
   uint16_t ProxyPort() const { return static_cast<uint16_t>(port_first + 1); }
 };
 
-// Parses and checks; the error names the field in `peer` position-free form: reason "field: why".
+// Parses and validates settings. The reason of an error has the form "field: problem".
 Result<Settings> ParseSettings(const std::string& text);
 Result<Settings> LoadSettings(const std::string& path);
-// The file that ELDERKEEL_SETTINGS names, or the usual place.
+// Returns the path in the environment variable ELDERKEEL_SETTINGS, or the default path.
 std::string SettingsPath();
 
-// What a settings line holds, before checks: for `check` and for tests.
+// Splits `text` into its key=value lines, without validation. Blank lines, comments (#) and lines
+// without '=' are skipped; the last line of a key wins.
 std::map<std::string, std::string> ParseLines(const std::string& text);
 
-// The first field that breaks `schema` in `document`, as "field: why"; empty when it holds.
+// Validates `document` against the JSON schema `schema`. Returns the first violation as
+// "field: problem", or an empty string if there is none.
 std::string SchemaFault(const rapidjson::Document& schema, const rapidjson::Value& document);
 
+// Returns the contents of a file.
 Result<std::string> ReadFile(const std::string& path);
 
 }  // namespace elderkeel::base
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -4,12 +4,12 @@
 
 namespace elderkeel::base {
 
-// What a replicated state says to a change that an operator asks for.
+// The result of checking an operator's change against the replicated state.
 struct Verdict {
-  // 0: the change may be proposed. Else the HTTP status to answer: 200 if it took effect before (a
-  // repeated call), 4xx if it is rejected, 503 if it can't be judged now.
+  // 0 if the change may be proposed. Otherwise the HTTP status to answer with: 200 if the change is
+  // already in effect (a repeated call), 4xx if it is rejected, 503 if it can't be checked now.
   int status = 0;
-  std::string reason;
+  std::string reason;  // text of the answer
 
   bool may_propose() const { return status == 0; }
 };
--- a/tests/base/settings_test.cc
+++ b/tests/base/settings_test.cc
@@ -5,13 +5,15 @@
 namespace elderkeel::base {
 namespace {
 
-const char* kGood =
+const char* kValidSettings =
     "node-name=edge-a-1\nip=10.1.0.39\nzone=a\nzones.a=r\nzones.b=r\nport-range=7200,7215\n"
     "seed-list=10.1.0.39:8382,10.2.0.12:8382\nbootstrap=true\nlisteners.front=10.1.0.39:8381\n"
     "platform.rate-per-s=52.0\nbounds.grace-s=6\nplatform.duty-list=\nsome.new-field=x\n";
 
-TEST(Settings, ReadsKnownFieldsAndIgnoresOthers) {
-  auto settings = ParseSettings(kGood);
+// Guards against known fields that are read wrongly and unknown fields that make the settings
+// invalid.
+TEST(Settings, KnownFieldsAreReadAndUnknownFieldsAreIgnored) {
+  auto settings = ParseSettings(kValidSettings);
   ASSERT_TRUE(settings.has_value()) << settings.error().reason;
   EXPECT_EQ(settings->node_name, "edge-a-1");
   EXPECT_EQ(settings->zones.size(), 2u);
@@ -22,7 +24,8 @@
   EXPECT_DOUBLE_EQ(settings->platform_rate_per_s, 52.0);
 }
 
-TEST(Settings, NamesTheFieldThatIsWrong) {
+// Guards against an invalid value that is accepted, or whose error does not name the field.
+TEST(Settings, ErrorNamesTheInvalidField) {
   struct Case {
     const char* line;
     const char* reason;
@@ -43,7 +46,7 @@
       {"seed-list=10.1.0.39:8382,nobody", "seed-list: holds something"},
   };
   for (const Case& c : cases) {
-    auto settings = ParseSettings(std::string(kGood) + c.line + "\n");
+    auto settings = ParseSettings(std::string(kValidSettings) + c.line + "\n");
     ASSERT_FALSE(settings.has_value()) << c.line;
     EXPECT_EQ(settings.error().reason.rfind(c.reason, 0), 0u)
         << c.line << " gave " << settings.error().reason;
