--- a/src/telemetry/buffer.h
+++ b/src/telemetry/buffer.h
@@ -15,16 +15,20 @@
 
 namespace elderkeel::telemetry {
 
+// What a buffer does with a new record when no sub-buffer is free.
 enum class Mode {
-  kDiscard,         // a full buffer refuses and counts new records
-  kFlightRecorder,  // a full buffer gives up its oldest sub-buffer
+  kDiscard,         // a full buffer drops and counts new records
+  kFlightRecorder,  // a full buffer overwrites its oldest sub-buffer
 };
 
-// The circular buffer of one request thread, after the scheme of Desnoyers and Dagenais; names and
-// equation numbers are the paper's, and docs/telemetry.md tells what was kept and what changed.
+// The lock-free circular buffer for the records of one request thread, after the LTTng design of
+// Desnoyers and Dagenais. The names and the equation numbers in parentheses are those of the paper;
+// docs/telemetry.md describes the differences. Any number of writers may call Reserve, Commit,
+// Record and ForceSwitch, also from signal handlers; one reader at a time may call Read. A writer
+// never blocks.
 //
-// `Word` is the type of the free-running counts. The product uses 64 bits; the tests use 32 to see
-// the counts wrap.
+// `Word` is the type of the free-running counts. The programs use 64 bits; tests use 32 bits to
+// cover the wrap-around of the counts.
 template <class Word = uint64_t>
 class Buffer {
  public:
@@ -35,28 +39,30 @@
     Word start = 0;  // first value of the counts; a multiple of the buffer's size
   };
 
+  // Precedes the payload of each record.
   struct RecordHeader {
-    uint64_t time = 0;
-    uint32_t size = 0;  // of the payload
-    uint32_t type = 0;
+    uint64_t time = 0;  // of the reservation; steady clock, ns
+    uint32_t size = 0;  // of the payload, in bytes
+    uint32_t type = 0;  // as passed to Reserve
   };
 
-  // Space reserved for one record. It must be committed, and can be written until then.
+  // Space reserved for one record. Its payload may be written until the slot is committed. Each
+  // slot must be committed: until then its sub-buffer can be neither read nor overwritten.
   struct Slot {
     std::byte* payload = nullptr;
     Word begin = 0;    // count at the start of the slot
-    size_t bytes = 0;  // all of the slot
+    size_t bytes = 0;  // size of the slot: header, payload and alignment
     size_t payload_bytes = 0;
   };
 
-  // A sub-buffer that the reader owns.
+  // A sub-buffer that the reader has taken out of the buffer.
   struct Chunk {
-    uint64_t begin_time = 0;
-    uint64_t lost = 0;  // records lost before this sub-buffer was begun
+    uint64_t begin_time = 0;  // of its first record; steady clock, ns
+    uint64_t lost = 0;        // records lost in total before the first record
     const std::byte* data = nullptr;
     size_t size = 0;
 
-    // Calls visit(RecordHeader, payload) for each record in order.
+    // Calls visit(RecordHeader, payload) for each record, oldest first.
     template <class Visit>
     void ForEach(Visit visit) const {
       size_t at = 0;
@@ -81,13 +87,14 @@
         commits_(options.subbuffers),
         spare_(static_cast<uint32_t>(options.subbuffers)) {
     for (size_t i = 0; i <= options.subbuffers; ++i) {
-      // calloc leaves fresh pages untouched: a stand-in that is never used costs no memory.
+      // calloc leaves new pages untouched, so a standby buffer that is never used takes no physical
+      // memory.
       storages_.emplace_back(
           static_cast<uint64_t*>(std::calloc(options.subbuffer_bytes / sizeof(uint64_t), 8)));
       if (!storages_.back()) throw std::bad_alloc();
     }
     for (size_t i = 0; i < options.subbuffers; ++i) {
-      // Each sub-buffer stands as if all laps before `start` had been committed whole.
+      // Initialize the counts as if all laps before `start` had been fully committed.
       Word committed = static_cast<Word>(static_cast<Word>(options.start >> bfbits_) << sbfbits_);
       commits_[i].count.store(committed, std::memory_order_relaxed);
       commits_[i].sequence.store(committed, std::memory_order_relaxed);
@@ -97,15 +104,19 @@
   Buffer(const Buffer&) = delete;
   Buffer& operator=(const Buffer&) = delete;
 
+  // Size of the slot for a payload of `payload` bytes: with header, rounded up to 8 bytes.
   static size_t SlotBytes(size_t payload) {
     return (sizeof(RecordHeader) + payload + 7) & ~size_t{7};
   }
+  // The largest payload, in bytes, that fits into a sub-buffer.
   size_t MaxPayload() const {
     return options_.subbuffer_bytes - sizeof(Header) - sizeof(RecordHeader);
   }
 
-  // RESERVE_SLOT. Lock-free: one compare-and-swap, tried again only if another reservation came
-  // between. Empty when the record is lost, which is counted.
+  // RESERVE_SLOT: reserves space for a payload of `payload` bytes. Lock-free: one compare-and-swap,
+  // repeated only if another reservation succeeded in between. Returns nothing, and counts a lost
+  // record, if the payload is too large, the buffer is full (discard mode) or the next sub-buffer
+  // has uncommitted slots.
   std::optional<Slot> Reserve(size_t payload, uint32_t type) {
     size_t bytes = SlotBytes(payload);
     if (bytes + sizeof(Header) > options_.subbuffer_bytes) {
@@ -115,12 +126,12 @@
     Word old, begin, next, pushed_for = 0;
     uint64_t time;
     bool opens;      // this slot is the first of its sub-buffer
-    size_t padding;  // left at the end of the sub-buffer that is given up
-    bool push;
+    size_t padding;  // unused bytes at the end of the sub-buffer that this slot does not fit into
+    bool push;       // this slot overwrites the oldest sub-buffer
     old = write_count_.load(std::memory_order_acquire);
     do {
-      // The time is read inside the loop: between it and the reservation no other one succeeded, so
-      // times rise in the order of the slots.
+      // The time is read inside the loop: no other reservation succeeds between this read and the
+      // compare-and-swap, so times never decrease in the order of the slots.
       time = static_cast<uint64_t>(base::SteadyNanos());
       Word offset = old & (sbuf_ - 1);
       opens = push = false;
@@ -135,7 +146,7 @@
       }
       if (opens) {
         if (!FullyCommitted(begin)) {
-          // A writer is still at work in the sub-buffer that would be written over.
+          // The sub-buffer to be overwritten has a slot that a writer has not committed yet.
           lost_.fetch_add(1, std::memory_order_relaxed);
           return std::nullopt;
         }
@@ -164,17 +175,17 @@
     auto* bytes_at = reinterpret_cast<std::byte*>(storage) + (slot_begin & (sbuf_ - 1));
     RecordHeader record{time, static_cast<uint32_t>(payload), type};
     std::memcpy(bytes_at, &record, sizeof record);
-    // ENDSWITCH_CURRENT: this slot fills its sub-buffer to the last byte.
+    // ENDSWITCH_CURRENT: this slot ends exactly at the end of its sub-buffer.
     if ((next & (sbuf_ - 1)) == 0)
       reinterpret_cast<Header*>(storage)->used = options_.subbuffer_bytes;
     if (opens) Commit(begin, sizeof(Header));
     return Slot{bytes_at + sizeof record, slot_begin, bytes, payload};
   }
 
-  // COMMIT_SLOT.
+  // COMMIT_SLOT: makes the record readable once its whole sub-buffer is committed.
   void Commit(const Slot& slot) { Commit(slot.begin, slot.bytes); }
 
-  // Reserve, copy, commit.
+  // Reserves a slot, copies the payload and commits it. Returns false if the record is lost.
   bool Record(uint32_t type, const void* payload, size_t size) {
     auto slot = Reserve(size, type);
     if (!slot) return false;
@@ -183,8 +194,8 @@
     return true;
   }
 
-  // FORCE_SWITCH: gives up what is left of the current sub-buffer, so that its records can be read.
-  // An empty one stays.
+  // FORCE_SWITCH: closes the current sub-buffer by padding, so that its records can be read. Does
+  // nothing if the sub-buffer is empty.
   void ForceSwitch() {
     Word old = write_count_.load(std::memory_order_acquire);
     size_t padding;
@@ -198,8 +209,9 @@
     EndSubbuffer(old, padding);
   }
 
-  // READ_GETSUBBUF: takes the oldest ready sub-buffer in exchange for the spare. The chunk is valid
-  // until the next call. One reader at a time.
+  // READ_GETSUBBUF: takes the oldest ready sub-buffer and puts the reader's spare one in its place.
+  // Returns nothing if no sub-buffer is ready. The chunk is valid until the next call. One reader
+  // at a time.
   std::optional<Chunk> Read() {
     for (;;) {
       Word read = read_count_.load(std::memory_order_acquire);
@@ -209,10 +221,10 @@
       if ((write & ~(sbuf_ - 1)) == (read & ~(sbuf_ - 1))) return std::nullopt;  // (4)
       if (!Ready(read, sequence)) return std::nullopt;                           // (2)
       uint64_t reference = c.reference.load(std::memory_order_acquire);
-      uint64_t wanted = MakeReference(static_cast<uint32_t>(reference), Tag(read), false);
-      if (reference != wanted) {
-        // A writer has it again already: in flight recorder mode the reader was, or is just being,
-        // pushed on.
+      uint64_t expected = MakeReference(static_cast<uint32_t>(reference), Tag(read), false);
+      if (reference != expected) {
+        // A writer has already started to overwrite this sub-buffer (flight recorder mode) and has
+        // advanced, or is about to advance, the read count.
         if (read_count_.load(std::memory_order_acquire) == read) return std::nullopt;
         continue;
       }
@@ -221,7 +233,7 @@
         continue;
       }
       spare_ = static_cast<uint32_t>(reference);
-      // Fails only if a writer pushed the reader meanwhile, and then it stands where it must.
+      // Fails only if a writer has advanced the read count meanwhile; that value is then correct.
       read_count_.compare_exchange_strong(read, read + sbuf_, std::memory_order_acq_rel);
       const auto* bytes = reinterpret_cast<const std::byte*>(storages_[spare_].get());
       Header header{};
@@ -231,35 +243,39 @@
     }
   }
 
-  // Whether there is something that the reader waits for and a writer has not committed: the oldest
-  // sub-buffer is closed but not whole.
+  // Whether an uncommitted slot blocks the reader: the oldest sub-buffer is closed, but not fully
+  // committed.
   bool Stalled() const {
     Word read = read_count_.load(std::memory_order_acquire);
     Word write = write_count_.load(std::memory_order_acquire);
     if ((write & ~(sbuf_ - 1)) == (read & ~(sbuf_ - 1))) return false;
     return !Ready(read, commits_[Index(read)].sequence.load(std::memory_order_acquire));
   }
-  // Everything reserved is committed and read.
+  // Whether all reserved space has been committed and read.
   bool Drained() const {
     Word read = read_count_.load(std::memory_order_acquire);
     Word write = write_count_.load(std::memory_order_acquire);
     return read == write;
   }
 
+  // Number of records lost since the start.
   uint64_t lost() const { return lost_.load(std::memory_order_relaxed); }
   Word write_count() const { return write_count_.load(std::memory_order_relaxed); }
   Word read_count() const { return read_count_.load(std::memory_order_relaxed); }
 
  private:
+  // The start of each sub-buffer.
   struct Header {
     uint64_t begin_time;
     uint64_t lost;
     uint64_t used;  // bytes up to the padding, this header included
   };
+  // The commit counters of a sub-buffer, and which storage it uses.
   struct Commits {
-    std::atomic<Word> count{0};
-    std::atomic<Word> sequence{0};
-    // storage index (low half), writer flag, and the production number as a tag
+    std::atomic<Word> count{0};     // bytes committed
+    std::atomic<Word> sequence{0};  // `count` when the sub-buffer was last fully committed
+    // Storage index (low 32 bits), writer flag (1 bit), and the number of the sub-buffer since the
+    // start of the counts as a tag (31 bits).
     std::atomic<uint64_t> reference{0};
   };
 
@@ -269,23 +285,25 @@
     return bits;
   }
   size_t Index(Word count) const { return static_cast<size_t>((count & (buf_ - 1)) >> sbfbits_); }
-  // The top bits of a per-sub-buffer count have no partner in a count of the whole buffer.
+  // Masks off the top bits of a commit count. A count of the whole buffer has no bits that
+  // correspond to them, so they can't be compared.
   Word CommitMask() const {
     return static_cast<Word>(static_cast<Word>(~Word{0}) >> (bfbits_ - sbfbits_));
   }
+  // The commit count that a sub-buffer has reached before the lap that `count` belongs to.
   Word Lap(Word count) const {
     return static_cast<Word>(static_cast<Word>(count >> bfbits_) << sbfbits_) & CommitMask();
   }
-  // (1), for the sub-buffer that begins at `begin`
+  // (1): the buffer is full, for the sub-buffer that begins at `begin`.
   bool Full(Word begin) const {
     Word read = read_count_.load(std::memory_order_acquire) & ~(sbuf_ - 1);
     return static_cast<Word>(begin - read) >= buf_;
   }
-  // (2)
+  // (2): the sub-buffer at the read count is fully committed.
   bool Ready(Word read, Word sequence) const {
     return Lap(read) == (static_cast<Word>(sequence - sbuf_) & CommitMask());
   }
-  // (3), for the sub-buffer that begins at `begin`
+  // (3): the previous lap of the sub-buffer that begins at `begin` is fully committed.
   bool FullyCommitted(Word begin) const {
     return Lap(begin) ==
            (commits_[Index(begin)].sequence.load(std::memory_order_acquire) & CommitMask());
@@ -296,22 +314,25 @@
     return storage | (writing ? uint64_t{1} << 32 : 0) | (uint64_t{tag} << 33);
   }
 
-  // Sets the writer flag for the sub-buffer of `count`, so that the reader can't exchange it, and
-  // says where it is stored. Each writer does so for itself: the first one may be late.
+  // Sets the writer flag of the sub-buffer of `count`, so that the reader can't exchange it, and
+  // returns its storage. Each writer sets the flag, because the writer that opens the sub-buffer
+  // may be delayed before it does so.
   uint64_t* Reference(Word count) {
     std::atomic<uint64_t>& reference = commits_[Index(count)].reference;
     uint32_t tag = Tag(count);
-    uint64_t have = reference.load(std::memory_order_acquire);
+    uint64_t current = reference.load(std::memory_order_acquire);
     for (;;) {
-      uint32_t storage = static_cast<uint32_t>(have);
-      uint64_t wanted = MakeReference(storage, tag, true);
-      if (have == wanted || reference.compare_exchange_weak(have, wanted, std::memory_order_acq_rel,
-                                                            std::memory_order_acquire)) {
+      uint32_t storage = static_cast<uint32_t>(current);
+      uint64_t desired = MakeReference(storage, tag, true);
+      if (current == desired ||
+          reference.compare_exchange_weak(current, desired, std::memory_order_acq_rel,
+                                          std::memory_order_acquire)) {
         return storages_[storage].get();
       }
     }
   }
 
+  // Advances the read count past the sub-buffer that the writer at `begin` overwrites.
   void PushReader(Word begin) {
     Word target = static_cast<Word>(begin - buf_ + sbuf_);
     Word read = read_count_.load(std::memory_order_acquire);
@@ -320,7 +341,7 @@
     }
   }
 
-  // SWITCH_OLDSUBBUF: the rest of the sub-buffer of `old` is padding.
+  // SWITCH_OLDSUBBUF: commits the rest of the sub-buffer of `old` as padding.
   void EndSubbuffer(Word old, size_t padding) {
     uint64_t* storage = Reference(old);
     reinterpret_cast<Header*>(storage)->used = static_cast<uint64_t>(old & (sbuf_ - 1));
@@ -330,14 +351,16 @@
   void Commit(Word begin, size_t bytes) {
     Commits& c = commits_[Index(begin)];
     Word full = static_cast<Word>(Lap(begin) + sbuf_) & CommitMask();
-    // Release and acquire: the last one to commit sees what all others wrote before it tells.
+    // Acquire and release: the writer that completes the sub-buffer synchronizes with all other
+    // writers before it publishes the sequence to the reader.
     Word count = c.count.fetch_add(static_cast<Word>(bytes), std::memory_order_acq_rel) +
                  static_cast<Word>(bytes);
     if ((count & CommitMask()) != full) return;
-    // The flag goes first: once the sequence is seen the reader may exchange the sub-buffer.
-    uint64_t have = c.reference.load(std::memory_order_acquire);
+    // Clear the writer flag before the sequence is published: the reader exchanges a sub-buffer
+    // only if its flag is clear.
+    uint64_t current = c.reference.load(std::memory_order_acquire);
     while (!c.reference.compare_exchange_weak(
-        have, MakeReference(static_cast<uint32_t>(have), Tag(begin), false),
+        current, MakeReference(static_cast<uint32_t>(current), Tag(begin), false),
         std::memory_order_acq_rel, std::memory_order_acquire)) {
     }
     Word sequence = c.sequence.load(std::memory_order_relaxed);
@@ -358,9 +381,8 @@
   struct Free {
     void operator()(uint64_t* storage) const { std::free(storage); }
   };
-  std::vector<std::unique_ptr<uint64_t[], Free>>
-      storages_;  // one more than sub-buffers: the reader's spare
-  uint32_t spare_;
+  std::vector<std::unique_ptr<uint64_t[], Free>> storages_;  // one more than there are sub-buffers
+  uint32_t spare_;  // index of the storage that the reader owns
 };
 
 }  // namespace elderkeel::telemetry
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -12,13 +12,15 @@
 namespace elderkeel::telemetry {
 namespace {
 
+// Bounds of the lines kept in memory.
 constexpr size_t kKeptBytes = 96 << 10;
 constexpr size_t kKeptControlBytes = 32 << 10;
 constexpr size_t kKeptFailureBytes = 32 << 10;
-constexpr int64_t kClockStepNs = 50'000'000;
-constexpr int kStalledTurns = 2;
+constexpr int64_t kClockStepNs = 50'000'000;  // smaller steps of the wall clock are not recorded
+constexpr int kMaxStalledReads = 2;           // in a row, before the writers switch buffers
 
-Buffer<>::Options Shape(size_t bytes, Mode mode) {
+// Divides `bytes` into sub-buffers of at least 1 KiB.
+Buffer<>::Options MakeBufferOptions(size_t bytes, Mode mode) {
   Buffer<>::Options options;
   options.subbuffers = 8;
   options.subbuffer_bytes = std::max<size_t>(1024, bytes / options.subbuffers);
@@ -26,30 +28,32 @@
   return options;
 }
 
-void Add(std::string* line, const char* key, std::string_view value) {
+void AppendField(std::string* line, const char* key, std::string_view value) {
   line->push_back(' ');
   line->append(key);
   line->push_back('=');
   base::AppendLogValue(line, value);
 }
-void Add(std::string* line, const char* key, int64_t value) {
-  Add(line, key, std::string_view(std::to_string(value)));
+void AppendField(std::string* line, const char* key, int64_t value) {
+  AppendField(line, key, std::string_view(std::to_string(value)));
 }
 
-// Returns how many lines had to go.
+// Removes the oldest lines until at most `bytes` bytes are left. Returns the number of removed
+// lines.
 uint64_t KeepNewest(std::string* lines, size_t bytes) {
   if (lines->size() <= bytes) return 0;
   size_t cut = lines->find('\n', lines->size() - bytes);
   size_t end = cut == std::string::npos ? 0 : cut + 1;
-  auto gone = std::count(lines->begin(), lines->begin() + static_cast<long>(end), '\n');
+  auto removed = std::count(lines->begin(), lines->begin() + static_cast<long>(end), '\n');
   lines->erase(0, end);
-  return static_cast<uint64_t>(gone);
+  return static_cast<uint64_t>(removed);
 }
 
 class StdoutSink : public Sink {
  public:
   bool Write(std::string_view text) override {
-    // A reader that stopped reading must not hold the exporter, whose buffers would then fill.
+    // If the reader of the pipe stops, a blocking write would stall the exporter and its buffers
+    // would fill up. So wait at most 50 ms for each block.
     while (!text.empty()) {
       pollfd wait{STDOUT_FILENO, POLLOUT, 0};
       if (poll(&wait, 1, 50) != 1) return false;
@@ -80,7 +84,7 @@
     ssize_t written = write(fd_, text.data(), text.size());
     if (written != static_cast<ssize_t>(text.size())) {
       close(fd_);
-      fd_ = -1;  // tried anew at the next export
+      fd_ = -1;  // opened again at the next export
       return false;
     }
     size_ += text.size();
@@ -101,14 +105,14 @@
 
 class CallSink : public Sink {
  public:
-  explicit CallSink(std::function<bool(std::string)> take) : take_(std::move(take)) {}
-  bool Write(std::string_view text) override { return take_(std::string(text)); }
+  explicit CallSink(std::function<bool(std::string)> write) : write_(std::move(write)) {}
+  bool Write(std::string_view text) override { return write_(std::string(text)); }
 
  private:
-  std::function<bool(std::string)> take_;
+  std::function<bool(std::string)> write_;
 };
 
-const char* WhatName(ControlRecord::What what) {
+const char* EventName(ControlRecord::What what) {
   switch (what) {
     case ControlRecord::What::kVersion:
       return "version.adopted";
@@ -170,13 +174,13 @@
 
 uint64_t Channel::lost() const { return buffers_[0]->lost() + buffers_[1]->lost(); }
 
-void Channel::Review() {
-  Buffer<>* used = current_.load(std::memory_order_acquire);
-  Buffer<>* other = used == buffers_[0].get() ? buffers_[1].get() : buffers_[0].get();
-  stalled_turns_ = used->Stalled() ? stalled_turns_ + 1 : 0;
-  if (stalled_turns_ >= kStalledTurns && !other->Stalled()) {
-    current_.store(other, std::memory_order_release);
-    stalled_turns_ = 0;
+void Channel::SwitchIfStalled() {
+  Buffer<>* active = current_.load(std::memory_order_acquire);
+  Buffer<>* standby = active == buffers_[0].get() ? buffers_[1].get() : buffers_[0].get();
+  stalled_reads_ = active->Stalled() ? stalled_reads_ + 1 : 0;
+  if (stalled_reads_ >= kMaxStalledReads && !standby->Stalled()) {
+    current_.store(standby, std::memory_order_release);
+    stalled_reads_ = 0;
   }
 }
 
@@ -184,15 +188,15 @@
 std::unique_ptr<Sink> MakeFileSink(const std::string& path, size_t limit) {
   return std::make_unique<FileSink>(path, limit);
 }
-std::unique_ptr<Sink> MakeCallSink(std::function<bool(std::string)> take) {
-  return std::make_unique<CallSink>(std::move(take));
+std::unique_ptr<Sink> MakeCallSink(std::function<bool(std::string)> write) {
+  return std::make_unique<CallSink>(std::move(write));
 }
 
 Recorder::Recorder(Options options, std::unique_ptr<Sink> sink)
     : options_(options),
-      requests_(Shape(options.requests_bytes, Mode::kFlightRecorder)),
-      failures_(Shape(options.failures_bytes, Mode::kDiscard)),
-      control_(Shape(options.control_bytes, Mode::kDiscard)),
+      requests_(MakeBufferOptions(options.requests_bytes, Mode::kFlightRecorder)),
+      failures_(MakeBufferOptions(options.failures_bytes, Mode::kDiscard)),
+      control_(MakeBufferOptions(options.control_bytes, Mode::kDiscard)),
       sink_(std::move(sink)),
       clock_offset_(base::WallNanos() - base::SteadyNanos()),
       thread_([this] { Run(); }) {}
@@ -200,7 +204,7 @@
 Recorder::~Recorder() {
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
   wake_.notify_one();
   thread_.join();
@@ -220,32 +224,32 @@
 void Recorder::TakeRecords(std::function<void(Kept)> done) {
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    asked_.push_back(std::move(done));
+    pending_takes_.push_back(std::move(done));
   }
   wake_.notify_one();
 }
 
 void Recorder::Run() {
   std::unique_lock<std::mutex> lock(mutex_);
-  while (!ending_) {
-    // The timer is what wakes the reader; writers never do.
+  while (!stopping_) {
+    // Woken by the timeout, TakeRecords or the destructor; writers never wake the exporter.
     wake_.wait_for(lock, std::chrono::milliseconds(options_.flush_ms),
-                   [this] { return ending_ || !asked_.empty(); });
-    std::vector<std::function<void(Kept)>> asked;
-    asked.swap(asked_);
+                   [this] { return stopping_ || !pending_takes_.empty(); });
+    std::vector<std::function<void(Kept)>> takes;
+    takes.swap(pending_takes_);
     lock.unlock();
     Export();
-    if (!asked.empty()) {
+    if (!takes.empty()) {
       {
-        std::lock_guard<std::mutex> one(export_mutex_);
+        std::lock_guard<std::mutex> export_lock(export_mutex_);
         requests_.Read([this](const Buffer<>::RecordHeader& h, const std::byte* payload) {
           RequestRecord record;
           std::memcpy(&record, payload, sizeof record);
-          Line(record, "request.done", h.time, &kept_);
+          AppendLine(record, "request.done", h.time, &kept_);
         });
         KeepNewest(&kept_, kKeptBytes);
       }
-      for (auto& done : asked) {
+      for (auto& done : takes) {
         done({kept_control_ + kept_, kept_failures_, failures_dropped_ + failures_.lost()});
       }
     }
@@ -253,9 +257,9 @@
   }
 }
 
-// The steady clock orders records; a step of the time of day is itself a record, so that lines of
-// several nodes can be set side by side.
-void Recorder::RecordClock() {
+// Writes a record if the wall clock has stepped against the steady clock, which orders the records.
+// Without it, a step would distort the comparison of records of several nodes unnoticed.
+void Recorder::RecordClockStep() {
   int64_t offset = base::WallNanos() - base::SteadyNanos();
   if (std::abs(offset - clock_offset_) > kClockStepNs) {
     ControlRecord record;
@@ -267,15 +271,15 @@
 }
 
 void Recorder::Export() {
-  std::lock_guard<std::mutex> one(export_mutex_);
-  RecordClock();
+  std::lock_guard<std::mutex> export_lock(export_mutex_);
+  RecordClockStep();
   std::string text;
   uint64_t lines = 0;
   failures_.Read([&](const Buffer<>::RecordHeader& h, const std::byte* payload) {
     RequestRecord record;
     std::memcpy(&record, payload, sizeof record);
     size_t begin = text.size();
-    Line(record, "request.failed", h.time, &text);
+    AppendLine(record, "request.failed", h.time, &text);
     kept_failures_.append(text, begin);
     ++lines;
   });
@@ -284,52 +288,53 @@
     ControlRecord record;
     std::memcpy(&record, payload, sizeof record);
     size_t begin = text.size();
-    Line(record, h.time, &text);
+    AppendLine(record, h.time, &text);
     kept_control_.append(text, begin);
     ++lines;
   });
   KeepNewest(&kept_control_, kKeptControlBytes);
   uint64_t lost = failures_.lost() + control_.lost() + unsent_.load(std::memory_order_relaxed);
-  if (lost != lost_told_) {
+  if (lost != lost_reported_) {
     text += "event=telemetry.lost";
-    Add(&text, "records", static_cast<int64_t>(lost));
+    AppendField(&text, "records", static_cast<int64_t>(lost));
     text += "\n";
     ++lines;
   }
   if (text.empty()) return;
   if (sink_->Write(text)) {
-    lost_told_ = lost;
+    lost_reported_ = lost;
     exported_.fetch_add(lines, std::memory_order_relaxed);
   } else {
     unsent_.fetch_add(lines, std::memory_order_relaxed);
   }
 }
 
-void Recorder::Line(const RequestRecord& r, const char* event, uint64_t time,
-                    std::string* out) const {
+void Recorder::AppendLine(const RequestRecord& r, const char* event, uint64_t time,
+                          std::string* out) const {
   out->append("event=").append(event);
-  Add(out, "at_us", static_cast<int64_t>(time / 1000));
-  Add(out, "attempt", std::string_view(r.attempt));
-  Add(out, "status", r.status);
-  Add(out, "step", StepName(r.step));
-  Add(out, "reason", std::string_view(r.reason));
-  Add(out, "route", names_.Get(NameTable::kRoute, r.route));
-  Add(out, "service", names_.Get(NameTable::kService, r.service));
-  Add(out, "server", names_.Get(NameTable::kServer, r.server));
-  if (r.version != UINT32_MAX) Add(out, "version", names_.Get(NameTable::kVersion, r.version));
-  Add(out, "sends", r.sends);
-  Add(out, "total_us", r.total_us);
-  Add(out, "waited_us", r.waited_us);
-  Add(out, "revision", r.revision);
+  AppendField(out, "at_us", static_cast<int64_t>(time / 1000));
+  AppendField(out, "attempt", std::string_view(r.attempt));
+  AppendField(out, "status", r.status);
+  AppendField(out, "step", StepName(r.step));
+  AppendField(out, "reason", std::string_view(r.reason));
+  AppendField(out, "route", names_.Get(NameTable::kRoute, r.route));
+  AppendField(out, "service", names_.Get(NameTable::kService, r.service));
+  AppendField(out, "server", names_.Get(NameTable::kServer, r.server));
+  if (r.version != UINT32_MAX)
+    AppendField(out, "version", names_.Get(NameTable::kVersion, r.version));
+  AppendField(out, "sends", r.sends);
+  AppendField(out, "total_us", r.total_us);
+  AppendField(out, "waited_us", r.waited_us);
+  AppendField(out, "revision", r.revision);
   out->push_back('\n');
 }
 
-void Recorder::Line(const ControlRecord& r, uint64_t time, std::string* out) const {
-  out->append("event=").append(WhatName(r.what));
-  Add(out, "at_us", static_cast<int64_t>(time / 1000));
-  if (r.server != UINT32_MAX) Add(out, "server", names_.Get(NameTable::kServer, r.server));
-  Add(out, "good", r.good);
-  Add(out, "number", r.number);
+void Recorder::AppendLine(const ControlRecord& r, uint64_t time, std::string* out) const {
+  out->append("event=").append(EventName(r.what));
+  AppendField(out, "at_us", static_cast<int64_t>(time / 1000));
+  if (r.server != UINT32_MAX) AppendField(out, "server", names_.Get(NameTable::kServer, r.server));
+  AppendField(out, "good", r.good);
+  AppendField(out, "number", r.number);
   out->push_back('\n');
 }
 
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -14,20 +14,22 @@
 
 namespace elderkeel::telemetry {
 
-// Steps at which the fate of a request was decided.
+// The step of request processing that determined the outcome of a request.
 enum class Step : uint8_t {
   kNone,
-  kAdmission,  // before a server was chosen
-  kWait,       // while it waited for a server's slot
+  kAdmission,  // before a server was selected
+  kWait,       // while queued for a server with free capacity
   kConnect,
   kSend,
   kAnswer,
   kDeadline,
-  kClient,  // the client left
+  kClient,  // the client disconnected
 };
+// Returns the name of a step as written to the records.
 const char* StepName(Step step);
 
-// One request, from its head to its answer. Names are dense indices; the exporter writes them out.
+// The record of one request, written when it ends. Names are stored as dense indices; the exporter
+// replaces them by the names in the NameTable. UINT32_MAX stands for no index.
 struct RequestRecord {
   static constexpr uint32_t kType = 1;
   char attempt[40] = {};
@@ -36,13 +38,14 @@
   uint32_t route = UINT32_MAX;
   uint32_t service = UINT32_MAX;
   uint32_t server = UINT32_MAX;
-  uint32_t version = UINT32_MAX;  // of that server's software
-  uint32_t total_us = 0;
-  uint32_t waited_us = 0;
+  uint32_t version = UINT32_MAX;  // of the server's software
+  uint32_t total_us = 0;          // from the arrival to the end of the request
+  uint32_t waited_us = 0;         // of that, time in the queue
   uint16_t status = 0;
-  uint8_t sends = 0;
+  uint8_t sends = 0;  // how often the request was sent to a server
   Step step = Step::kNone;
 
+  // The texts are truncated to the size of their field.
   void SetAttempt(std::string_view text) { Copy(attempt, sizeof attempt, text); }
   void SetReason(std::string_view text) { Copy(reason, sizeof reason, text); }
 
@@ -54,21 +57,23 @@
   }
 };
 
-// Something that concerns the node and no single request.
+// The record of an event of the node that is not part of a request.
 struct ControlRecord {
   static constexpr uint32_t kType = 2;
   enum class What : uint8_t { kVersion, kDraining, kGone, kProbe, kEjected, kReturned, kClock };
   What what = What::kVersion;
-  uint8_t good = 0;
+  uint8_t good = 0;  // for kProbe: 1 if the server is healthy
   uint32_t server = UINT32_MAX;
-  int64_t number = 0;  // revision, failures, or the clock's offset in ns
+  int64_t number = 0;  // the revision, the failures, or for kClock the clock's step in ns
 };
 
-// Names of dense indices, for the exporter. Written when a name is new, never on a request's path.
+// The names of the dense indices, for the exporter. Thread-safe. It is updated when the
+// configuration or the list of servers changes, never while a request is processed.
 class NameTable {
  public:
   enum Kind { kRoute, kService, kServer, kVersion, kKinds };
   void Set(Kind kind, uint32_t index, const std::string& name);
+  // Returns "none" for an index without a name.
   std::string Get(Kind kind, uint32_t index) const;
 
  private:
@@ -76,9 +81,10 @@
   std::vector<std::string> names_[kKinds];
 };
 
-// A buffer and its stand-in. A writer that stalls between reserve and commit keeps its buffer from
-// being read on or written over; writers then move to the other one, and come back to the first
-// once it is whole again. So a stalled writer costs at most what one buffer holds.
+// A pair of buffers: the writers use one, the other one is on standby. A writer that stalls between
+// reserve and commit blocks the reader and the overwriting of its buffer. The other writers then
+// switch to the standby buffer. They switch back when that one stalls while the first one no longer
+// does. So a stalled writer costs at most the contents of one buffer.
 class Channel {
  public:
   explicit Channel(Buffer<>::Options options);
@@ -87,44 +93,51 @@
   bool Write(const Record& record) {
     return current_.load(std::memory_order_acquire)->Record(Record::kType, &record, sizeof record);
   }
-  // The exporter's turn: reads all that is committed, oldest first, and moves the writers to the
-  // stand-in if theirs is stalled.
+  // Called by the exporter: reads all committed records, oldest first for each buffer, and switches
+  // the writers to the standby buffer if theirs has stalled.
   template <class Visit>
   void Read(Visit visit) {
     for (auto& buffer : buffers_) {
       buffer->ForceSwitch();
       while (auto chunk = buffer->Read()) chunk->ForEach(visit);
     }
-    Review();
+    SwitchIfStalled();
   }
+  // Number of records lost since the start, in both buffers.
   uint64_t lost() const;
+  // The buffer that the writers use.
   Buffer<>* current() { return current_.load(std::memory_order_acquire); }
 
  private:
-  void Review();
+  void SwitchIfStalled();
 
   std::unique_ptr<Buffer<>> buffers_[2];
   std::atomic<Buffer<>*> current_;
-  int stalled_turns_ = 0;
+  int stalled_reads_ = 0;  // consecutive reads that found the writers' buffer stalled
 };
 
-// Where finished lines go. Called on the exporter's thread only.
+// The destination of exported lines. Called by one thread at a time: the exporter, or the thread
+// that ends or flushes the recorder.
 class Sink {
  public:
   virtual ~Sink() = default;
-  // False if the text could not be taken at once; it is then lost, and counted.
+  // Returns false if the text can't be written now. The recorder then drops it and counts its
+  // lines.
   virtual bool Write(std::string_view text) = 0;
 };
+// Writes to stdout.
 std::unique_ptr<Sink> MakeStdoutSink();
-// Appends to `path` and starts it anew, keeping one old file, when it has grown to `limit` bytes.
+// Appends to the file `path`. Before it would grow beyond `limit` bytes, the file is renamed to
+// `path`.old, which replaces the previous one, and a new file is started.
 std::unique_ptr<Sink> MakeFileSink(const std::string& path, size_t limit);
-// Hands lines to another thread's queue.
-std::unique_ptr<Sink> MakeCallSink(std::function<bool(std::string)> take);
-
-// All channels of one request thread, and the exporter.
-//   requests: flight recorder; every request, kept in memory and taken on demand
-//   failures: discard; every request that failed or was refused, exported
-//   control:  discard; versions, drains, probes, exported
+// Passes the text to `write` and returns its result.
+std::unique_ptr<Sink> MakeCallSink(std::function<bool(std::string)> write);
+
+// The telemetry of a node: the channels that the request thread writes to, and the exporter, a
+// thread that reads them every `flush_ms` and writes lines to the sink.
+//   requests: flight recorder mode; all requests, kept in memory and read on demand
+//   failures: discard mode; all requests that failed or were rejected, exported
+//   control:  discard mode; versions, drains and probes, exported
 class Recorder {
  public:
   struct Options {
@@ -133,57 +146,66 @@
     size_t control_bytes = 8 << 10;
     base::Millis flush_ms = 500;
   };
+  // Starts the exporter.
   Recorder(Options options, std::unique_ptr<Sink> sink);
+  // Stops the exporter after a last export.
   ~Recorder();
 
+  // Records a request that has ended. Does not block.
   void Request(const RequestRecord& record, bool failed) {
     requests_.Write(record);
     if (failed) failures_.Write(record);
   }
+  // Records an event of the node. Does not block.
   void Control(const ControlRecord& record) { control_.Write(record); }
   NameTable& names() { return names_; }
 
-  // What is kept in memory, as lines.
+  // The records kept in memory, one line each, oldest first within each kind.
   struct Kept {
-    std::string records;   // the newest about the node itself, and of all requests
-    std::string failures;  // the newest requests that failed or were refused
-    uint64_t missing = 0;  // failures of this life that are not among them any more
+    std::string records;   // the newest about the node, then the newest of all requests
+    std::string failures;  // the newest requests that failed or were rejected
+    uint64_t missing = 0;  // failures since the process started that are not in `failures`
   };
-  // Takes what the recorder keeps, on the exporter's thread; then calls `done` there.
+  // Calls `done` with the records kept in memory, on the exporter's thread. May be called from any
+  // thread.
   void TakeRecords(std::function<void(Kept)> done);
-  // One export now, by the caller, when no exporter runs; for the end of a process.
+  // Exports all committed records on the caller's thread, so that the last records of a process are
+  // not lost. REQUIRES: no call of TakeRecords is pending.
   void Flush();
   struct Counts {
-    uint64_t lost = 0;      // records that found no place
-    uint64_t unsent = 0;    // lines that the sink did not take
-    uint64_t exported = 0;  // lines that it took
+    uint64_t lost = 0;      // records dropped because a buffer had no room
+    uint64_t unsent = 0;    // lines that the sink rejected
+    uint64_t exported = 0;  // lines that the sink accepted
   };
+  // Totals since the start, without the requests channel, which overwrites by design.
   Counts counts() const;
 
  private:
   void Run();
   void Export();
-  void RecordClock();
-  void Line(const RequestRecord& r, const char* event, uint64_t time, std::string* out) const;
-  void Line(const ControlRecord& r, uint64_t time, std::string* out) const;
+  void RecordClockStep();
+  // Append a record as a line of key=value pairs. `time`: steady clock, ns.
+  void AppendLine(const RequestRecord& r, const char* event, uint64_t time, std::string* out) const;
+  void AppendLine(const ControlRecord& r, uint64_t time, std::string* out) const;
 
   Options options_;
   NameTable names_;
   Channel requests_, failures_, control_;
   std::unique_ptr<Sink> sink_;
   std::atomic<uint64_t> unsent_{0}, exported_{0};
-  uint64_t lost_told_ = 0;
-  int64_t clock_offset_ = 0;
-  std::string kept_;           // the newest lines of `requests` already taken, bounded
-  std::string kept_control_;   // the newest lines of `control`, bounded
-  std::string kept_failures_;  // the same of `failures`
-  uint64_t failures_dropped_ = 0;
-
-  std::mutex mutex_;
+  uint64_t lost_reported_ = 0;  // lost records, as of the last line that the sink accepted
+  int64_t clock_offset_ = 0;    // wall clock minus steady clock, ns
+  // The newest lines of each channel, bounded in size.
+  std::string kept_;  // of `requests`, as far as already read
+  std::string kept_control_;
+  std::string kept_failures_;
+  uint64_t failures_dropped_ = 0;  // lines removed from kept_failures_
+
+  std::mutex mutex_;  // guards the next three
   std::condition_variable wake_;
-  std::vector<std::function<void(Kept)>> asked_;
-  bool ending_ = false;
-  std::mutex export_mutex_;  // one reader at a time
+  std::vector<std::function<void(Kept)>> pending_takes_;
+  bool stopping_ = false;
+  std::mutex export_mutex_;  // the buffers allow one reader at a time
   std::thread thread_;
 };
 
--- a/tests/telemetry/telemetry_test.cc
+++ b/tests/telemetry/telemetry_test.cc
@@ -9,13 +9,14 @@
 namespace elderkeel::telemetry {
 namespace {
 
+// The payload of the test records.
 struct Event {
   uint32_t writer;
   uint32_t number;
 };
 
 template <class Word>
-typename Buffer<Word>::Options Shape(Mode mode, Word start = 0) {
+typename Buffer<Word>::Options MakeOptions(Mode mode, Word start = 0) {
   typename Buffer<Word>::Options options;
   options.subbuffer_bytes = 256;
   options.subbuffers = 4;
@@ -39,17 +40,18 @@
       Event event;
       std::memcpy(&event, payload, sizeof event);
       events.push_back(event);
-      EXPECT_GE(header.time, before);  // times rise with the order in the buffer
+      EXPECT_GE(header.time, before);  // times never decrease in the order of the buffer
       before = header.time;
     });
   }
   return events;
 }
 
-TEST(TelemetryBuffer, KeepsOrderThroughTheWrapOfItsCounts) {
-  // The counts begin a little below 2^32 and wrap many sub-buffers before the end.
+// Guards against lost or reordered records when the free-running counts wrap around. The 32-bit
+// counts start shortly below 2^32 and wrap early in the test.
+TEST(TelemetryBuffer, KeepsAllRecordsInOrderWhenItsCountsWrap) {
   for (Mode mode : {Mode::kDiscard, Mode::kFlightRecorder}) {
-    Buffer<uint32_t> buffer(Shape<uint32_t>(mode, 0u - 4 * 1024u));
+    Buffer<uint32_t> buffer(MakeOptions<uint32_t>(mode, 0u - 4 * 1024u));
     uint32_t next = 0, read = 0;
     for (int turn = 0; turn < 200; ++turn) {
       for (int i = 0; i < 13; ++i) ASSERT_TRUE(Write(&buffer, 0, next++));
@@ -57,14 +59,16 @@
       for (const Event& event : ReadAll(&buffer)) ASSERT_EQ(event.number, read++);
     }
     EXPECT_GT(read, 2500u);
-    EXPECT_LT(buffer.write_count(), 0x80000000u);  // it did wrap
+    EXPECT_LT(buffer.write_count(), 0x80000000u);  // the counts have wrapped
     EXPECT_EQ(buffer.lost(), 0u);
   }
 }
 
-TEST(TelemetryBuffer, AFullBufferDiscardsOrForgets) {
-  Buffer<> discard(Shape<uint64_t>(Mode::kDiscard));
-  Buffer<> recorder(Shape<uint64_t>(Mode::kFlightRecorder));
+// Guards against a full buffer that overwrites records in discard mode, drops new ones in flight
+// recorder mode, or counts lost records wrongly.
+TEST(TelemetryBuffer, FullBufferDropsNewOrOverwritesOldestRecords) {
+  Buffer<> discard(MakeOptions<uint64_t>(Mode::kDiscard));
+  Buffer<> recorder(MakeOptions<uint64_t>(Mode::kFlightRecorder));
   uint32_t taken = 0;
   for (uint32_t i = 0; i < 500; ++i) {
     taken += Write(&discard, 0, i);
@@ -76,7 +80,7 @@
   ASSERT_EQ(kept.size(), taken);
   EXPECT_EQ(kept.front().number, 0u);
   EXPECT_EQ(kept.back().number, taken - 1);
-  // The first record after a loss tells how many were lost before it.
+  // The sub-buffer that begins after the loss holds the number of lost records.
   ASSERT_TRUE(Write(&discard, 0, 1000));
   discard.ForceSwitch();
   auto chunk = discard.Read();
@@ -90,13 +94,15 @@
   EXPECT_GE(newest.size(), 3u * 9);
 }
 
-TEST(TelemetryBuffer, NestedReserveCommitsInAnyOrder) {
-  Buffer<> buffer(Shape<uint64_t>(Mode::kDiscard));
+// Guards against reading a slot that is not committed. A signal handler that records an event
+// between reserve and commit of another record commits out of order.
+TEST(TelemetryBuffer, NestedRecordsMayBeCommittedInAnyOrder) {
+  Buffer<> buffer(MakeOptions<uint64_t>(Mode::kDiscard));
   auto outer = buffer.Reserve(sizeof(Event), 1);
   ASSERT_TRUE(outer);
-  ASSERT_TRUE(Write(&buffer, 1, 7));  // as a signal handler between reserve and commit
+  ASSERT_TRUE(Write(&buffer, 1, 7));  // as a signal handler does between reserve and commit
   buffer.ForceSwitch();
-  EXPECT_FALSE(buffer.Read());  // no hole is ever read
+  EXPECT_FALSE(buffer.Read());  // the first slot is not committed yet
   EXPECT_TRUE(buffer.Stalled());
   Event event{0, 6};
   std::memcpy(outer->payload, &event, sizeof event);
@@ -107,13 +113,15 @@
   EXPECT_EQ(events[1].number, 7u);
 }
 
-TEST(TelemetryBuffer, AStalledWriterCostsRecordsButNeverBlocks) {
+// Guards against a writer that stalls between reserve and commit and blocks the other writers, and
+// against overwriting its slot.
+TEST(TelemetryBuffer, StalledWriterCausesLostRecordsButBlocksNobody) {
   for (Mode mode : {Mode::kDiscard, Mode::kFlightRecorder}) {
-    Buffer<> buffer(Shape<uint64_t>(mode));
+    Buffer<> buffer(MakeOptions<uint64_t>(mode));
     auto stalled = buffer.Reserve(sizeof(Event), 1);
     uint32_t written = 0;
     for (uint32_t i = 0; i < 500; ++i) written += Write(&buffer, 1, i);
-    EXPECT_LT(written, 60u);  // one lap, and then not over the open slot
+    EXPECT_LT(written, 60u);  // at most one lap: the uncommitted slot is not overwritten
     EXPECT_EQ(buffer.lost(), 500 - written);
     EXPECT_FALSE(buffer.Read());
     Event event{0, 0};
@@ -125,8 +133,9 @@
   }
 }
 
-TEST(TelemetryBuffer, ForcedSwitchGivesUpOnlyWhatIsBegun) {
-  Buffer<> buffer(Shape<uint64_t>(Mode::kDiscard));
+// Guards against a forced switch that wastes a sub-buffer without records.
+TEST(TelemetryBuffer, ForcedSwitchClosesOnlyASubbufferWithRecords) {
+  Buffer<> buffer(MakeOptions<uint64_t>(Mode::kDiscard));
   buffer.ForceSwitch();
   EXPECT_EQ(buffer.write_count(), 0u);
   EXPECT_FALSE(buffer.Read());
@@ -139,23 +148,26 @@
   EXPECT_TRUE(buffer.Drained());
 }
 
-TEST(TelemetryBuffer, RefusesWhatNoSubbufferHolds) {
-  Buffer<> buffer(Shape<uint64_t>(Mode::kDiscard));
+// Guards against a record that crosses the end of its sub-buffer: one payload is too large, one
+// fits exactly.
+TEST(TelemetryBuffer, DropsRecordThatIsLargerThanASubbuffer) {
+  Buffer<> buffer(MakeOptions<uint64_t>(Mode::kDiscard));
   std::vector<std::byte> large(buffer.MaxPayload() + 8);
   EXPECT_FALSE(buffer.Record(1, large.data(), large.size()));
   EXPECT_EQ(buffer.lost(), 1u);
-  EXPECT_TRUE(buffer.Record(1, large.data(), buffer.MaxPayload()));  // fills one to the last byte
+  EXPECT_TRUE(buffer.Record(1, large.data(), buffer.MaxPayload()));  // fills a sub-buffer exactly
   EXPECT_TRUE(Write(&buffer, 0, 1));
   buffer.ForceSwitch();
   EXPECT_TRUE(buffer.Read());
   EXPECT_EQ(ReadAll(&buffer).size(), 1u);
 }
 
-// Several writers against a reader and a timer that forces switches. What is read is whole, in
-// order for each writer, and together with what was lost it is all that was written.
+// Several writers run concurrently with a reader that forces switches. Guards against races that
+// damage records, reorder those of one writer, or, in discard mode, lose records without counting
+// them.
 void Race(Mode mode) {
   constexpr uint32_t kWriters = 3, kEach = 20000;
-  Buffer<> buffer(Shape<uint64_t>(mode));
+  Buffer<> buffer(MakeOptions<uint64_t>(mode));
   std::atomic<uint32_t> running{kWriters};
   std::atomic<uint64_t> refused{0};
   std::vector<std::thread> threads;
@@ -190,11 +202,15 @@
     EXPECT_GT(read, 0u);
   }
 }
-TEST(TelemetryBuffer, ReaderAgainstWritersDiscard) { Race(Mode::kDiscard); }
-TEST(TelemetryBuffer, ReaderAgainstWritersFlightRecorder) { Race(Mode::kFlightRecorder); }
+TEST(TelemetryBuffer, ConcurrentWritersAndReaderInDiscardMode) { Race(Mode::kDiscard); }
+TEST(TelemetryBuffer, ConcurrentWritersAndReaderInFlightRecorderMode) {
+  Race(Mode::kFlightRecorder);
+}
 
-TEST(TelemetryChannel, MovesWritersOffAStalledBufferAndBack) {
-  Buffer<>::Options options = Shape<uint64_t>(Mode::kDiscard);
+// Guards against a stalled writer that stops the other writers of its channel, and against the loss
+// of its buffer's records once it commits.
+TEST(TelemetryChannel, SwitchesToStandbyBufferWhenAWriterStallsAndLosesNoRecord) {
+  Buffer<>::Options options = MakeOptions<uint64_t>(Mode::kDiscard);
   Channel channel(options);
   Buffer<>* first = channel.current();
   auto stalled = first->Reserve(sizeof(ControlRecord), ControlRecord::kType);
@@ -214,19 +230,22 @@
   std::memcpy(stalled->payload, &record, sizeof record);
   first->Commit(*stalled);
   channel.Read(count);
-  EXPECT_GE(read, 103);  // nothing of the stalled buffer is lost either
+  EXPECT_GE(read, 103);  // the records of the stalled buffer are read too
   EXPECT_FALSE(first->Stalled());
 }
 
-class DeadSink : public Sink {
+// Rejects all text.
+class RejectingSink : public Sink {
  public:
   bool Write(std::string_view) override { return false; }
 };
 
-TEST(TelemetryRecorder, ADeadSinkCostsRecordsAndNothingElse) {
+// Guards against a sink that accepts nothing and blocks the writers, and against dropped records
+// that are not counted.
+TEST(TelemetryRecorder, RejectingSinkBlocksNobodyAndDroppedRecordsAreCounted) {
   Recorder::Options options;
   options.flush_ms = 1;
-  Recorder recorder(options, std::make_unique<DeadSink>());
+  Recorder recorder(options, std::make_unique<RejectingSink>());
   RequestRecord record;
   record.SetAttempt("a1");
   for (int i = 0; i < 5000; ++i) recorder.Request(record, true);
@@ -236,7 +255,9 @@
   EXPECT_GE(counts.unsent + counts.lost, 5000u);
 }
 
-TEST(TelemetryRecorder, ExportsEveryFailureAndKeepsTheRestOnDemand) {
+// Guards against a failed request that is not exported, a successful one that is, and records with
+// wrongly quoted values. Successful requests must be readable on demand.
+TEST(TelemetryRecorder, ExportsFailuresAndKeepsAllRequestsForReadingOnDemand) {
   std::mutex mutex;
   std::string text;
   Recorder::Options options;
