--- a/src/diagnosis/console.cc
+++ b/src/diagnosis/console.cc
@@ -13,7 +13,8 @@
 
 constexpr base::Millis kTimeoutMs = 3000;
 
-// `hops`: how often a controller may send the call on to another.
+// Sends GET `target` to a controller and returns the body. Follows up to `hops` redirects to
+// another controller (status 307).
 base::Result<std::string> Get(const base::Address& control, const std::string& target,
                               int hops = 2) {
   base::Loop loop;
@@ -34,7 +35,7 @@
   }
   if (const std::string* location = result.answer.Find("Location");
       result.answer.status == 307 && location && hops > 0) {
-    // http://ADDRESS/TARGET
+    // Location has the form http://ADDRESS/TARGET.
     size_t begin = location->find("://"), end = location->find('/', begin + 3);
     if (begin != std::string::npos && end != std::string::npos) {
       auto next = base::ParseAddress(location->substr(begin + 3, end - begin - 3));
@@ -45,32 +46,34 @@
     return base::Failure(
         result.answer.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
         "call", control.ToString(),
-        "status " + std::to_string(result.answer.status) + " " + result.answer.body);
+        "HTTP status " + std::to_string(result.answer.status) + " " + result.answer.body);
   }
   return result.answer.body;
 }
 
-std::string Text(const rapidjson::Value& o, const char* key, const char* otherwise = "unknown") {
+// Returns the member `key` of `o` as text, or `fallback` if it is absent, null or of another type.
+std::string Text(const rapidjson::Value& o, const char* key, const char* fallback = "unknown") {
   auto at = o.FindMember(key);
-  if (at == o.MemberEnd() || at->value.IsNull()) return otherwise;
+  if (at == o.MemberEnd() || at->value.IsNull()) return fallback;
   if (at->value.IsString()) return at->value.GetString();
   if (at->value.IsInt64()) return std::to_string(at->value.GetInt64());
   if (at->value.IsUint64()) return std::to_string(at->value.GetUint64());
   if (at->value.IsBool()) return at->value.GetBool() ? "yes" : "no";
-  return otherwise;
+  return fallback;
 }
 
+// Prints the answer to GET `target` and returns the exit code.
 int Show(const base::Address& control, const std::string& target, bool json,
          std::string (*render)(const std::string&, bool*)) {
   auto body = Get(control, target);
   if (!body) {
-    std::cerr << "no answer: " << body.error().ToString() << "\n";
+    std::cerr << "the call to the controller failed: " << body.error().ToString() << "\n";
     return body.error().code == base::ErrorCode::kNotFound ? kDegraded : kUnreachable;
   }
   bool degraded = false;
   std::string text = render(*body, &degraded);
   std::cout << (json ? *body + "\n" : text);
-  return degraded ? kDegraded : kWell;
+  return degraded ? kDegraded : kSuccess;
 }
 
 }  // namespace
@@ -220,7 +223,7 @@
     return "the answer can't be read\n";
   }
   std::string out = "conclusion  " + Text(d, "conclusion") + "\n";
-  // No failure is good news; no record of what was asked for is none.
+  // An empty list of failures is a normal result. For other queries, an empty result is degraded.
   bool failures = d.HasMember("missing");
   *degraded = d["records"].Empty() && !failures;
   if (failures && Text(d, "missing") != "0") {
--- a/src/diagnosis/console.h
+++ b/src/diagnosis/console.h
@@ -6,19 +6,22 @@
 
 namespace elderkeel::diagnosis {
 
-// The operator's verbs `status` and `diagnose`: a call to a controller, shown as text or JSON.
-// What they return is the exit code.
-constexpr int kWell = 0;
-constexpr int kDegraded = 1;  // answered, but something is unknown, lost or without a majority
-constexpr int kUsage = 2;
+// The operator commands `status`, `failures`, `rollout` and `diagnose`. Each calls a controller,
+// prints the answer as text or JSON, and returns one of these exit codes.
+constexpr int kSuccess = 0;
+constexpr int kDegraded = 1;     // answered, but data is unknown or lost, or there is no majority
+constexpr int kUsage = 2;        // invalid command line
 constexpr int kUnreachable = 3;  // no controller answered
 
+// `control`: the control address of a controller. `query` and `service` restrict the answer. With
+// `json` the answer is printed as received.
 int ShowStatus(const base::Address& control, bool json);
 int ShowFailures(const base::Address& control, const std::string& query, bool json);
 int ShowRollouts(const base::Address& control, const std::string& service, bool json);
 int ShowDiagnosis(const base::Address& control, const std::string& query, bool json);
 
-// As text; `degraded` tells the exit code. Apart from the call, so that it can be tested.
+// Format a controller's JSON answer as text. Set `degraded` if the exit code is kDegraded. Separate
+// from the call so that tests can check the texts.
 std::string StatusText(const std::string& json, bool* degraded);
 std::string RolloutsText(const std::string& json, bool* degraded);
 std::string DiagnosisText(const std::string& json, bool* degraded);
--- a/src/diagnosis/diagnosis.cc
+++ b/src/diagnosis/diagnosis.cc
@@ -14,17 +14,21 @@
 namespace elderkeel::diagnosis {
 namespace {
 
-constexpr size_t kMaxLines = 400;
-constexpr size_t kAtOnce = 32;             // nodes that are asked and have not answered
-constexpr base::Millis kPatienceMs = 300;  // then one that is silent gives its place to the next
+constexpr size_t kMaxLines = 400;    // in a reply
+constexpr size_t kMaxInFlight = 32;  // nodes that were asked and have not replied
+// After this time, a node that has not replied no longer counts as in flight. A later reply is
+// still accepted.
+constexpr base::Millis kReplyTimeoutMs = 300;
 
-struct Found {
+// A record line with the time and the place of the node that wrote it.
+struct FoundRecord {
   int64_t wall_us;
   std::string node;
   std::string zone;
   std::string line;
 };
 
+// Formats a time in us since the Unix epoch as UTC.
 std::string TimeOfDay(int64_t us) {
   time_t seconds = us / 1000000;
   tm parts{};
@@ -35,18 +39,18 @@
   return text;
 }
 
-// What the records say, in a sentence. Only what stands in them.
-std::string Conclude(const Question& question, const std::vector<Found>& found) {
+// Returns a sentence that sums up the records. It states nothing that is not in them.
+std::string Conclude(const Question& question, const std::vector<FoundRecord>& found) {
   if (found.empty()) {
     return question.about == Question::About::kFailures ? "no record of a failure"
-                                                        : "no record of it";
+                                                        : "no matching record";
   }
   switch (question.about) {
     case Question::About::kAttempt: {
       const std::string& line = found.back().line;
       std::string status = ValueOf(line, "status"), sends = ValueOf(line, "sends");
       std::string text =
-          found.back().node + (status == "0" ? " gave no answer" : " answered " + status);
+          found.back().node + (status == "0" ? " sent no answer" : " answered " + status);
       text += " after " + sends + (sends == "1" ? " send" : " sends");
       if (ValueOf(line, "server") != "none") text += ", the last to " + ValueOf(line, "server");
       std::string reason = ValueOf(line, "reason");
@@ -56,7 +60,7 @@
     case Question::About::kServer: {
       size_t requests = 0, failed = 0;
       std::set<std::string> nodes;
-      for (const Found& f : found) {
+      for (const FoundRecord& f : found) {
         std::string event = ValueOf(f.line, "event");
         if (event.rfind("request.", 0) != 0) continue;
         ++requests;
@@ -72,7 +76,7 @@
     case Question::About::kRevision: {
       std::set<std::string> adopted;
       size_t requests = 0;
-      for (const Found& f : found) {
+      for (const FoundRecord& f : found) {
         if (ValueOf(f.line, "event") == "version.adopted") {
           adopted.insert(f.node);
         } else {
@@ -80,12 +84,12 @@
         }
       }
       return std::to_string(adopted.size()) + " nodes recorded its adoption, " +
-             std::to_string(requests) + " requests were handled by it";
+             std::to_string(requests) + " requests were handled with it";
     }
     case Question::About::kFailures: {
       std::map<std::string, size_t> routes;
       std::set<std::string> nodes;
-      for (const Found& f : found) {
+      for (const FoundRecord& f : found) {
         ++routes[ValueOf(f.line, "route")];
         nodes.insert(f.node);
       }
@@ -106,10 +110,10 @@
   std::string wanted = std::string(key) + "=";
   size_t at = 0;
   while (at < line.size()) {
-    // A value may be quoted and hold spaces; keys never do.
+    // A value may be quoted and contain spaces; a key contains neither.
     size_t equals = line.find('=', at);
     if (equals == std::string_view::npos) return "";
-    bool ours = line.substr(at, equals + 1 - at) == wanted;
+    bool found = line.substr(at, equals + 1 - at) == wanted;
     std::string value;
     size_t i = equals + 1;
     if (i < line.size() && line[i] == '"') {
@@ -121,15 +125,16 @@
     } else {
       while (i < line.size() && line[i] != ' ') value.push_back(line[i++]);
     }
-    if (ours) return value;
+    if (found) return value;
     at = i + 1;
   }
   return "";
 }
 
 namespace {
-// What may stand as a value in a query: no escapes are read.
-bool Plain(std::string_view value) {
+// Whether `value` is valid in a query. Escapes are not decoded, so characters that would need them
+// are rejected.
+bool IsPlainValue(std::string_view value) {
   return !value.empty() && value.size() <= 64 &&
          std::all_of(value.begin(), value.end(),
                      [](unsigned char c) { return c > 0x20 && c < 0x7f && c != '&' && c != '%'; });
@@ -146,9 +151,12 @@
     size_t equals = pair.find('=');
     std::string_view key = pair.substr(0, equals);
     std::string value(equals == std::string_view::npos ? "" : pair.substr(equals + 1));
-    if (!Plain(value)) {
-      return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
-                           std::string(key) + ": empty, too long or not plain");
+    if (!IsPlainValue(value)) {
+      return base::Failure(
+          base::ErrorCode::kInvalidArgument, "failures", "",
+          std::string(key) +
+              ": is empty, longer than 64 bytes, or contains a space, &, % or a byte that is not "
+              "printable ASCII");
     }
     if (key == "route") {
       question.value = value;
@@ -158,10 +166,10 @@
       question.last_s = http::ParseDecimal(value);
       if (question.last_s < 1)
         return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
-                             "last-s: is no number above 0");
+                             "last-s: is not a number of seconds above 0");
     } else {
       return base::Failure(base::ErrorCode::kInvalidArgument, "failures", "",
-                           "ask by route, zone and last-s");
+                           "the query may only contain route, zone and last-s");
     }
   }
   return question;
@@ -180,11 +188,13 @@
     question.about = About::kRevision;
   } else {
     return base::Failure(base::ErrorCode::kInvalidArgument, "diagnose", "",
-                         "ask by attempt, server or revision");
+                         "the query must be attempt=ID, server=ID or revision=NUMBER");
   }
-  if (!Plain(question.value))
-    return base::Failure(base::ErrorCode::kInvalidArgument, "diagnose", "",
-                         "the value is empty, too long or not plain");
+  if (!IsPlainValue(question.value))
+    return base::Failure(
+        base::ErrorCode::kInvalidArgument, "diagnose", "",
+        "the value is empty, longer than 64 bytes, or contains a space, &, % or a byte that is "
+        "not printable ASCII");
   return question;
 }
 
@@ -224,10 +234,10 @@
 Reply SelectFailures(const Question& question, std::string_view text, int64_t now_us) {
   Reply reply = Select(question, text);
   if (question.last_s > 0) {
-    auto old = [&](const std::string& line) {
+    auto too_old = [&](const std::string& line) {
       return std::atoll(ValueOf(line, "at_us").c_str()) < now_us - question.last_s * 1000000;
     };
-    reply.lines.erase(std::remove_if(reply.lines.begin(), reply.lines.end(), old),
+    reply.lines.erase(std::remove_if(reply.lines.begin(), reply.lines.end(), too_old),
                       reply.lines.end());
   }
   return reply;
@@ -240,17 +250,17 @@
       status == "421") {
     return "not run";
   }
-  // 502 and 504 are ours; anything else is a server's own answer.
+  // The proxy itself answers with 502 and 504; any other status was sent by a server.
   return status == "0" || status == "502" || status == "504" ? "may have run" : "answered";
 }
 
 std::vector<std::string> Inquiry::Next(base::Millis now) {
-  size_t open = 0;
+  size_t in_flight = 0;
   for (size_t i = 0; i < asked_at_.size(); ++i) {
-    open += replies_.count(targets_[i].address) == 0 && now - asked_at_[i] < kPatienceMs;
+    in_flight += replies_.count(targets_[i].address) == 0 && now - asked_at_[i] < kReplyTimeoutMs;
   }
   std::vector<std::string> next;
-  for (; asked_at_.size() < targets_.size() && open < kAtOnce; ++open) {
+  for (; asked_at_.size() < targets_.size() && in_flight < kMaxInFlight; ++in_flight) {
     next.push_back(targets_[asked_at_.size()].address);
     asked_at_.push_back(now);
   }
@@ -260,7 +270,7 @@
 std::string Inquiry::Report() const {
   std::map<std::string, std::string> zones;
   for (const Target& target : targets_) zones[target.address] = target.zone;
-  std::vector<Found> found;
+  std::vector<FoundRecord> found;
   bool cut = false;
   uint64_t missing = 0;
   for (const auto& [from, reply] : replies_) {
@@ -274,7 +284,7 @@
     }
   }
   std::sort(found.begin(), found.end(),
-            [](const Found& a, const Found& b) { return a.wall_us < b.wall_us; });
+            [](const FoundRecord& a, const FoundRecord& b) { return a.wall_us < b.wall_us; });
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   w.StartObject();
@@ -282,7 +292,8 @@
   w.String(Conclude(question_, found).c_str());
   w.Key("asked");
   w.Uint64(asked_at_.size());
-  auto list = [&](const char* key, size_t first, size_t last) {
+  // Writes the targets from `first` to before `last` that have not replied.
+  auto write_unanswered = [&](const char* key, size_t first, size_t last) {
     w.Key(key);
     w.StartArray();
     for (size_t i = first; i < last; ++i) {
@@ -290,8 +301,8 @@
     }
     w.EndArray();
   };
-  list("silent", 0, asked_at_.size());
-  list("not-asked", asked_at_.size(), targets_.size());
+  write_unanswered("silent", 0, asked_at_.size());
+  write_unanswered("not-asked", asked_at_.size(), targets_.size());
   w.Key("cut");
   w.Bool(cut);
   if (question_.about == Question::About::kFailures) {
@@ -300,7 +311,7 @@
   }
   w.Key("records");
   w.StartArray();
-  for (const Found& f : found) {
+  for (const FoundRecord& f : found) {
     w.StartObject();
     w.Key("time");
     w.String(TimeOfDay(f.wall_us).c_str());
--- a/src/diagnosis/diagnosis.h
+++ b/src/diagnosis/diagnosis.h
@@ -14,24 +14,27 @@
 
 namespace elderkeel::diagnosis {
 
-// What is asked of the fleet's records: about a request, a server, or a version; or of each node,
-// how it is (kNode: one line of its state instead of records); or which requests failed
-// (kFailures).
+// A query for records of the fleet: those of a request (kAttempt), a server or a revision of the
+// configuration, or the failed requests (kFailures). kNode asks each node for one line about its
+// state instead of records.
 struct Question {
   enum class About : uint8_t { kAttempt, kServer, kRevision, kNode, kFailures };
   About about = About::kAttempt;
-  std::string value;   // for failures: the route, or empty for all
-  std::string zone;    // for failures: of the proxies to ask; empty for all
-  int64_t last_s = 0;  // for failures: not older than this; 0 for any age
+  std::string value;   // the id to search for; for kFailures the route, or empty for all routes
+  std::string zone;    // for kFailures: zone of the proxies to ask; empty for all zones
+  int64_t last_s = 0;  // for kFailures: maximum age in seconds; 0 for any age
 
-  // From the query of a call: attempt=..., server=... or revision=...
+  // Parses the query of a diagnose call: attempt=..., server=... or revision=... Any other key, or
+  // a value that is empty, too long or has characters that need escapes, is kInvalidArgument.
   static base::Result<Question> Parse(std::string_view query);
-  // From the query of a call for failures: route=..., zone=... and last-s=..., all of them
-  // optional.
+  // Parses the query of a failures call: route=..., zone=... and last-s=..., all optional. Errors
+  // as for Parse; last-s must be at least 1.
   static base::Result<Question> ParseFailures(std::string_view query);
+  // Whether a record line belongs to the result; ignores `zone` and `last_s`.
   bool Matches(std::string_view line) const;
 };
 
+// The message that sends a question to a node. `nonce` matches the replies to the question.
 struct Query {
   uint64_t nonce = 0;
   Question::About about = Question::About::kAttempt;
@@ -43,41 +46,46 @@
   }
 };
 
-// A node's records on the matter. `wall_us`: the node's time of day when its steady clock was 0, so
-// that records of several nodes can be set side by side, as well as their clocks agree.
+// A node's reply to a Query: the matching record lines. `wall_us` is the node's wall clock, in us
+// since the Unix epoch, when its steady clock was 0. It lets records of several nodes be ordered by
+// time, as precisely as the wall clocks of the nodes agree.
 struct Reply {
   uint64_t nonce = 0;
   std::string node;
   int64_t wall_us = 0;
-  bool cut = false;  // there was more than a reply holds
+  bool cut = false;  // older lines were left out, since there were more than a reply may hold
   std::vector<std::string> lines;
-  uint64_t missing = 0;  // records of failures that the node has lost, or had no room to keep
+  uint64_t missing = 0;  // records of failures that the node lost or no longer keeps
   template <class A>
   void serialize(A& a) {
     a(nonce, node, wall_us, cut, lines, missing);
   }
 };
 
-// The lines of `text` that the question is about, the newest of them if they are many.
+// Returns the lines of `text` that match the question; if there are too many, the newest of them.
 Reply Select(const Question& question, std::string_view text);
-// The same for failures: those of the route that are young enough at `now_us` of the node's clock.
+// Like Select, for failures: also leaves out lines older than the question's `last_s`. `now_us`:
+// the node's steady clock.
 Reply SelectFailures(const Question& question, std::string_view text, int64_t now_us);
 
-// The value of `key` in a line of key=value pairs; empty if it is not there.
+// Returns the unquoted value of `key` in a line of key=value pairs; empty if the key is absent.
 std::string ValueOf(std::string_view line, std::string_view key);
 
-// A node that a question is for.
+// A node to send a question to.
 struct Target {
   std::string address;
   std::string zone;
 };
 
-// What may have become of the request that a record is about: "not run", "may have run" or
-// "answered". Whoever was left waiting must be told which.
+// Returns the outcome of the request that a record is about: "not run" (no server executed it),
+// "may have run" or "answered"; empty for records of other kinds. A client whose request failed
+// needs it to decide whether a retry is safe.
 std::string OutcomeOf(std::string_view line);
 
-// One question under way: whom it is for, who was asked, and who has answered. Only so many nodes
-// are asked at once, in the order given, and one deadline ends the whole. Pure.
+// A question in progress: its targets, which of them were asked, and their replies. Targets are
+// asked in the given order, with a bound on the number in flight, until the deadline. It does no
+// I/O and reads no clock: the caller sends the query to the nodes that Next returns and passes the
+// replies to Take.
 class Inquiry {
  public:
   Inquiry(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
@@ -86,33 +94,35 @@
         targets_(std::move(targets)),
         deadline_(deadline) {}
 
-  // Whom to ask now.
+  // Returns the addresses of the nodes to ask now, and counts them as asked.
   std::vector<std::string> Next(base::Millis now);
+  // Adds a reply. A reply with another nonce belongs to another question and is ignored.
   void Take(const std::string& from, Reply reply) {
     if (reply.nonce == nonce_) replies_[from] = std::move(reply);
   }
+  // Whether all targets have replied or the deadline has passed.
   bool Done(base::Millis now) const {
     return now >= deadline_ || replies_.size() >= targets_.size();
   }
-  // What each of them is asked.
+  // The message for each target.
   Query query() const { return {nonce_, question_.about, question_.value, question_.last_s}; }
   Question::About about() const { return question_.about; }
-  // What the node at `address` answered; null if it did not.
+  // Returns the reply of the node at `address`; null if there is none.
   const Reply* Of(const std::string& address) const {
     auto at = replies_.find(address);
     return at == replies_.end() ? nullptr : &at->second;
   }
-  // JSON: the records in order of time, a line of conclusion, who did not answer, and who was not
-  // asked before the time was over.
+  // Returns, as JSON, the records ordered by time, a sentence that sums them up, the nodes that did
+  // not reply, and the nodes that were not asked before the deadline.
   std::string Report() const;
 
  private:
   uint64_t nonce_;
   Question question_;
   std::vector<Target> targets_;
-  std::vector<base::Millis> asked_at_;  // of the first of them: those that were asked
+  std::vector<base::Millis> asked_at_;  // times for the first targets, which have been asked
   base::Millis deadline_;
-  std::map<std::string, Reply> replies_;
+  std::map<std::string, Reply> replies_;  // by address
 };
 
 }  // namespace elderkeel::diagnosis
--- a/tests/diagnosis/diagnosis_test.cc
+++ b/tests/diagnosis/diagnosis_test.cc
@@ -15,7 +15,8 @@
     "event=version.adopted at_us=1500000 good=0 number=7\n"
     "event=server.draining at_us=1700000 server=i-1 good=0 number=0\n";
 
-TEST(Diagnosis, ReadsValuesOfLines) {
+// Guards against splitting a quoted value at its spaces or at the '=' signs in it.
+TEST(Diagnosis, ValueOfReadsPlainAndQuotedValues) {
   std::string line = "a=1 b=\"x \\\"y\\\" b=2\" c=3";
   EXPECT_EQ(ValueOf(line, "a"), "1");
   EXPECT_EQ(ValueOf(line, "b"), "x \"y\" b=2");
@@ -23,10 +24,12 @@
   EXPECT_EQ(ValueOf(line, "d"), "");
 }
 
-TEST(Diagnosis, SelectsWhatWasAskedFor) {
+// Guards against a query that selects records of other requests, and against invalid queries that
+// are accepted.
+TEST(Diagnosis, SelectReturnsOnlyMatchingLinesAndInvalidQueriesAreRejected) {
   struct Case {
     const char* query;
-    size_t lines;  // 99: refused
+    size_t lines;  // 99: the query is rejected
   } cases[] = {{"attempt=a1", 1},   {"attempt=a", 0},      {"server=i-1", 3}, {"revision=7", 2},
                {"revision=9", 0},   {"attempt=", 99},      {"", 99},          {"color=red", 99},
                {"attempt=a b", 99}, {"attempt=a1&x=y", 99}};
@@ -39,13 +42,15 @@
   }
 }
 
-TEST(Diagnosis, ReportsInOrderOfTimeAndNamesTheSilent) {
+// Guards against a report that is not ordered by time, counts a reply to another question, or does
+// not list a node that has not replied.
+TEST(Diagnosis, ReportIsOrderedByTimeAndListsNodesWithoutReply) {
   Inquiry inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
                   1000);
   EXPECT_EQ(inquiry.Next(0).size(), 2u);
   Reply reply = Select(*Question::Parse("server=i-1"), kLines);
   reply.nonce = 4;
-  inquiry.Take("10.0.0.1:7", reply);  // to another question
+  inquiry.Take("10.0.0.1:7", reply);  // a reply to another question
   reply.nonce = 5;
   reply.node = "edge-1";
   inquiry.Take("10.0.0.1:7", reply);
@@ -68,10 +73,12 @@
   EXPECT_FALSE(degraded);
 }
 
-TEST(Diagnosis, FailuresByRouteAgeAndWithWhatIsMissing) {
+// Guards against failures of another route or of a greater age in the result, and against a result
+// that does not say how many records of failures are missing.
+TEST(Diagnosis, FailuresAreSelectedByRouteAndAgeAndReportMissingRecords) {
   struct Case {
     const char* query;
-    int lines;  // -1: refused
+    int lines;  // -1: the query is rejected
   } cases[] = {{"", 2},          {"route=r1", 1}, {"last-s=2", 1},   {"zone=a&route=r2", 1},
                {"last-s=0", -1}, {"route=", -1},  {"colour=red", -1}};
   const char* text =
@@ -99,7 +106,8 @@
   EXPECT_NE(shown.find("[may have run]"), std::string::npos) << shown;
 }
 
-TEST(Diagnosis, SaysWhatMayHaveBecomeOfARequest) {
+// Guards against "not run" for a request that a server may have executed: a client would retry it.
+TEST(Diagnosis, OutcomeFollowsFromStatusAndNumberOfSends) {
   struct Case {
     const char* line;
     const char* outcome;
@@ -110,9 +118,10 @@
   for (const Case& c : cases) EXPECT_EQ(OutcomeOf(c.line), c.outcome) << c.line;
 }
 
-// Three hundred nodes, a third of them silent: never more than so many are asked at once, the
-// living all answer in time, and whoever was not reached is named.
-TEST(Diagnosis, AsksOnlySoManyAtOnce) {
+// 400 nodes, of which the last 200 never reply. Guards against more than 32 queries in flight,
+// against silent nodes that keep the others from being asked in time, and against a report that
+// does not list the nodes without a reply.
+TEST(Diagnosis, QueriesInFlightAreBoundedAndAllLiveNodesReply) {
   std::vector<Target> targets;
   for (int i = 0; i < 400; ++i) targets.push_back({"n" + std::to_string(i), "z"});
   Inquiry inquiry(1, *Question::ParseFailures(""), targets, 1500);
@@ -123,9 +132,9 @@
     for (const std::string& address : inquiry.Next(now)) open[address] = now;
     size_t waiting = 0;
     for (auto at = open.begin(); at != open.end();) {
-      bool living = std::stoi(at->first.substr(1)) < 200;
+      bool alive = std::stoi(at->first.substr(1)) < 200;
       waiting += now - at->second < 300;
-      if (living && now > at->second) {
+      if (alive && now > at->second) {
         Reply reply;
         reply.nonce = 1;
         inquiry.Take(at->first, reply);
@@ -147,7 +156,8 @@
   EXPECT_NE(text.find(" n399\n"), std::string::npos);
 }
 
-TEST(Diagnosis, StatusSaysWhatItDoesNotKnow) {
+// Guards against a status without a majority, or an unreadable one, that is shown as healthy.
+TEST(Diagnosis, StatusWithoutMajorityIsDegradedAndSaysWhatIsUnknown) {
   bool degraded = false;
   std::string text = StatusText(
       R"({"node":"n1","role":"leader","term":3,"leader":"10.0.0.1:7","settled":true,"revision":4,
@@ -167,7 +177,9 @@
   EXPECT_TRUE(degraded);
 }
 
-TEST(Diagnosis, RollOutsShowStateVotesAndEvidence) {
+// Guards against a roll-out report that leaves out the state, a vote or the numbers behind the
+// vote, or that is shown as healthy without a leader.
+TEST(Diagnosis, RollOutReportShowsStateVotesAndTheirNumbers) {
   bool degraded = false;
   std::string text = RolloutsText(
       R"({"node":"c1","settled":true,"by-order":true,"in-force":{"s":"v1"},"rollouts":[
