--- a/src/base/log.h
+++ b/src/base/log.h
@@ -51,8 +51,8 @@
 void Warn(std::string_view event, const Error& error);
 
 // Appends `value` to `out`. An empty value, or one that contains spaces, quotes, '=' or control
-// bytes, is quoted and its control bytes are replaced by '?', so that the line stays one line and
-// can be parsed.
+// bytes, is quoted, so that the line stays one line and can be parsed: quotes and backslashes in it
+// are escaped by a backslash, and control bytes are replaced by '?'.
 void AppendLogValue(std::string* out, std::string_view value);
 
 }  // namespace elderkeel::base
--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -35,10 +35,11 @@
   void Run();
   // Makes Run() return after the callback that is running.
   void Stop();
-  // Runs `work` on the loop's thread. May be called from any thread.
+  // Runs `work` on the loop's thread. May be called from any thread. Work that has not run when the
+  // loop is destroyed is dropped.
   void Post(std::function<void()> work);
-  // Runs `work` in a later iteration of the loop. Used to destroy an object whose own callback is
-  // still on the stack. Call on the loop's thread only.
+  // Runs `work` in a later iteration of the loop, or at the latest in the destructor. Used to
+  // destroy an object whose own callback is still on the stack. Call on the loop's thread only.
   void Defer(std::function<void()> work);
   // Calls `handle` on the loop's thread each time the signal arrives.
   void OnSignal(int signal, std::function<void()> handle);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -29,8 +29,8 @@
 // process.
 uint64_t RandomSeed();
 
-// Returns the FNV-1a hash of `bytes`, mixed once more by SplitMix64. It places names on hash rings
-// and makes digests of documents. Not for secrets.
+// Returns the FNV-1a hash of `bytes`, mixed once more by SplitMix64. Each `seed` gives a different
+// hash function. Places names on hash rings and makes digests of documents. Not for secrets.
 inline uint64_t Hash(std::string_view bytes, uint64_t seed = 0) {
   uint64_t h = 0xcbf29ce484222325ull ^ (seed * 0x9e3779b97f4a7c15ull);
   for (unsigned char c : bytes) h = (h ^ c) * 0x100000001b3ull;
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -275,7 +275,8 @@
   std::string rule =
       validator.GetInvalidSchemaKeyword() ? validator.GetInvalidSchemaKeyword() : "unknown";
   if (rule == "required") {
-    // RapidJSON reports only that the rule `required` failed, so the missing field is looked up.
+    // The RapidJSON release in use reports only that the rule `required` failed, so the missing
+    // field is looked up.
     const rapidjson::Value* object = validator.GetInvalidDocumentPointer().Get(document);
     const rapidjson::Value* rules = validator.GetInvalidSchemaPointer().Get(schema);
     if (object && object->IsObject() && rules && rules->IsObject() &&
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -51,7 +51,8 @@
   int64_t memory_mb = 256;
   int64_t max_fds = 1024;
 
-  // The platform's API, from which the list of servers is read.
+  // The platform's API, from which the list of servers is read, and its rate limit for all nodes
+  // together, in requests per second.
   Address platform;
   double platform_rate_per_s = 10;
   int64_t platform_lag_ms = 1000;
@@ -60,8 +61,10 @@
   int64_t contact_ms = 4000;
   int64_t ack_ms = 5000;
   int64_t drain_ms = 3000;
+  // From SIGTERM until the platform kills the process.
   double grace_s = 6;
   int64_t apply_ms = 3000;
+  // Retries and hedges of all nodes together: at most `retry_ratio` per request plus `retry_slack`.
   double retry_ratio = 0.1;
   double retry_window_s = 10;
   double retry_slack = 10;
@@ -96,9 +99,9 @@
   std::string telemetry_file;
   int64_t telemetry_flush_ms = 500;
 
-  // The interval of polling the platform's list. `drain_ms` after a change of the list becomes
-  // readable, all proxies must have applied it. By default up to 30 % of that passes before the
-  // next poll, which leaves time for another one if a poll fails.
+  // The interval of polling the platform's list. All proxies must have applied a change of the list
+  // at most `drain_ms` after it becomes readable. The default is 30 % of that, within 250 to
+  // 10000 ms, which leaves time for another poll if one fails.
   int64_t PollMs() const {
     return poll_ms > 0 ? poll_ms : std::clamp<int64_t>(drain_ms * 3 / 10, 250, 10000);
   }
@@ -134,7 +137,7 @@
 // "field: problem", or an empty string if there is none.
 std::string SchemaFault(const rapidjson::Document& schema, const rapidjson::Value& document);
 
-// Returns the contents of a file.
+// Returns the contents of a file, or kIoError if it can't be opened.
 Result<std::string> ReadFile(const std::string& path);
 
 }  // namespace elderkeel::base
--- a/src/diagnosis/console.h
+++ b/src/diagnosis/console.h
@@ -9,9 +9,11 @@
 // The operator commands `status`, `failures`, `rollout` and `diagnose`. Each calls a controller,
 // prints the answer as text or JSON, and returns one of these exit codes.
 constexpr int kSuccess = 0;
-constexpr int kDegraded = 1;     // answered, but data is unknown or lost, or there is no majority
-constexpr int kUsage = 2;        // invalid command line
-constexpr int kUnreachable = 3;  // no controller answered
+// Answered, but data is unknown or lost, there is no majority, or the HTTP status is 404.
+constexpr int kDegraded = 1;
+constexpr int kUsage = 2;  // invalid command line
+// No controller answered, or the HTTP status is neither 200 nor 404.
+constexpr int kUnreachable = 3;
 
 // `control`: the control address of a controller. `query` and `service` restrict the answer. With
 // `json` the answer is printed as received.
--- a/src/telemetry/buffer.h
+++ b/src/telemetry/buffer.h
@@ -209,8 +209,9 @@
     EndSubbuffer(old, padding);
   }
 
-  // READ_GETSUBBUF: takes the oldest ready sub-buffer and puts the reader's spare one in its place.
-  // Returns nothing if no sub-buffer is ready. The chunk is valid until the next call. One reader
+  // READ_GETSUBBUF: takes the oldest sub-buffer and puts the reader's spare one in its place.
+  // Returns nothing if the oldest sub-buffer is not closed, not fully committed or being
+  // overwritten, even if a later one is ready. The chunk is valid until the next call. One reader
   // at a time.
   std::optional<Chunk> Read() {
     for (;;) {
@@ -274,8 +275,8 @@
   struct Commits {
     std::atomic<Word> count{0};     // bytes committed
     std::atomic<Word> sequence{0};  // `count` when the sub-buffer was last fully committed
-    // Storage index (low 32 bits), writer flag (1 bit), and the number of the sub-buffer since the
-    // start of the counts as a tag (31 bits).
+    // Storage index (low 32 bits), writer flag (1 bit) and tag (31 bits). The tag is the count at
+    // the start of the sub-buffer, divided by the sub-buffer size: it differs from lap to lap.
     std::atomic<uint64_t> reference{0};
   };
 
@@ -285,8 +286,8 @@
     return bits;
   }
   size_t Index(Word count) const { return static_cast<size_t>((count & (buf_ - 1)) >> sbfbits_); }
-  // Masks off the top bits of a commit count. A count of the whole buffer has no bits that
-  // correspond to them, so they can't be compared.
+  // The mask for comparing commit counts. It clears their top bits, which Lap() can't compute: it
+  // shifts a count right by more bits than it shifts it left.
   Word CommitMask() const {
     return static_cast<Word>(static_cast<Word>(~Word{0}) >> (bfbits_ - sbfbits_));
   }
@@ -294,7 +295,7 @@
   Word Lap(Word count) const {
     return static_cast<Word>(static_cast<Word>(count >> bfbits_) << sbfbits_) & CommitMask();
   }
-  // (1): the buffer is full, for the sub-buffer that begins at `begin`.
+  // (1): the buffer is full: the sub-buffer that begins at `begin` would overwrite an unread one.
   bool Full(Word begin) const {
     Word read = read_count_.load(std::memory_order_acquire) & ~(sbuf_ - 1);
     return static_cast<Word>(begin - read) >= buf_;
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -64,7 +64,7 @@
   What what = What::kVersion;
   uint8_t good = 0;  // for kProbe: 1 if the server is healthy
   uint32_t server = UINT32_MAX;
-  int64_t number = 0;  // the revision, the failures, or for kClock the clock's step in ns
+  int64_t number = 0;  // for kVersion the revision, for kClock the clock's step in ns; else 0
 };
 
 // The names of the dense indices, for the exporter. Thread-safe. It is updated when the
@@ -93,8 +93,9 @@
   bool Write(const Record& record) {
     return current_.load(std::memory_order_acquire)->Record(Record::kType, &record, sizeof record);
   }
-  // Called by the exporter: reads all committed records, oldest first for each buffer, and switches
-  // the writers to the standby buffer if theirs has stalled.
+  // Called by the exporter: reads the records of all fully committed sub-buffers, oldest first for
+  // each buffer. Switches the writers to the standby buffer if theirs was stalled at two calls in a
+  // row.
   template <class Visit>
   void Read(Visit visit) {
     for (auto& buffer : buffers_) {
@@ -125,7 +126,7 @@
   // lines.
   virtual bool Write(std::string_view text) = 0;
 };
-// Writes to stdout.
+// Writes to stdout. Write fails if stdout accepts no data for 50 ms.
 std::unique_ptr<Sink> MakeStdoutSink();
 // Appends to the file `path`. Before it would grow beyond `limit` bytes, the file is renamed to
 // `path`.old, which replaces the previous one, and a new file is started.
@@ -137,7 +138,7 @@
 // thread that reads them every `flush_ms` and writes lines to the sink.
 //   requests: flight recorder mode; all requests, kept in memory and read on demand
 //   failures: discard mode; all requests that failed or were rejected, exported
-//   control:  discard mode; versions, drains and probes, exported
+//   control:  discard mode; versions, drains, removed servers, probes and clock steps, exported
 class Recorder {
  public:
   struct Options {
