--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -1,4 +1,4 @@
-// Fixes the bytes on which other processes, stores, operators and scripts rely. During an upgrade
+// Pins the bytes on which other processes, stores, operators and scripts rely. During an upgrade
 // old and new programs run side by side, so a change of these bytes breaks the upgrade.
 //
 // After an intended change, rewrite the expected files:
@@ -316,8 +316,9 @@
   }
 }
 
-// Checks a message with fields that were added later. Unless they are set, the frame must be
-// the same as before their addition, so that programs of either version can read it.
+// Checks a message with fields that were added later, `extended`. Its frame must begin with that of
+// `before`, the message without them, which must still decode, so that programs of either version
+// can read it. A frame that ends within the later fields must not decode.
 template <class Message>
 void CheckLaterFields(Golden* golden, const std::string& name, const Message& before,
                       const Message& extended) {
--- a/tests/programs/shutdown_test.cc
+++ b/tests/programs/shutdown_test.cc
@@ -8,8 +8,8 @@
 namespace elderkeel {
 namespace {
 
-// Calls that began later than this before the exit, in ms, may stay unanswered. Runs with a longer
-// stall of the machine aren't judged.
+// Calls that are sent within this time before the controller exits may stay unanswered. The tests
+// don't judge lost requests if the machine stalled for longer than this.
 constexpr base::Millis kLossSlackMs = 200;
 
 // One call or request and its outcome, as its sender observed it.
@@ -74,8 +74,9 @@
     }
     return request->answered && request->answer.keep_alive && connection->Usable();
   }
-  // Rule LOST: the server executed the request, but its answer didn't reach the client, although
-  // the grace period and the request's time-out of 3 s allowed for it.
+  // Rule LOST: the server executed the request, but its answer didn't reach the client. Exempt are
+  // requests whose work exceeds their time-out of 3 s, and those sent up to 3 s after SIGTERM whose
+  // work lasts into the last sixth of the grace time.
   bool IsLost(const Sent& request, base::Millis term_at, base::Millis grace_ms) {
     base::Millis ends = RunEndsAt(request.attempt_id);
     bool served = request.answered && request.answer.Find("Elderkeel-Server-Seal") != nullptr;
--- a/tests/simulation/linearizability.h
+++ b/tests/simulation/linearizability.h
@@ -44,8 +44,9 @@
 
   bool Linearizable() { return SearchFrom(Model::Initial(), 0); }
   size_t states() const { return visited_.size(); }
-  // After a failed search, the call at which the partial order with the most answers ended: of the
-  // candidates with an answer the one that ended first. nullptr if there is none.
+  // After a failed search, a call that could not be placed, for the test's message: of the calls
+  // with an answer that could come next after the partial order with the most answers, the one that
+  // ended first. nullptr if there is none.
   const Operation* StuckCall() const {
     return stuck_ < history_.size() ? &history_[stuck_] : nullptr;
   }
@@ -129,7 +130,7 @@
 
 // The configuration as a register. A change takes effect at most once, and only on the revision
 // that If-Match names. A change that was applied is acknowledged again when it is sent again; 412
-// means that it was never applied.
+// means that it was never applied and that another revision is in force.
 struct ConfigurationModel {
   struct State {
     std::vector<int> applied;
--- a/tests/simulation/operators.h
+++ b/tests/simulation/operators.h
@@ -17,8 +17,8 @@
 using linearizability::Operation;
 
 // Simulated operators that call the controllers of a World concurrently. A caller starts at any
-// controller, follows two redirects, goes on to another controller after a failure, a 5xx or a
-// second without an answer, and repeats the same order until it has a definite answer. Each
+// controller and follows two redirects. After a failure, a 5xx or a second without an answer it
+// repeats the same order at a random controller, until a definite answer or its deadline. Each
 // controller runs the real configuration::OperatorApi. Connections are slow, break and close at
 // random; every call is recorded for the check of linearizability. Registers itself as the World's
 // listener, so it must outlive all runs.
@@ -45,7 +45,7 @@
   void Stop() { stopped_ = true; }
   // Whether no call is in flight.
   bool Idle() const { return calls_.empty(); }
-  // The number of writes that any node has answered with 200; the answer may have been lost.
+  // The number of answers with 200 that nodes have given to writes, including those that were lost.
   size_t acknowledged() const { return acknowledged_; }
   // Starts a read of the configuration, of each zone and of each service's roll-out.
   void ReadAll() {
@@ -511,7 +511,7 @@
   std::map<std::pair<Millis, uint64_t>, Event> events_;
   std::set<std::string> busy_objects_;        // zones and services with an order in flight
   std::map<std::string, bool> drain_wanted_;  // by zone, whether the last order was to drain it
-  int64_t known_revision_ = 0;                // the newest revision that operators have received
+  int64_t known_revision_ = 0;                // the revision on which most new changes are based
   int last_order_ = 0;
   uint64_t logical_time_ = 0;  // logical time of begins and ends in history_
   uint64_t event_order_ = 0, last_call_ = 0, last_ticket_ = 0, last_token_ = 0;
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -501,8 +501,8 @@
         world_.Start(other);
       }
       if (second == 2 || second == 9) {
-        // One proxy starts on each side: one that reaches only the member, one that reaches only
-        // the others.
+        // Restarts a proxy on each side of the cut. With How::kBoth the first one reaches only the
+        // member and the second one only the others.
         world_.Crash(kControllers);
         world_.Start(kControllers);
         started_[0] = world_.now;
@@ -574,7 +574,7 @@
   void Cut() {
     for (size_t i = 0; i < world_.size(); ++i) {
       if (i == member_) continue;
-      bool member_side = i == kControllers;  // the proxy that reaches only the member
+      bool member_side = i == kControllers;  // the proxy that stays connected to the member
       if (!member_side) {
         if (case_.how == How::kBoth) world_.Cut(member_, i, true);
         if (case_.how == How::kOut) world_.CutOneWay(member_, i, true);
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -181,7 +181,7 @@
 
   // --- operator calls; each returns whether a node accepted the proposal ---
   // Proposes the next change of the configuration at a leader that has committed an entry in its
-  // term. The change counts as acknowledged once it is applied at a node that leads then.
+  // term. The change counts as acknowledged once that node applies it and still leads.
   bool Change();
   // The same at one node, which may be a former leader that hasn't stepped down yet.
   bool ChangeAt(size_t i);
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -531,8 +531,8 @@
   }
 }
 
-// A controller process crashes and restarts within 300 ms, just as the endpoint list changes. Its
-// short absence must not keep the new list from any node.
+// One or two controllers, such as the leader or the catalog reader, crash and restart within 300 ms
+// while the endpoint list changes. Their absence must not keep the new list from any node.
 TEST(Simulation, AProcessThatRestartsAtOnceHidesNoChangeOfTheList) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     World::Options options;
--- a/tools/model_check.cc
+++ b/tools/model_check.cc
@@ -1,5 +1,5 @@
 // Long-running model checker: explores the states of a scenario breadth-first up to a depth, or by
-// random walks with --random, until the time limit of the scenario. Not part of CI;
+// random walks with --random, for --seconds per scenario at most (default: 60). Not part of CI;
 // docs/consensus.md lists the results. Exits with 1 if an invariant was violated, and with 2 on an
 // unknown scenario.
 //
--- a/tools/soak/checkers.cc
+++ b/tools/soak/checkers.cc
@@ -23,7 +23,8 @@
 constexpr base::Millis kDisconnectNoticeMs = 500;
 constexpr size_t kMaxLateExecutions = 3;  // the rule allows "a few"
 constexpr size_t kMaxClosedReusedConnections = 3;
-// Allowed are this many denied requests and one more for each kRequestsPerExtraDenied requests.
+// CheckDenied() allows this many denied requests, and one more for each kRequestsPerExtraDenied
+// requests of the run.
 constexpr size_t kMaxDenied = 5;
 constexpr size_t kRequestsPerExtraDenied = 500;
 
@@ -47,8 +48,8 @@
 bool IsController(const std::string& process) { return process[0] == 'c'; }
 bool IsProxy(const std::string& process) { return process[0] == 'p'; }
 
-// Whether an unplanned disturbance of any process, or a stall of this process, happened between
-// `first` and `last`.
+// Whether an unplanned disturbance of any process, or a stall of this process or of the whole
+// machine, happened between `first` and `last`.
 bool HasUnplanned(const RecordData& record, base::Millis first, base::Millis last,
                   const std::string& process) {
   bool unplanned = std::any_of(
@@ -64,8 +65,8 @@
          IsUnplanned(d.kind);
 }
 
-// Whether from `contact-ms` before `first` until `last` the process was not disturbed and no
-// process had an unplanned disturbance.
+// Whether from `contact-ms` before `first` until `last` the process was neither disturbed nor
+// stalled, and no process had an unplanned disturbance.
 bool IsUndisturbed(const RecordData& record, const Bounds& bounds, const std::string& process,
                    base::Millis first, base::Millis last) {
   base::Millis from = first - bounds.contact_ms;
--- a/tools/soak/checkers.h
+++ b/tools/soak/checkers.h
@@ -35,9 +35,11 @@
 // LOST as well: a proxy closed reused client connections without a response, at any time of the
 // run. Returns at most one violation, for more than three such connections.
 std::vector<Violation> CheckReusedConnections(const RecordData& record, const Bounds& bounds);
-// GONE: servers started, or continued, requests after their client had closed its connection.
+// GONE: servers started requests, or continued idempotent ones, more than 500 ms after their client
+// had closed its connection; a few late starts and a quarter of the continued ones are allowed.
 std::vector<Violation> CheckGone(const RecordData& record, const Bounds& bounds);
-// DENIED: a proxy answered valid requests with a 3xx or 4xx status of its own.
+// DENIED: a proxy answered valid requests with a 3xx or 4xx status of its own, other than 408, 421
+// and 429. Returns at most one violation, if there are more such requests than the rule allows.
 std::vector<Violation> CheckDenied(const RecordData& record, const Bounds& bounds);
 // TWICE: an effectful request was executed more than once.
 std::vector<Violation> CheckTwice(const RecordData& record);
--- a/tools/soak/record.h
+++ b/tools/soak/record.h
@@ -61,7 +61,7 @@
     kServerGone,      // the server has ended
     kServerCold,      // the server starts with a slow start of `detail` milliseconds
     kPlatformCut,     // the platform answers the controllers with errors only
-    kPlatformHealed,  // and with the list again
+    kPlatformHealed,  // the platform answers the controllers with the list again
   };
   Kind kind = Kind::kStart;
   std::string target = "";  // name of the process, id of the server, or "platform"
--- a/tools/soak/report.cc
+++ b/tools/soak/report.cc
@@ -10,7 +10,7 @@
 
 namespace elderkeel::soak {
 namespace {
-// The report lists the disturbances from twice this time before a violation until this time after.
+// The report lists the disturbances from 2 * kContextMs before a violation to kContextMs after it.
 constexpr base::Millis kContextMs = 3000;
 }  // namespace
 
--- a/tools/soak/traffic.cc
+++ b/tools/soak/traffic.cc
@@ -93,9 +93,9 @@
   if (seal) request->seal = *seal;
 }
 
-// Sends the request and blocks until its response, shortly after its deadline or, if
-// `disconnect_after` is not negative, until the client disconnects after that time. Returns whether
-// the connection can be reused.
+// Sends the request and blocks until it has a response or has failed. Gives up 100 ms after the
+// deadline or, if `disconnect_after` is not negative, disconnects after that many ms. Returns
+// whether the connection can be reused.
 bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis disconnect_after,
               Request* request) {
   request->sent_at = base::SteadyMillis();
--- a/tools/soak/world.h
+++ b/tools/soak/world.h
@@ -58,16 +58,16 @@
   void ReplaceZoneCold(const std::string& zone);
   // The thread that runs the platform and the servers.
   pid_t thread_id() const { return thread_id_; }
-  // While cut, the platform answers controllers with 503, and proxies after a delay that lasts
-  // until 2 s after the end of the cut.
+  // While cut, the platform answers controllers with 503. Its answers to proxies are delayed by
+  // 0.9 s from the start of the cut until 2 s after its end.
   void CutPlatform(bool cut);
 
  private:
   struct Server;
   void Run();
   void Post(std::function<void()> work);
-  // Starts a server at an address that AllocateAddress() chooses, and at the given one. A positive
-  // `warmup_ms` is the duration of its slow start.
+  // Starts a server at an address from AllocateAddress(), or at `address`. A positive `warmup_ms`
+  // is the duration of its slow start.
   void AddServer(const std::string& service, const std::string& zone, base::Millis warmup_ms);
   void AddServer(const std::string& service, const std::string& zone, const base::Address& address,
                  base::Millis warmup_ms);
