--- a/src/consensus/compaction.cc
+++ b/src/consensus/compaction.cc
@@ -35,17 +35,17 @@
 
 void RaftNode::Compact(Index index, std::string state) {
   if (index <= log_.snapshot().index || index > applied_index_) return;
-  std::optional<Index> drop_to = TruncationPoint(index, state.size());
-  if (!drop_to) return;
+  std::optional<Index> drop_through = TruncationPoint(index, state.size());
+  if (!drop_through) return;
   Snapshot snapshot;
   snapshot.index = index;
   snapshot.term = log_.TermAt(index);
   snapshot.voters = log_.VotersAt(index);
   snapshot.state = std::move(state);
-  log_.Compact(std::move(snapshot), *drop_to);
+  log_.Compact(std::move(snapshot), *drop_through);
   WriteRequest& write = CurrentWrite();
   write.snapshot = {log_.snapshot()};
-  write.drop_to = *drop_to;
+  write.drop_through = *drop_through;
 }
 
 // The last entry that no member in contact needs any more; the last entry of the log if the needed
@@ -80,9 +80,10 @@
     tail_bytes -= entry->data.size();
     tail = entry->index - 1;
   }
-  Index drop_to = std::min(tail, LastUnneededIndex(now_));
-  if (drop_to < tail && (entries.empty() || drop_to < entries.front().index)) return std::nullopt;
-  return drop_to;
+  Index drop_through = std::min(tail, LastUnneededIndex(now_));
+  if (drop_through < tail && (entries.empty() || drop_through < entries.front().index))
+    return std::nullopt;
+  return drop_through;
 }
 
 }  // namespace elderkeel::consensus
--- a/src/consensus/disk_store.cc
+++ b/src/consensus/disk_store.cc
@@ -175,7 +175,7 @@
   leveldb::WriteBatch batch;
   if (write.hard_state_changed) batch.Put(kHardStateKey, transport::Encode(write.hard_state));
   if (!write.snapshot.empty()) batch.Put(kSnapshotKey, transport::Encode(write.snapshot[0]));
-  if (write.drop_to > 0) DeleteEntries(&batch, 0, write.drop_to);
+  if (write.drop_through > 0) DeleteEntries(&batch, 0, write.drop_through);
   if (write.truncate_from > 0) DeleteEntries(&batch, write.truncate_from, UINT64_MAX);
   for (const Entry& entry : write.entries)
     batch.Put(EntryKey(entry.index), transport::Encode(entry));
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -8,7 +8,7 @@
 void RaftNode::ResetElectionTimer(base::Millis now) {
   base::Millis minimum = timing_.election_timeout;
   base::Millis spread = timing_.election_timeout;
-  if (no_leader_seen_) {
+  if (no_leader_contact_yet_) {
     // After a start there may be no leader to wait for, and a pre-vote doesn't disturb one.
     minimum = timing_.startup_election_timeout;
     spread = timing_.startup_election_timeout * 4;
@@ -26,7 +26,7 @@
   role_ = Role::kFollower;
   if (term > hard_state_.term) {
     last_leader_round_ = 0;
-    incoming_.reset();
+    partial_snapshot_.reset();
     SetHardState(term, 0);
   }
   if (leader != leader_id_) effects_.role_changed = true;
@@ -77,7 +77,7 @@
 
 void RaftNode::BecomeLeader(base::Millis now) {
   role_ = Role::kLeader;
-  no_leader_seen_ = false;
+  no_leader_contact_yet_ = false;
   effects_.role_changed = true;
   leader_id_ = self_.id;
   progress_.clear();
@@ -92,7 +92,7 @@
   bool has_live_leader = leader_id_ && leader_id_ != message.from &&
                          now - last_leader_contact_ < timing_.election_timeout;
   Message reply = MakeMessage(MessageType::kPreVoteReply, message.from);
-  reply.granted = log_.IsCoveredBy(message.index, message.log_term) && !is_leader() &&
+  reply.granted = log_.IsUpToDate(message.index, message.log_term) && !is_leader() &&
                   !has_live_leader && message.term > term();
   if (reply.granted) reply.term = message.term;
   reply.round = message.round;
@@ -119,7 +119,7 @@
   bool can_vote = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
   Message reply = MakeMessage(MessageType::kRequestVoteReply, message.from);
   reply.granted =
-      log_.IsCoveredBy(message.index, message.log_term) && can_vote && role_ == Role::kFollower;
+      log_.IsUpToDate(message.index, message.log_term) && can_vote && role_ == Role::kFollower;
   if (reply.granted) {
     SetHardState(term(), message.from);
     ResetElectionTimer(now);
--- a/src/consensus/pending_writes.cc
+++ b/src/consensus/pending_writes.cc
@@ -13,20 +13,21 @@
 
 void PendingWrites::OnTruncated(Index last) {
   durable_index_ = std::min(durable_index_, last);
-  for (auto& [sequence, covered] : covers_) covered = std::min(covered, last);
+  for (auto& [sequence, covered] : durable_on_finish_) covered = std::min(covered, last);
 }
 
 void PendingWrites::OnReplaced(Index last) {
   durable_index_ = last;
-  covers_.clear();
+  durable_on_finish_.clear();
 }
 
 void PendingWrites::OnFinished(uint64_t sequence, Index last_index) {
   finished_ = std::max(finished_, sequence);
   started_at_.erase(started_at_.begin(), started_at_.upper_bound(sequence));
-  while (!covers_.empty() && covers_.begin()->first <= sequence) {
-    durable_index_ = std::max(durable_index_, std::min(covers_.begin()->second, last_index));
-    covers_.erase(covers_.begin());
+  while (!durable_on_finish_.empty() && durable_on_finish_.begin()->first <= sequence) {
+    durable_index_ =
+        std::max(durable_index_, std::min(durable_on_finish_.begin()->second, last_index));
+    durable_on_finish_.erase(durable_on_finish_.begin());
   }
 }
 
--- a/src/consensus/pending_writes.h
+++ b/src/consensus/pending_writes.h
@@ -24,7 +24,7 @@
   // Begins a write and returns its sequence number.
   uint64_t Start(base::Millis now);
   // The write, once finished, makes the log durable up to `last`.
-  void Cover(uint64_t sequence, Index last) { covers_[sequence] = last; }
+  void SetDurableOnFinish(uint64_t sequence, Index last) { durable_on_finish_[sequence] = last; }
   // The log was truncated after `last`: later entries no longer count as durable, even if their
   // write was finished.
   void OnTruncated(Index last);
@@ -51,7 +51,7 @@
   // For the digest of the model checker.
   uint64_t unfinished() const { return started_ - finished_; }
   uint64_t finished() const { return finished_; }
-  const std::map<uint64_t, Index>& covers() const { return covers_; }
+  const std::map<uint64_t, Index>& durable_on_finish() const { return durable_on_finish_; }
   const std::vector<DeferredMessage>& deferred() const { return deferred_; }
 
  private:
@@ -60,7 +60,7 @@
   uint64_t started_ = 0;
   uint64_t finished_ = 0;
   Index durable_index_ = 0;
-  std::map<uint64_t, Index> covers_;             // unfinished write -> last index that it covers
+  std::map<uint64_t, Index> durable_on_finish_;  // unfinished write -> last index that it covers
   std::map<uint64_t, base::Millis> started_at_;  // unfinished write -> when it was started
   std::vector<DeferredMessage> deferred_;
 };
--- a/src/consensus/raft_log.cc
+++ b/src/consensus/raft_log.cc
@@ -30,7 +30,7 @@
   return index <= last_index() && TermAt(index) == term;
 }
 
-bool RaftLog::IsCoveredBy(Index index, Term term) const {
+bool RaftLog::IsUpToDate(Index index, Term term) const {
   return term > last_term() || (term == last_term() && index >= last_index());
 }
 
@@ -58,11 +58,12 @@
                  entries_.end());
 }
 
-void RaftLog::Compact(Snapshot snapshot, Index drop_to) {
+void RaftLog::Compact(Snapshot snapshot, Index drop_through) {
   snapshot_ = std::move(snapshot);
-  entries_.erase(std::remove_if(entries_.begin(), entries_.end(),
-                                [drop_to](const Entry& entry) { return entry.index <= drop_to; }),
-                 entries_.end());
+  entries_.erase(
+      std::remove_if(entries_.begin(), entries_.end(),
+                     [drop_through](const Entry& entry) { return entry.index <= drop_through; }),
+      entries_.end());
 }
 
 void RaftLog::Install(Snapshot snapshot) {
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -34,7 +34,7 @@
   bool Matches(Index index, Term term) const;
   // Whether a log that ends with (index, term) is at least as up to date as this one (Raft, section
   // 5.4.1).
-  bool IsCoveredBy(Index index, Term term) const;
+  bool IsUpToDate(Index index, Term term) const;
 
   // The voters that the last kVoters entry up to `index` sets; the snapshot's voters if there is no
   // such entry after the snapshot.
@@ -46,8 +46,8 @@
   void Append(Entry entry) { entries_.push_back(std::move(entry)); }
   // Removes the entry at `index` and all after it.
   void TruncateFrom(Index index);
-  // Replaces the snapshot by a newer one and keeps the entries after `drop_to`.
-  void Compact(Snapshot snapshot, Index drop_to);
+  // Replaces the snapshot by a newer one and keeps the entries after `drop_through`.
+  void Compact(Snapshot snapshot, Index drop_through);
   // Replaces the whole log by a snapshot received from the leader.
   void Install(Snapshot snapshot);
 
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -50,13 +50,13 @@
 void RaftNode::InitializeEmpty(Options options) {
   hard_state_.cluster = options.cluster;
   hard_state_.self = self_.id;
-  if (!options.founders.empty()) {
+  if (!options.initial_voters.empty()) {
     // All initial voters start from the same snapshot, so that the log of each of them contains the
     // same set of voters.
     Snapshot first;
     first.index = 1;
     first.term = 1;
-    first.voters = std::move(options.founders);
+    first.voters = std::move(options.initial_voters);
     hard_state_.term = 1;
     CurrentWrite().snapshot = {first};
     log_ = RaftLog(std::move(first), {});
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -38,9 +38,9 @@
   // A voter that is unreachable for longer is replaced by a caught-up learner of its zone. Without
   // such a learner it is removed, if there are more voters than MinVoters() and no more of them are
   // unreachable than may be lost at once.
-  base::Millis replace_silent_after = 2500;
+  base::Millis replace_unreachable_after = 2500;
   // The time until removal if more voters are unreachable than may be lost at once.
-  base::Millis remove_silent_after = 20000;
+  base::Millis remove_unreachable_after = 20000;
   // A leader with a write that is unfinished for longer steps down.
   base::Millis disk_stall_timeout = 1500;
 };
@@ -73,7 +73,7 @@
   struct Options {
     Member self;  // the id is used only with an empty store
     uint64_t cluster = 0;
-    std::vector<Member> founders;  // the initial voters; empty for a member that joins later
+    std::vector<Member> initial_voters;  // empty for a member that joins later
     Timing timing;
     Tolerance tolerance;
     std::map<std::string, std::string> regions;  // zone -> region
@@ -318,12 +318,12 @@
   Index commit_index_ = 0;
   Index applied_index_ = 0;
   Index recorded_commit_ = 0;  // the commit index that was last passed to the store
-  std::optional<PartialSnapshot> incoming_;
+  std::optional<PartialSnapshot> partial_snapshot_;
   MemberId leader_id_ = 0;  // 0: unknown
   base::Address leader_address_;
   base::Millis last_leader_contact_ = 0;
-  uint64_t last_leader_round_ = 0;  // the newest received from the leader of this term
-  bool no_leader_seen_ = true;      // since the process started
+  uint64_t last_leader_round_ = 0;     // the newest received from the leader of this term
+  bool no_leader_contact_yet_ = true;  // since the process started
   base::Millis election_at_ = 0;
   uint64_t round_ = 0;  // the round of the newest message that this member has numbered
 
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -118,10 +118,11 @@
   raft.regions = options_.regions;
   raft.seed = base::RandomSeed();
   auto is_self = [this](const Member& member) { return member.id == options_.self.id; };
-  bool initial_voter = options_.bootstrap && store_empty &&
-                       std::any_of(options_.founders.begin(), options_.founders.end(), is_self);
+  bool initial_voter =
+      options_.bootstrap && store_empty &&
+      std::any_of(options_.initial_voters.begin(), options_.initial_voters.end(), is_self);
   if (initial_voter) {
-    raft.founders = options_.founders;
+    raft.initial_voters = options_.initial_voters;
     raft.cluster = options_.cluster;
   } else if (store_empty) {
     raft.self.id = base::RandomSeed() | 1;  // not 0, which means "no member"
@@ -138,7 +139,7 @@
   store_error_.clear();
   bool empty = restored.empty;
   RaftNode::Options raft = RaftOptions(empty);
-  bool initial_voter = !raft.founders.empty();
+  bool initial_voter = !raft.initial_voters.empty();
   raft_ = std::make_unique<RaftNode>(std::move(raft), std::move(restored), base::SteadyMillis());
   for (const auto& [ip, zone] : zones_) raft_->SetZone(ip, zone);
   uint64_t store_generation = ++store_generation_;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -26,11 +26,11 @@
 class Replica {
  public:
   struct Options {
-    Member self;                   // the id is used by an initial voter only
-    std::vector<Member> founders;  // the initial voters
-    uint64_t cluster = 0;          // the cluster's id, which every message carries
-    bool bootstrap = false;        // this is the first start of the system
-    std::string data_dir;          // empty: the log is kept in memory only
+    Member self;  // the id is used by an initial voter only
+    std::vector<Member> initial_voters;
+    uint64_t cluster = 0;    // the cluster's id, which every message carries
+    bool bootstrap = false;  // this is the first start of the system
+    std::string data_dir;    // empty: the log is kept in memory only
     Timing timing;
     Tolerance tolerance;
     std::map<std::string, std::string> regions;  // zone -> region
--- a/src/consensus/replication.cc
+++ b/src/consensus/replication.cc
@@ -23,7 +23,7 @@
 void RaftNode::AppendEntry(Entry entry) {
   WriteRequest& write = CurrentWrite();
   write.entries.push_back(entry);
-  pending_writes_.Cover(write.sequence, entry.index);
+  pending_writes_.SetDurableOnFinish(write.sequence, entry.index);
   log_.Append(std::move(entry));
 }
 
@@ -100,7 +100,7 @@
   if (role_ != Role::kFollower || leader_id_ != message.from) {
     BecomeFollower(now, message.term, message.from);
   }
-  no_leader_seen_ = false;
+  no_leader_contact_yet_ = false;
   last_leader_contact_ = now;
   leader_address_ = from;
   ResetElectionTimer(now);
@@ -266,7 +266,8 @@
 void RaftNode::CommitTo(Index index) {
   if (index <= commit_index_) return;
   commit_index_ = index;
-  if (incoming_ && incoming_->snapshot.index <= commit_index_) incoming_.reset();
+  if (partial_snapshot_ && partial_snapshot_->snapshot.index <= commit_index_)
+    partial_snapshot_.reset();
   ApplyCommitted();
 }
 
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -89,13 +89,13 @@
       Message reply = MakeMessage(MessageType::kInstallSnapshotReply, message.from);
       reply.granted = result == ChunkResult::kAccepted;
       reply.index = chunk.index;
-      reply.offset = incoming_->snapshot.state.size();
+      reply.offset = partial_snapshot_->snapshot.state.size();
       reply.round = message.round;
       Send(from, std::move(reply), SendWhen::kWritesFinished);
       return;
     }
-    Snapshot complete = std::move(incoming_->snapshot);
-    incoming_.reset();
+    Snapshot complete = std::move(partial_snapshot_->snapshot);
+    partial_snapshot_.reset();
     InstallSnapshot(std::move(complete));
   }
   Message reply = MakeMessage(MessageType::kAppendEntriesReply, message.from);
@@ -110,16 +110,16 @@
 // that is too large.
 RaftNode::ChunkResult RaftNode::AddChunk(const Message& message) {
   const Snapshot& chunk = message.snapshot[0];
-  bool in_progress = incoming_ && incoming_->leader_term == message.term;
+  bool in_progress = partial_snapshot_ && partial_snapshot_->leader_term == message.term;
   // A late chunk of an older snapshot.
-  if (in_progress && incoming_->snapshot.index > chunk.index) return ChunkResult::kIgnored;
+  if (in_progress && partial_snapshot_->snapshot.index > chunk.index) return ChunkResult::kIgnored;
   if (message.total > kMaxStateBytes || message.offset + chunk.state.size() > message.total) {
     return ChunkResult::kIgnored;
   }
-  if (!in_progress || incoming_->snapshot.index < chunk.index) {
-    incoming_ = PartialSnapshot{message.term, {chunk.index, chunk.term, chunk.voters, ""}};
+  if (!in_progress || partial_snapshot_->snapshot.index < chunk.index) {
+    partial_snapshot_ = PartialSnapshot{message.term, {chunk.index, chunk.term, chunk.voters, ""}};
   }
-  std::string& state = incoming_->snapshot.state;
+  std::string& state = partial_snapshot_->snapshot.state;
   if (message.offset > state.size()) return ChunkResult::kGap;
   if (message.offset + chunk.state.size() > state.size()) {
     state.append(chunk.state, state.size() - message.offset);
--- a/src/consensus/store.h
+++ b/src/consensus/store.h
@@ -20,7 +20,8 @@
   Index truncate_from = 0;  // removes this entry and all after it; 0 for none
   std::vector<Entry> entries;
   std::vector<Snapshot> snapshot;  // none or one
-  Index drop_to = 0;  // removes this entry and all before it, which the snapshot covers; 0 for none
+  Index drop_through =
+      0;  // removes this entry and all before it, which the snapshot covers; 0 for none
 };
 
 // The content of a store when it is opened.
--- a/src/consensus/voter_changes.cc
+++ b/src/consensus/voter_changes.cc
@@ -124,7 +124,7 @@
 void RaftNode::DropUnreachableLearners(base::Millis now) {
   for (auto peer = progress_.begin(); peer != progress_.end();) {
     base::Millis contact_gap = now - peer->second.last_contact;
-    bool dropped = !peer->second.is_voter && contact_gap > timing_.replace_silent_after * 2;
+    bool dropped = !peer->second.is_voter && contact_gap > timing_.replace_unreachable_after * 2;
     peer = dropped ? progress_.erase(peer) : std::next(peer);
   }
 }
@@ -165,8 +165,8 @@
                                    [&](const Member& voter) { return IsUnreachable(now, voter); });
   size_t tolerated = std::max<size_t>(1, tolerance_.machines);
   base::Millis timeout = static_cast<size_t>(unreachable) <= tolerated
-                             ? timing_.replace_silent_after
-                             : timing_.remove_silent_after;
+                             ? timing_.replace_unreachable_after
+                             : timing_.remove_unreachable_after;
   for (const Member& voter : voters_) {
     if (voter.id == self_.id || !HasLiveMajorityWithout(now, voter.id)) continue;
     if (TimeSinceContact(now, voter) > timeout || IsLeaving(progress_[voter.id])) {
@@ -198,7 +198,7 @@
   if (voter.id == self_.id) return false;
   bool leaving = IsLeaving(progress_.at(voter.id));
   return TimeSinceContact(now, voter) >
-         (leaving ? timing_.election_timeout : timing_.replace_silent_after);
+         (leaving ? timing_.election_timeout : timing_.replace_unreachable_after);
 }
 
 }  // namespace elderkeel::consensus
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -181,7 +181,7 @@
 // --- the log ---
 
 consensus::Replica::Options Controller::ReplicaOptions(
-    const std::vector<base::Address>& founders) const {
+    const std::vector<base::Address>& initial_voters) const {
   const base::Settings& settings = context_.settings;
   consensus::Replica::Options options;
   options.self.ip = settings.ip;
@@ -198,17 +198,17 @@
   options.tolerance.regions = static_cast<size_t>(settings.tolerance_regions);
   options.regions = settings.zones;
   options.cluster = ClusterId(settings.seeds);
-  for (const base::Address& founder : founders) {
+  for (const base::Address& initial_voter : initial_voters) {
     consensus::Member member;
-    member.ip = founder.ip;
+    member.ip = initial_voter.ip;
     member.port = settings.ControllerPort();
     member.id = FounderId(member.address());
-    member.control = founder.ToString();
+    member.control = initial_voter.ToString();
     const membership::Node* node = context_.node->membership().Find(member.address());
     if (node) member.zone = node->zone;
-    options.founders.push_back(member);
+    options.initial_voters.push_back(member);
   }
-  std::sort(options.founders.begin(), options.founders.end(),
+  std::sort(options.initial_voters.begin(), options.initial_voters.end(),
             [](const auto& a, const auto& b) { return a.id < b.id; });
   return options;
 }
@@ -238,13 +238,13 @@
                  settings.seeds.end();
   bool bootstraps =
       settings.bootstrap && is_seed && !consensus::Replica::HasStore(settings.data_dir);
-  std::vector<base::Address> founders;
+  std::vector<base::Address> initial_voters;
   if (bootstraps) {
     auto voters = InitialVoters();
     if (!voters) return false;
-    founders = std::move(*voters);
+    initial_voters = std::move(*voters);
   }
-  context_.replica->Start(ReplicaOptions(founders));
+  context_.replica->Start(ReplicaOptions(initial_voters));
   for (const auto& [id, node] : context_.node->membership().nodes()) {
     context_.replica->SetZone(node.ip, node.zone);
   }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -55,7 +55,8 @@
   base::Status StartDirectory();
 
   // The log.
-  consensus::Replica::Options ReplicaOptions(const std::vector<base::Address>& founders) const;
+  consensus::Replica::Options ReplicaOptions(
+      const std::vector<base::Address>& initial_voters) const;
   bool StartReplica();
   std::optional<std::vector<base::Address>> InitialVoters() const;
   void OnApplied(const consensus::Entry& entry);
--- a/tests/consensus/disk_store_test.cc
+++ b/tests/consensus/disk_store_test.cc
@@ -71,7 +71,7 @@
   EXPECT_EQ(restored.entries[2].term, 3u);
   WriteRequest third;
   third.snapshot = {Snapshot{5, 3, {}, "newer"}};
-  third.drop_to = 4;
+  third.drop_through = 4;
   Write(third);
   restored = Reload();
   EXPECT_EQ(restored.snapshot.index, 5u);
@@ -276,7 +276,7 @@
   });
   RaftNode::Options options;
   options.self.id = 1;
-  options.founders = {options.self};
+  options.initial_voters = {options.self};
   options.cluster = 7;
   RaftNode raft(options, RestoredState(), 0);
   size_t log_bytes = 0, log_size = 0;
--- a/tests/consensus/model.cc
+++ b/tests/consensus/model.cc
@@ -7,16 +7,16 @@
 namespace elderkeel::model {
 
 Model::Model(Options options) : options_(std::move(options)) {
-  for (int i = 0; i < options_.founders; ++i) founders_.push_back(MemberOf(i, 0));
+  for (int i = 0; i < options_.initial_voters; ++i) initial_voters_.push_back(MemberOf(i, 0));
 }
 
 State Model::Initial() {
   State s;
-  s.nodes.resize(static_cast<size_t>(options_.founders + options_.spares));
+  s.nodes.resize(static_cast<size_t>(options_.initial_voters + options_.spares));
   for (size_t i = 0; i < s.nodes.size(); ++i) {
     auto node = std::make_shared<Node>();
     s.nodes[i] = node;
-    if (static_cast<int>(i) < options_.founders)
+    if (static_cast<int>(i) < options_.initial_voters)
       StartNode(&s, static_cast<int>(i), node.get(), true);
     UpdateDigest(node.get());
   }
@@ -137,7 +137,7 @@
       n.writes.erase(n.writes.begin());
       bool ok = step.kind == StepKind::kPersist;
       if (ok) ApplyWrite(&n.disk, write);
-      if (!ok && !options_.writes_past_refusal) n.writes.clear();
+      if (!ok && !options_.writes_after_failure) n.writes.clear();
       n.raft->OnWriteFinished(n.now, write.sequence, ok);
       break;
     }
@@ -257,14 +257,14 @@
   o.tolerance = options_.tolerance;
   o.seed = static_cast<uint64_t>(1 + i * 100 + n->incarnations);
   if (initial_voter) {
-    o.founders = founders_;
+    o.initial_voters = initial_voters_;
     o.cluster = 77;
   }
   n->up = true;
   ++n->incarnations;
   n->applied_digest = 0;
   n->raft.emplace(o, n->disk, n->now);
-  for (int k = 0; k < options_.founders + options_.spares; ++k) {
+  for (int k = 0; k < options_.initial_voters + options_.spares; ++k) {
     n->raft->SetZone(AddressOf(k).ip, ZoneOf(k));
   }
   ProcessEffects(s, i + 1, n);
--- a/tests/consensus/model.h
+++ b/tests/consensus/model.h
@@ -73,7 +73,7 @@
   void ReportFault(const std::string& invariant, int node, const std::string& description);
 
   Options options_;
-  std::vector<Member> founders_;
+  std::vector<Member> initial_voters_;
   std::string* fault_ = nullptr;
 };
 
--- a/tests/consensus/model_checker_test.cc
+++ b/tests/consensus/model_checker_test.cc
@@ -13,7 +13,7 @@
 TEST_P(ModelCheckerTest, InvariantsHoldInAllStatesWithinBound) {
   const Scenario& scenario = *FindScenario(GetParam());
   Script script(scenario.options);
-  scenario.begin(&script);
+  scenario.setup(&script);
   Result result = Search(script, scenario.budget, scenario.depth);
   std::printf("%s: %s\n", scenario.name.c_str(), result.Summary().c_str());
   EXPECT_EQ(result.fault, "") << result.Summary();
@@ -39,9 +39,9 @@
 TEST(ModelCheckerTest, SameSeedGivesSameWalks) {
   const Scenario& scenario = *FindScenario("replacement");
   Script script(scenario.options);
-  scenario.begin(&script);
-  Result first = Walk(script, scenario.budget, 40, 7, 1e9, 10);
-  Result second = Walk(script, scenario.budget, 40, 7, 1e9, 10);
+  scenario.setup(&script);
+  Result first = RandomWalk(script, scenario.budget, 40, 7, 1e9, 10);
+  Result second = RandomWalk(script, scenario.budget, 40, 7, 1e9, 10);
   EXPECT_EQ(first.fault, "") << first.Summary();
   EXPECT_EQ(first.states, second.states);
   EXPECT_EQ(first.steps, second.steps);
@@ -53,7 +53,7 @@
 TEST(ModelCheckerTest, LateSnapshotKeepsLaterEntriesOfFollower) {
   const Scenario& scenario = *FindScenario("late-snapshot");
   Script script(scenario.options);
-  scenario.begin(&script);
+  scenario.setup(&script);
   ASSERT_EQ(script.fault, "");
   std::vector<Step> steps = script.steps;
   ASSERT_EQ(script.at(3).raft->last_index(), 42u);
--- a/tests/consensus/model_digest.h
+++ b/tests/consensus/model_digest.h
@@ -87,7 +87,7 @@
   return d.value();
 }
 inline void AddTo(Digest* d, const WriteRequest& w) {
-  d->Add(w.hard_state_changed, w.commit, w.truncate_from, w.drop_to, w.snapshot.size());
+  d->Add(w.hard_state_changed, w.commit, w.truncate_from, w.drop_through, w.snapshot.size());
   if (w.hard_state_changed) AddTo(d, w.hard_state);
   AddTo(d, w.entries);
   for (const Snapshot& s : w.snapshot) AddTo(d, s);
@@ -116,20 +116,22 @@
     const PendingWrites& writes = raft.pending_writes_;
     model::Digest d;
     d.Add(raft.self_.id, raft.role_, raft.term(), raft.commit_index_, raft.applied_index_,
-          raft.recorded_commit_, writes.durable_index(), raft.storage_failed_, raft.no_leader_seen_,
-          raft.leader_id_, writes.unfinished(), raft.IsDiskStalled(now), raft.round_,
-          raft.last_leader_round_, raft.pre_vote_round_, raft.leaving_, raft.may_stop_,
-          raft.leaving_ && now >= raft.leave_retry_at_, raft.incoming_.has_value());
-    if (raft.incoming_) {
-      model::AddTo(&d, raft.incoming_->snapshot);
-      d.Add(raft.incoming_->leader_term);
+          raft.recorded_commit_, writes.durable_index(), raft.storage_failed_,
+          raft.no_leader_contact_yet_, raft.leader_id_, writes.unfinished(),
+          raft.IsDiskStalled(now), raft.round_, raft.last_leader_round_, raft.pre_vote_round_,
+          raft.leaving_, raft.may_stop_, raft.leaving_ && now >= raft.leave_retry_at_,
+          raft.partial_snapshot_.has_value());
+    if (raft.partial_snapshot_) {
+      model::AddTo(&d, raft.partial_snapshot_->snapshot);
+      d.Add(raft.partial_snapshot_->leader_term);
     }
     model::AddTo(&d, raft.hard_state_);
     model::AddTo(&d, raft.log_.snapshot());
     model::AddTo(&d, raft.log_.entries());
     model::AddTo(&d, raft.voters_);
-    d.Add(writes.covers().size());
-    for (const auto& [sequence, last] : writes.covers()) d.Add(sequence - writes.finished(), last);
+    d.Add(writes.durable_on_finish().size());
+    for (const auto& [sequence, last] : writes.durable_on_finish())
+      d.Add(sequence - writes.finished(), last);
     d.Add(writes.deferred().size());
     for (const auto& deferred : writes.deferred()) {
       d.Add(deferred.after - writes.finished(), model::DigestOf(deferred.message.message));
@@ -159,9 +161,10 @@
                 peer.snapshot ? peer.snapshot->index : 0);
     digest->Add(peer.window.in_flight().size());
     for (const auto& message : peer.window.in_flight()) digest->Add(message.round, message.bytes);
-    for (base::Millis span : {timing.heartbeat_interval * 4, timing.election_timeout,
-                              timing.election_timeout * 2, timing.replace_silent_after,
-                              timing.replace_silent_after * 2, timing.remove_silent_after}) {
+    for (base::Millis span :
+         {timing.heartbeat_interval * 4, timing.election_timeout, timing.election_timeout * 2,
+          timing.replace_unreachable_after, timing.replace_unreachable_after * 2,
+          timing.remove_unreachable_after}) {
       digest->Add(contact_gap > span, contact_gap == span);
     }
     digest->Add(peer.leave_requested_at >= 0 &&
--- a/tests/consensus/model_invariants.cc
+++ b/tests/consensus/model_invariants.cc
@@ -168,7 +168,7 @@
 }
 
 void Model::ReportFault(const std::string& invariant, int node, const std::string& description) {
-  if (!fault_ || !fault_->empty() || options_.ignored.count(invariant)) return;
+  if (!fault_ || !fault_->empty() || options_.ignored_invariants.count(invariant)) return;
   *fault_ = invariant + ": node " + std::to_string(node) + " " + description;
 }
 
--- a/tests/consensus/model_scenarios.h
+++ b/tests/consensus/model_scenarios.h
@@ -15,7 +15,7 @@
 struct Scenario {
   std::string name;  // as given to the tool model_check
   Options options;
-  std::function<void(Script*)> begin;  // takes the first steps
+  std::function<void(Script*)> setup;  // takes the first steps
   StepBudget budget;
   int depth;  // of the search in ModelCheckerTest
 };
@@ -30,10 +30,10 @@
 }
 
 // `tolerated_machines`: how many machines may be lost at once.
-inline Options MakeOptions(int founders, int spares = 0, size_t tolerated_machines = 1,
+inline Options MakeOptions(int initial_voters, int spares = 0, size_t tolerated_machines = 1,
                            bool instant_disk = false) {
   Options o;
-  o.founders = founders;
+  o.initial_voters = initial_voters;
   o.spares = spares;
   o.tolerance.machines = tolerated_machines;
   o.instant_disk = instant_disk;
--- a/tests/consensus/model_search.cc
+++ b/tests/consensus/model_search.cc
@@ -126,8 +126,8 @@
   return steps;
 }
 
-Result Walk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
-            double max_seconds, size_t max_walks) {
+Result RandomWalk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
+                  double max_seconds, size_t max_walks) {
   Result result;
   Stopwatch stopwatch;
   Model model = script.model;
--- a/tests/consensus/model_search.h
+++ b/tests/consensus/model_search.h
@@ -67,7 +67,7 @@
 // description, an error text if a step is impossible, and an empty string otherwise.
 std::string Replay(const Options& options, const std::vector<Step>& steps);
 
-// The outcome of Search() or Walk().
+// The outcome of Search() or RandomWalk().
 struct Result {
   size_t states = 0;      // distinct ones that were reached
   size_t steps = 0;       // taken
@@ -109,7 +109,7 @@
 // Takes random walks of up to `depth` steps from the script's last state, until one violates an
 // invariant or the bounds are reached. A seed always gives the same walks. Shrink() shortens the
 // trace.
-Result Walk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
-            double max_seconds, size_t max_walks = SIZE_MAX);
+Result RandomWalk(const Script& script, const StepBudget& budget, int depth, uint64_t seed,
+                  double max_seconds, size_t max_walks = SIZE_MAX);
 
 }  // namespace elderkeel::model
--- a/tests/consensus/model_state.cc
+++ b/tests/consensus/model_state.cc
@@ -35,7 +35,7 @@
   auto remove = [&](auto is_removed) {
     log.erase(std::remove_if(log.begin(), log.end(), is_removed), log.end());
   };
-  if (write.drop_to) remove([&](const Entry& e) { return e.index <= write.drop_to; });
+  if (write.drop_through) remove([&](const Entry& e) { return e.index <= write.drop_through; });
   if (write.truncate_from) remove([&](const Entry& e) { return e.index >= write.truncate_from; });
   for (const Entry& entry : write.entries) {  // an entry replaces the one at its index
     auto at = std::lower_bound(log.begin(), log.end(), entry.index,
--- a/tests/consensus/model_state.h
+++ b/tests/consensus/model_state.h
@@ -55,16 +55,16 @@
 
 // The cluster that is modelled.
 struct Options {
-  int founders = 3;  // the initial voters
-  int spares = 0;    // additional nodes, which aren't running at first
+  int initial_voters = 3;
+  int spares = 0;  // additional nodes, which aren't running at first
   consensus::Tolerance tolerance;
   int zones = 3;
   // Writes finish at once. That leaves more of the bound to scenarios that aren't about the disk.
   bool instant_disk = false;
-  bool writes_past_refusal =
+  bool writes_after_failure =
       false;  // the store still executes the writes queued after a failed one
   // The names of invariants that aren't checked, to find out which others detect the same fault.
-  std::set<std::string> ignored;
+  std::set<std::string> ignored_invariants;
   consensus::Timing timing = ShortTiming();
 
   // With these times one unanswered heartbeat is enough to replace a voter, and two to remove it.
@@ -73,8 +73,8 @@
     consensus::Timing t;
     t.heartbeat_interval = 500;
     t.election_timeout = 600;
-    t.replace_silent_after = 400;
-    t.remove_silent_after = 900;
+    t.replace_unreachable_after = 400;
+    t.remove_unreachable_after = 900;
     t.disk_stall_timeout = 60000;
     return t;
   }
--- a/tests/consensus/power_loss_test.cc
+++ b/tests/consensus/power_loss_test.cc
@@ -26,7 +26,7 @@
                   entries.end());
   };
   if (write.truncate_from > 0) keep([&](Index i) { return i < write.truncate_from; });
-  keep([&](Index i) { return i > write.drop_to; });
+  keep([&](Index i) { return i > write.drop_through; });
   if (!write.snapshot.empty()) state->snapshot = write.snapshot[0];
   entries.insert(entries.end(), write.entries.begin(), write.entries.end());
   if (write.commit > 0) state->commit = write.commit;
@@ -71,7 +71,7 @@
       last = write.truncate_from - 1;
       AdvanceTerm(state, &write);
     } else if (choice == 4 && state.entries.size() > 8) {
-      write.drop_to = last - 8;
+      write.drop_through = last - 8;
       write.snapshot = {Snapshot{last - 2, state.hard_state.term, {}, Text(20000)}};
     } else if (choice == 5 && random_.Below(4) == 0) {  // a leader's snapshot
       write.truncate_from = 1;
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -37,7 +37,7 @@
     disk->entries.erase(std::remove_if(disk->entries.begin(), disk->entries.end(), is_dropped),
                         disk->entries.end());
   };
-  if (write.drop_to) drop([&](const Entry& e) { return e.index <= write.drop_to; });
+  if (write.drop_through) drop([&](const Entry& e) { return e.index <= write.drop_through; });
   if (write.truncate_from) drop([&](const Entry& e) { return e.index >= write.truncate_from; });
   disk->entries.insert(disk->entries.end(), write.entries.begin(), write.entries.end());
   if (write.commit) disk->commit = write.commit;
@@ -47,10 +47,11 @@
   return disk.entries.empty() ? disk.snapshot.index : disk.entries.back().index;
 }
 
-// A RaftNode with its disk, by default one of three founders. Its writes are synced as soon as they
-// are made.
+// A RaftNode with its disk, by default one of three initial voters. Its writes are synced as soon
+// as they are made.
 struct Node {
-  // `joiner`: the id of a new member at the address of founder `id`; 0 for the founder itself.
+  // `joiner`: the id of a new member at the address of the initial voter `id`; 0 for the initial
+  // voter itself.
   explicit Node(MemberId id, RestoredState restored = {}, Millis now = 0, MemberId joiner = 0)
       : disk(std::move(restored)) {
     RaftNode::Options options;
@@ -59,7 +60,7 @@
       options.self.id = joiner;
     } else {
       options.cluster = 7;
-      for (MemberId k = 1; k <= 3; ++k) options.founders.push_back(Founder(k));
+      for (MemberId k = 1; k <= 3; ++k) options.initial_voters.push_back(Founder(k));
     }
     options.seed = id;
     raft = std::make_unique<RaftNode>(options, disk, now);
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -88,7 +88,7 @@
   EXPECT_FALSE(confirmation.OnReply(5000, reply));  // the question has expired
 }
 
-// The Raft node of one of three founders. The test takes the part of the two others.
+// The Raft node of one of three initial voters. The test takes the part of the two others.
 class FounderNode {
  public:
   FounderNode() {
@@ -98,9 +98,9 @@
       m.ip = "10.0.0." + std::to_string(id);
       m.port = 7200;
       m.control = m.ip + ":8080";
-      options_.founders.push_back(m);
+      options_.initial_voters.push_back(m);
     }
-    options_.self = options_.founders[0];
+    options_.self = options_.initial_voters[0];
     options_.cluster = 7;
     raft_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
   }
--- a/tests/simulation/simulation.cc
+++ b/tests/simulation/simulation.cc
@@ -28,7 +28,7 @@
     m.id = 100 + static_cast<uint64_t>(i);
     m.ip = nodes_[i]->address.ip;
     m.port = 7200;
-    founders_.push_back(m);
+    initial_voters_.push_back(m);
   }
   for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
     if (i < options.controllers || i >= options_.controllers) Start(static_cast<size_t>(i), true);
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -328,7 +328,7 @@
   base::Random random_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<Address, size_t> by_address_;
-  std::vector<consensus::Member> founders_;
+  std::vector<consensus::Member> initial_voters_;
   std::priority_queue<Packet> packets_;
   std::set<std::pair<size_t, size_t>> cuts_;
   std::set<std::pair<size_t, size_t>> one_way_cuts_;  // from, to
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -78,7 +78,7 @@
     }
     log = std::move(kept);
   };
-  if (write.drop_to) drop([&](const auto& e) { return e.index > write.drop_to; });
+  if (write.drop_through) drop([&](const auto& e) { return e.index > write.drop_through; });
   if (write.truncate_from) drop([&](const auto& e) { return e.index < write.truncate_from; });
   log.insert(log.end(), write.entries.begin(), write.entries.end());
   if (write.commit && random_.Below(2)) n.disk.commit = write.commit;  // not synced, may be lost
@@ -174,7 +174,7 @@
   for (const auto& write : e.writes) {
     Trace(i, 100,
           std::to_string(write.sequence) + "," + std::to_string(write.commit) + "," +
-              std::to_string(write.truncate_from) + "," + std::to_string(write.drop_to));
+              std::to_string(write.truncate_from) + "," + std::to_string(write.drop_through));
     if (write.hard_state_changed) Trace(i, 101, transport::Encode(write.hard_state));
     for (const auto& entry : write.entries) Trace(i, 102, transport::Encode(entry));
     for (const auto& snapshot : write.snapshot) Trace(i, 103, transport::Encode(snapshot));
--- a/tests/simulation/simulation_faults.cc
+++ b/tests/simulation/simulation_faults.cc
@@ -61,9 +61,9 @@
   raft.seed = random_.Next();
   raft.tolerance = options_.tolerance;
   raft.regions = options_.regions;
-  if (first && i < founders_.size()) {
-    raft.self.id = founders_[i].id;
-    raft.founders = founders_;
+  if (first && i < initial_voters_.size()) {
+    raft.self.id = initial_voters_[i].id;
+    raft.initial_voters = initial_voters_;
     raft.cluster = 77;
   } else {
     raft.self.id = random_.Next() | 1;
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -393,9 +393,9 @@
       m.ip = "10.0.0." + std::to_string(i + 1);
       m.port = 7200;
       m.zone = c.zones[i];
-      options.founders.push_back(m);
+      options.initial_voters.push_back(m);
     }
-    options.self = options.founders[0];
+    options.self = options.initial_voters[0];
     options.cluster = 7;
     options.tolerance = c.tolerance;
     options.regions = {{"a", "x"}, {"b", "x"}, {"c", "y"}};
--- a/tools/model_check.cc
+++ b/tools/model_check.cc
@@ -46,13 +46,13 @@
       if (option == "--depth") depth = std::atoi(value.c_str());
       if (option == "--seconds") seconds = std::atof(value.c_str());
       if (option == "--random") seed = std::strtoull(value.c_str(), nullptr, 10);
-      if (option == "--members") s.options.founders = std::atoi(value.c_str());
+      if (option == "--members") s.options.initial_voters = std::atoi(value.c_str());
       if (option == "--spares") s.options.spares = std::atoi(value.c_str());
       if (option == "--tolerance")
         s.options.tolerance.machines = std::strtoul(value.c_str(), 0, 10);
-      if (option == "--past-refusal") s.options.writes_past_refusal = value == "1";
+      if (option == "--past-refusal") s.options.writes_after_failure = value == "1";
       if (option == "--ignore") {
-        for (const std::string& part : Split(value)) s.options.ignored.insert(part);
+        for (const std::string& part : Split(value)) s.options.ignored_invariants.insert(part);
       }
       if (option != "--budget") continue;
       for (const std::string& part : Split(value)) {
@@ -64,8 +64,8 @@
       }
     }
     Script script(s.options);
-    s.begin(&script);
-    Result result = seed ? Walk(script, s.budget, depth ? depth : 60, seed, seconds)
+    s.setup(&script);
+    Result result = seed ? RandomWalk(script, s.budget, depth ? depth : 60, seed, seconds)
                          : Search(script, s.budget, depth ? depth : s.depth, SIZE_MAX, seconds);
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
