--- a/src/forwarding/attempt_log.h
+++ b/src/forwarding/attempt_log.h
@@ -8,11 +8,11 @@
 
 // Outcome of one attempt, that is, of sending a request once to one server.
 enum class AttemptOutcome : uint8_t {
-  kPending,   // in flight, or abandoned while in flight
-  kNotSent,   // ended before any byte was handed to the kernel
-  kNotRun,    // the server declared that it did not execute the request
-  kMaybeRun,  // connection broken, or an answer that fails its checks
-  kRun,       // the server answered
+  kPending,        // in flight, or abandoned while in flight
+  kNotSent,        // ended before any byte was handed to the kernel
+  kNotExecuted,    // the server declared that it did not execute the request
+  kMaybeExecuted,  // connection broken, or an answer that fails its checks
+  kExecuted,       // the server answered
 };
 
 // The attempts of one request. Decides whether a further attempt is allowed, and whether the proxy
@@ -40,12 +40,12 @@
   // second time. An attempt after the first arrival also needs a token of the retry budget.
   bool MayAttempt() const {
     if (arrivals() >= max_attempts_ || outcomes_.size() >= kMaxAttempts) return false;
-    return idempotent_ || IsCertainlyNotRun();
+    return idempotent_ || IsCertainlyNotExecuted();
   }
   // Whether no attempt was or will be executed, so that 429, 503, 408 or 421 may be answered.
-  bool IsCertainlyNotRun() const {
+  bool IsCertainlyNotExecuted() const {
     return std::all_of(outcomes_.begin(), outcomes_.end(), [](AttemptOutcome outcome) {
-      return outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kNotRun;
+      return outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kNotExecuted;
     });
   }
 
--- a/src/forwarding/attempts.cc
+++ b/src/forwarding/attempts.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 #include "forwarding/request_router.h"
 #include "forwarding/server_messages.h"
 
@@ -40,7 +40,8 @@
 
 uint32_t RequestRouter::ChooseServer(base::Millis now, const PendingRequest& pending) {
   LoadBalancer::Request request{pending.service, MeanLatencyMs(pending.route_index),
-                                pending.route->idempotent, pending.tried, pending.route->regions};
+                                pending.route->idempotent, pending.tried_servers,
+                                pending.route->regions};
   return version_routing_.ChooseServer(
       now, pending, [&](bool secondary) { return balancer_.Choose(now, request, secondary); });
 }
@@ -60,7 +61,7 @@
 void RequestRouter::DispatchFirst(PendingRequest* pending) {
   base::Millis now = base::SteadyMillis();
   uint32_t server = ChooseServer(now, *pending);
-  if (server != LoadBalancer::kNone && SendTo(pending, server)) return;
+  if (server != LoadBalancer::kNoServer && SendTo(pending, server)) return;
   if (!balancer_.HasUsable(pending->service, pending->route->regions)) {
     FailRequest(pending, {Step::kAdmission, "the service has no server"}, false);
   } else if (now >= pending->wait_until) {
@@ -73,7 +74,7 @@
 // A retry is sent at once or not at all; it is never queued.
 void RequestRouter::Retry(PendingRequest* pending) {
   uint32_t server = ChooseServer(base::SteadyMillis(), *pending);
-  if (server == LoadBalancer::kNone || !retry_budget_.TryWithdraw(pending->service)) {
+  if (server == LoadBalancer::kNoServer || !retry_budget_.TryWithdraw(pending->service)) {
     HandleAttemptFailure(pending);
     return;
   }
@@ -95,13 +96,13 @@
   attempt.log_entry = pending->attempt_log.Begin();
   attempt.server = server;
   attempt.sent_at = now;
-  attempt.late_after =
+  attempt.late_after_ms =
       static_cast<base::Millis>(MeanLatencyMs(pending->route_index) * kLateFactor) + 1;
-  attempt.timed = now >= state.slow_start_until;
+  attempt.counts_latency = now >= state.slow_start_until;
   version_routing_.OnAttemptBegun(server);
-  pending->tried.push_back(server);
+  pending->tried_servers.push_back(server);
   pending->last_server = server;
-  balancer_.Begin(now, server);
+  balancer_.OnAttemptBegun(now, server);
   load_sharing_.OnAttemptBegun(now, state.service);
   StartAttempt(pending, attempt, connection.get());
   attempt.connection = std::move(connection);
@@ -145,8 +146,9 @@
   base::Millis after = HedgeDelay(MeanLatencyMs(pending->route_index), *pending->route);
   // An attempt at a secondary version, which may be one under trial, is hedged only once it counts
   // as late: an earlier hedge would hide how slow the version is.
-  bool unproven = balancer_.at(attempt.server).version_role == ServerState::VersionRole::kSecondary;
-  if (unproven) after = std::max(after, attempt.late_after);
+  bool secondary =
+      balancer_.at(attempt.server).version_role == ServerState::VersionRole::kSecondary;
+  if (secondary) after = std::max(after, attempt.late_after_ms);
   pending->hedge_at = attempt.sent_at + after;
 }
 
@@ -154,7 +156,7 @@
   pending->hedge_at = 0;
   if (pending->attempts.size() != 1 || !pending->attempt_log.MayAttempt()) return;
   uint32_t server = ChooseServer(base::SteadyMillis(), *pending);
-  if (server == LoadBalancer::kNone || balancer_.at(server).in_flight > 0) return;
+  if (server == LoadBalancer::kNoServer || balancer_.at(server).in_flight > 0) return;
   if (!retry_budget_.TryWithdrawForHedge(pending->service)) return;
   if (!SendTo(pending, server)) retry_budget_.Refund(pending->service);
   pending->hedge_at = 0;
@@ -192,17 +194,18 @@
     return {AttemptOutcome::kNotSent, Signal::kUnreachable, Step::kConnect, outcome.reason};
   }
   if (outcome.ending == Ending::kBroken) {
-    return {AttemptOutcome::kMaybeRun, Signal::kBroken, Step::kAnswer, outcome.reason};
+    return {AttemptOutcome::kMaybeExecuted, Signal::kInvalidAnswer, Step::kAnswer, outcome.reason};
   }
   const Message& answer = outcome.answer;
   if (IsMarkedNotExecuted(answer)) {
-    Signal signal = answer.status == 421 ? Signal::kMisplaced : Signal::kFull;
+    Signal signal = answer.status == 421 ? Signal::kWrongServer : Signal::kOverloaded;
     std::string reason = "rejected by the server with " + std::to_string(answer.status);
-    return {AttemptOutcome::kNotRun, signal, Step::kAnswer, std::move(reason)};
+    return {AttemptOutcome::kNotExecuted, signal, Step::kAnswer, std::move(reason)};
   }
   std::string fault = FindAnswerFault(answer, pending.attempt_id);
   if (!fault.empty()) {
-    return {AttemptOutcome::kMaybeRun, Signal::kBroken, Step::kAnswer, std::move(fault)};
+    return {AttemptOutcome::kMaybeExecuted, Signal::kInvalidAnswer, Step::kAnswer,
+            std::move(fault)};
   }
   return {};
 }
@@ -211,8 +214,8 @@
                                const AttemptResult& result, int status) {
   using VersionOutcome = rollout::CanaryPolicy::Outcome;
   base::Millis took = now - attempt->sent_at;
-  bool maybe_run = result.outcome == AttemptOutcome::kMaybeRun;
-  bool run = result.outcome == AttemptOutcome::kRun;
+  bool maybe_run = result.outcome == AttemptOutcome::kMaybeExecuted;
+  bool run = result.outcome == AttemptOutcome::kExecuted;
   if (maybe_run) {
     connections_.Discard(attempt->server, std::move(attempt->connection));
     version_routing_.OnAttemptEnded(*pending, *attempt, VersionOutcome::kBroken, took);
@@ -224,8 +227,9 @@
     version_routing_.OnAttemptEnded(
         *pending, *attempt, failed ? VersionOutcome::kFailed : VersionOutcome::kComplete, took);
   }
-  balancer_.End(now, attempt->server, attempt->sent_at, result.signal,
-                run ? static_cast<double>(took) : -1, MeanLatencyMs(pending->route_index));
+  balancer_.OnAttemptEnded(now, attempt->server, attempt->sent_at, result.signal,
+                           run ? static_cast<double>(took) : -1,
+                           MeanLatencyMs(pending->route_index));
   OnAttemptEnded(now, attempt->server);
   pending->attempt_log.End(attempt->log_entry, result.outcome);
 }
@@ -263,7 +267,7 @@
   }
   EndAttempt(now, pending, &attempt, result, status);
   uint32_t service = state.service;
-  bool run = result.outcome == AttemptOutcome::kRun;
+  bool run = result.outcome == AttemptOutcome::kExecuted;
   if (pending->streaming_attempt == attempt.id) {
     FinishStream(pending, status, result);
   } else if (run && IsFinalStatus(status)) {
@@ -300,7 +304,7 @@
 }
 
 void RequestRouter::FinishStream(PendingRequest* pending, int status, const AttemptResult& result) {
-  bool complete = result.outcome == AttemptOutcome::kRun;
+  bool complete = result.outcome == AttemptOutcome::kExecuted;
   Record(*pending, complete ? status : 0, {Step::kAnswer, complete ? "" : result.reason},
          !complete);
   if (complete) {
@@ -337,8 +341,8 @@
       continue;
     }
     base::Millis took = now - attempt.sent_at;
-    // An attempt abandoned after `late_after` counts as one that was answered late.
-    if (took > attempt.late_after) {
+    // An attempt abandoned after `late_after_ms` counts as one that was answered late.
+    if (took > attempt.late_after_ms) {
       version_routing_.OnAttemptEnded(*pending, attempt, rollout::CanaryPolicy::Outcome::kComplete,
                                       took);
     }
@@ -364,7 +368,7 @@
   for (auto next = waiting->begin(); next != waiting->end();) {
     PendingRequest* pending = *next++;
     uint32_t server = ChooseServer(now, *pending);
-    if (server != LoadBalancer::kNone) {
+    if (server != LoadBalancer::kNoServer) {
       if (!SendTo(pending, server)) return;
       continue;
     }
--- a/src/forwarding/health_prober.cc
+++ b/src/forwarding/health_prober.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 
 namespace elderkeel::forwarding {
 namespace {
--- a/src/forwarding/load_balancer.cc
+++ b/src/forwarding/load_balancer.cc
@@ -188,23 +188,23 @@
 }
 
 uint32_t LoadBalancer::Choose(base::Millis now, const Request& request, bool secondary) {
-  if (request.service >= by_service_.size()) return kNone;
+  if (request.service >= by_service_.size()) return kNoServer;
   uint32_t preferred_zone = PickZone(request.service);
   bool any_eligible = false;
   uint32_t best = ChooseBest(now, request, secondary, false, preferred_zone, &any_eligible);
   // With no other eligible server, an ejected one is better than none.
-  bool use_ejected = best == kNone && !any_eligible && !secondary;
+  bool use_ejected = best == kNoServer && !any_eligible && !secondary;
   return use_ejected ? ChooseBest(now, request, secondary, true, preferred_zone, &any_eligible)
                      : best;
 }
 
 // Of the eligible servers with fewer attempts in flight than their limit, returns the one with the
-// lowest score, or kNone. Sets `any_eligible` if a server was eligible, even at its limit.
+// lowest score, or kNoServer. Sets `any_eligible` if a server was eligible, even at its limit.
 uint32_t LoadBalancer::ChooseBest(base::Millis now, const Request& request, bool secondary,
                                   bool include_ejected, uint32_t preferred_zone,
                                   bool* any_eligible) {
   double mean_ms = std::max(1.0, request.mean_ms);
-  uint32_t best = kNone;
+  uint32_t best = kNoServer;
   double best_score = 0;
   for (uint32_t index : by_service_[request.service]) {
     ServerState& state = servers_[index];
@@ -221,7 +221,7 @@
     *any_eligible = true;
     if (state.in_flight >= std::max(1.0, std::floor(state.limit))) continue;
     double score = Score(now, state, preferred_zone, mean_ms);
-    if (best == kNone || score < best_score) {
+    if (best == kNoServer || score < best_score) {
       best = index;
       best_score = score;
     }
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -35,7 +35,7 @@
     double remote_region_penalty = 1.5;  // in addition, for a server in another region
     double rank_penalty = 0.3;           // times ServerState::rank
     // How long a proxy keeps accepting requests after its shutdown has begun.
-    base::Millis serves_on = lifecycle::ShutdownSchedule::kLastCuttableRequestMs;
+    base::Millis accept_period = lifecycle::ShutdownSchedule::kLastCuttableRequestMs;
     // Duration of an ejection after one failure; it doubles with each further consecutive one.
     base::Millis base_ejection = 400;
     base::Millis max_ejection = 6000;
@@ -51,7 +51,7 @@
       : options_(std::move(options)),
         services_(services),
         regions_(regions),
-        slow_start_owner_(options_.serves_on),
+        slow_start_owner_(options_.accept_period),
         random_(seed) {}
 
   // Applies a newer list of endpoints and returns what it changes. Entries whose address can't be
@@ -105,12 +105,12 @@
 
   // Sets how many requests a second a server of the service receives in slow start, from all
   // proxies together. At 0 the rate is unlimited and the server's score is only made worse.
-  void SetWarmup(uint32_t service, double per_s);
+  void SetSlowStartRate(uint32_t service, double per_s);
   // A probe's answer stated how much longer the server's slow start lasts, which may be before the
   // list of endpoints states it. A slow start that already ends later is left as it is.
   void ExtendSlowStart(base::Millis now, uint32_t server, base::Millis left);
 
-  static constexpr uint32_t kNone = UINT32_MAX;
+  static constexpr uint32_t kNoServer = UINT32_MAX;
   // The request for whose next attempt a server is chosen.
   struct Request {
     uint32_t service = 0;
@@ -121,20 +121,20 @@
   };
   // Chooses among the servers that take requests for the service's primary version, or for its
   // secondary one if `secondary` is true. Of those with fewer attempts in flight than their limit,
-  // returns the one with the lowest score; kNone if there is none. Ejected servers are chosen only
-  // for the primary version, when no other server is eligible.
+  // returns the one with the lowest score; kNoServer if there is none. Ejected servers are chosen
+  // only for the primary version, when no other server is eligible.
   uint32_t Choose(base::Millis now, const Request& request, bool secondary = false);
   // Whether any server of the service may take requests for its primary version, even if the server
   // is ejected or at its limit now.
   bool HasUsable(uint32_t service, const std::vector<uint32_t>& regions) const;
 
-  // An attempt was sent to the server. Each Begin() is followed by one End() or
+  // An attempt was sent to the server. Each OnAttemptBegun() is followed by one OnAttemptEnded() or
   // OnAttemptAbandoned() with the same server and, as `sent_at`, its time.
-  void Begin(base::Millis now, uint32_t server);
+  void OnAttemptBegun(base::Millis now, uint32_t server);
   // The attempt ended. `latency_ms`: of a complete answer, else negative. `mean_ms`: mean latency
   // of the route.
-  void End(base::Millis now, uint32_t server, base::Millis sent_at, Signal signal,
-           double latency_ms, double mean_ms);
+  void OnAttemptEnded(base::Millis now, uint32_t server, base::Millis sent_at, Signal signal,
+                      double latency_ms, double mean_ms);
   // The caller stopped waiting for the attempt; no answer has arrived.
   void OnAttemptAbandoned(base::Millis now, uint32_t server, base::Millis sent_at, double mean_ms);
   // Returns the servers to probe now. Each is probed by the caller, which then calls
--- a/src/forwarding/outlier_detection.cc
+++ b/src/forwarding/outlier_detection.cc
@@ -14,7 +14,7 @@
 constexpr double kOverdueAge = 2.5;
 }  // namespace
 
-void LoadBalancer::Begin(base::Millis now, uint32_t server) {
+void LoadBalancer::OnAttemptBegun(base::Millis now, uint32_t server) {
   ServerState& state = servers_[server];
   ++state.in_flight;
   state.sent_at.push_back(now);
@@ -57,8 +57,8 @@
   state->probation = false;
 }
 
-void LoadBalancer::End(base::Millis now, uint32_t server, base::Millis sent_at, Signal signal,
-                       double latency_ms, double mean_ms) {
+void LoadBalancer::OnAttemptEnded(base::Millis now, uint32_t server, base::Millis sent_at,
+                                  Signal signal, double latency_ms, double mean_ms) {
   RemoveInFlight(server, sent_at);
   ServerState& state = servers_[server];
   switch (signal) {
@@ -71,10 +71,10 @@
         UpdateLatencyRatio(&state, latency_ms / mean_ms);
       }
       break;
-    case Signal::kFull:
+    case Signal::kOverloaded:
       state.limit = std::max(1.0, state.limit / 2);
       break;
-    case Signal::kBroken:
+    case Signal::kInvalidAnswer:
       state.limit = std::max(1.0, state.limit / 2);
       RecordFailure(now, &state);
       break;
@@ -82,7 +82,7 @@
       ++state.failures;
       Eject(now, &state);
       break;
-    case Signal::kMisplaced:
+    case Signal::kWrongServer:
       // Another server has its address, so it no longer exists, even if an older list still has it.
       state.failures += kMisplacedFailures;
       state.ejected_until = now + options_.max_ejection;
--- a/src/forwarding/pending_request.h
+++ b/src/forwarding/pending_request.h
@@ -20,8 +20,8 @@
   size_t log_entry = 0;  // index in the request's AttemptLog
   uint32_t server = 0;
   base::Millis sent_at = 0;
-  base::Millis late_after = 0;  // duration; an attempt that takes longer counts as late
-  bool timed = false;           // its latency counts for the server's version; false in slow start
+  base::Millis late_after_ms = 0;  // duration; an attempt that takes longer counts as late
+  bool counts_latency = false;  // its latency counts for the server's version; false in slow start
   std::unique_ptr<http::HttpConnection> connection;
 };
 
@@ -44,8 +44,8 @@
   int64_t waited_ns = 0;  // from arrival to the first attempt
 
   AttemptLog attempt_log;
-  std::vector<Attempt> attempts;   // in flight
-  std::vector<uint32_t> tried;     // servers of all attempts so far
+  std::vector<Attempt> attempts;        // in flight
+  std::vector<uint32_t> tried_servers;  // servers of all attempts so far
   uint64_t streaming_attempt = 0;  // id of the attempt whose answer is being streamed; 0 for none
   // A server's failure answer, passed on to the client if no attempt succeeds.
   std::unique_ptr<http::Message> server_failure;
--- a/src/forwarding/request_completion.cc
+++ b/src/forwarding/request_completion.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 #include "forwarding/request_router.h"
 
 namespace elderkeel::forwarding {
@@ -25,7 +25,7 @@
   }
   // An attempt in flight is pending in the log and rules out 503: its server may still execute it.
   int status = deadline ? 504 : 502;
-  if (pending->attempt_log.IsCertainlyNotRun()) status = 503;
+  if (pending->attempt_log.IsCertainlyNotExecuted()) status = 503;
   Message answer = http::OwnAnswer(status, cause.reason);
   if (status == 503) answer.headers.push_back({"Retry-After", kRetryAfterSeconds});
   Finish(pending, answer, cause, true);
@@ -47,7 +47,7 @@
   record.route = pending.route_index;
   record.service = pending.service;
   record.server = pending.last_server;
-  if (pending.last_server != LoadBalancer::kNone) {
+  if (pending.last_server != LoadBalancer::kNoServer) {
     record.version = balancer_.at(pending.last_server).version;
   }
   record.total_us = static_cast<uint32_t>((base::SteadyNanos() - pending.arrived_ns) / 1000);
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/random.h"
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 #include "lifecycle/shutdown_schedule.h"
 
 namespace elderkeel::forwarding {
@@ -39,7 +39,7 @@
   options.zone = settings.zone;
   options.region = settings.region;
   options.regions = settings.zones;
-  options.serves_on = lifecycle::ShutdownSchedule(settings.GraceMs(), 0).accept_until;
+  options.accept_period = lifecycle::ShutdownSchedule(settings.GraceMs(), 0).accept_until;
   return options;
 }
 
@@ -96,7 +96,7 @@
     record.revision = revision();
     recorder_->Request(record, true);
   });
-  SetProxies(1, 1);
+  SetProxyCounts(1, 1);
   tick_timer_.Repeat(loop_, kTickMs, [this] { Tick(); });
 }
 
@@ -104,10 +104,10 @@
 
 base::Status RequestRouter::Listen() { return server_.Listen(settings_.front); }
 
-void RequestRouter::SetProxies(size_t proxies, size_t possible) {
+void RequestRouter::SetProxyCounts(size_t proxies, size_t possible) {
   proxies = std::max<size_t>(1, proxies);
   connections_.SetProxies(proxies);
-  retry_budget_.SetNodes(std::max(proxies, possible));
+  retry_budget_.SetProxyCount(std::max(proxies, possible));
 }
 
 void RequestRouter::Adopt(std::shared_ptr<const configuration::RoutingTable> table) {
@@ -124,7 +124,7 @@
   }
   for (uint32_t i = 0; i < services_.size(); ++i) {
     const configuration::Service* service = table_->service(i);
-    balancer_.SetWarmup(i, service ? service->warmup_per_s : 0);
+    balancer_.SetSlowStartRate(i, service ? service->warmup_per_s : 0);
     recorder_->names().Set(NameTable::kService, i, services_.Name(i));
   }
   ControlRecord record;
@@ -200,7 +200,7 @@
 
 RequestRouter::Rejection RequestRouter::RejectionByState() const {
   if (accept_until_ >= 0 && base::SteadyMillis() >= accept_until_) return {503, kShuttingDown};
-  if (!able()) return {503, "still loading configuration and servers"};
+  if (!HasRequiredState()) return {503, "still loading configuration and servers"};
   if (!serving_) return {503, "the configuration is not confirmed yet"};
   return {};
 }
@@ -298,7 +298,7 @@
 void RequestRouter::Tick() {
   base::Millis now = base::SteadyMillis();
   connections_.CloseExpired(now);
-  if (version_routing_.active()) CloseIdleServerConnections(version_routing_.Review(now));
+  if (version_routing_.active()) CloseIdleServerConnections(version_routing_.ApplyRules(now));
   prober_.Tick(now, table_.get());
   load_sharing_.Tick(now);
   PumpAllQueues();
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -67,11 +67,11 @@
   // Whether a roll-out is promoting its version, so that traffic shifts to it.
   bool IsShifting() const { return version_routing_.IsShifting(); }
   // Whether a state of the roll-outs has been received.
-  bool versions_known() const { return version_routing_.known(); }
+  bool has_rollout_state() const { return version_routing_.has_rollouts(); }
 
   // Sets how many proxies share the limits: `proxies`, those alive with this one included, share
   // the connections to servers; `possible`, those that may exist, share the retry budget.
-  void SetProxies(size_t proxies, size_t possible);
+  void SetProxyCounts(size_t proxies, size_t possible);
   // Sets this proxy's position among the proxies of its zone, counted from 0.
   void SetRank(size_t rank, size_t proxies_in_zone) { balancer_.SetRank(rank, proxies_in_zone); }
   void SetZoneProxies(const ZoneProxies& proxies) {
@@ -87,9 +87,9 @@
   // consists of a configuration, an endpoint list and, where versions get traffic only by an
   // operator's order, the state of the roll-outs. The latter is awaited for at most
   // kMaxRolloutWaitMs after the first endpoint list, as there may be no peer that has it.
-  bool able() const {
+  bool HasRequiredState() const {
     return table_ != nullptr && first_endpoints_at_ >= 0 &&
-           (!settings_.VersionsByOrder() || versions_known() ||
+           (!settings_.VersionsByOrder() || has_rollout_state() ||
             base::SteadyMillis() - first_endpoints_at_ > kMaxRolloutWaitMs);
   }
   // Sets whether this proxy's state is confirmed to be current. While it isn't, requests get 503.
@@ -97,13 +97,13 @@
   // Sets a predicate that returns whether the configuration is known to be recent enough to answer
   // 404. While it returns false, a request without a route gets 503: a newer configuration may have
   // that route. Without a predicate such a request always gets 404.
-  void SetDenialGuard(std::function<bool()> may_answer_not_found) {
+  void SetNotFoundGuard(std::function<bool()> may_answer_not_found) {
     may_answer_not_found_ = std::move(may_answer_not_found);
   }
 
   // Begins a graceful shutdown: client connections close after their last answer, and requests that
   // arrive at `accept_until` (steady clock) or later get 503 without being sent to a server.
-  void SetLeaving(base::Millis accept_until) {
+  void BeginShutdown(base::Millis accept_until) {
     accept_until_ = accept_until;
     balancer_.SetLeaving(base::SteadyMillis());
     server_.SetLeaving(true);
@@ -129,7 +129,7 @@
   bool FailAll();
 
   // The dense indices of services and regions, for building routing tables.
-  base::Names* names() { return &services_; }
+  base::Names* service_names() { return &services_; }
   base::Names* regions() { return &regions_; }
 
  private:
@@ -138,7 +138,7 @@
 
   // How an attempt ended, for its request and for its server.
   struct AttemptResult {
-    AttemptOutcome outcome = AttemptOutcome::kRun;
+    AttemptOutcome outcome = AttemptOutcome::kExecuted;
     Signal signal = Signal::kGood;
     telemetry::Step step = telemetry::Step::kAnswer;
     std::string reason;  // of a failure; else empty
--- a/src/forwarding/retry_budget.h
+++ b/src/forwarding/retry_budget.h
@@ -11,11 +11,11 @@
 // window, all proxies together may cause at most `ratio` x requests + `slack` arrivals at servers
 // beyond the first arrival of each request.
 //
-// A token bucket per service: each request that the proxy receives adds `ratio` x `share` tokens, a
-// retry or hedge takes one, and the bucket holds at most the proxy's part of the slack. A proxy
-// spends in a window at most what it earned in that window plus what its bucket held before, and
-// all buckets together hold less than the slack. Buckets start empty: before a restart the proxy
-// may have spent its part already.
+// A token bucket per service: each request that the proxy receives adds `ratio` x `earned_share`
+// tokens, a retry or hedge takes one, and the bucket holds at most the proxy's part of the slack. A
+// proxy spends in a window at most what it earned in that window plus what its bucket held before,
+// and all buckets together hold less than the slack. Buckets start empty: before a restart the
+// proxy may have spent its part already.
 class RetryBudget {
  public:
   struct Bounds {
@@ -23,20 +23,20 @@
     double slack = 10;
     // Part of `ratio` that is earned. Below 1, since a request may fall into another window than
     // the retry that it pays for.
-    double share = 0.75;
+    double earned_share = 0.75;
   };
 
   explicit RetryBudget(Bounds bounds) : bounds_(bounds) {}
 
   // Divides the slack among `nodes` proxies: all that may exist, at least those known to be alive.
-  void SetNodes(size_t nodes) {
+  void SetProxyCount(size_t nodes) {
     cap_ = bounds_.slack * kSlackInBuckets / static_cast<double>(std::max<size_t>(1, nodes));
     for (double& tokens : tokens_) tokens = std::min(tokens, cap_);
   }
   // Adds the tokens that one request earns.
   void Deposit(uint32_t service) {
     double& tokens = TokensOf(service);
-    tokens = std::min(cap_, tokens + bounds_.ratio * bounds_.share);
+    tokens = std::min(cap_, tokens + bounds_.ratio * bounds_.earned_share);
   }
   // Takes a token for a retry; returns false if there is none.
   bool TryWithdraw(uint32_t service) { return Take(service, 0); }
--- a/src/forwarding/server_messages.cc
+++ b/src/forwarding/server_messages.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string_view>
 
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 
 namespace elderkeel::forwarding {
 namespace {
--- a/src/forwarding/server_state.h
+++ b/src/forwarding/server_state.h
@@ -68,11 +68,11 @@
 
 // What the outcome of an attempt shows about the server.
 enum class Signal : uint8_t {
-  kGood,         // it gave a complete, valid answer
-  kFull,         // it rejected the request without running it, taken as a lack of capacity
-  kBroken,       // the connection failed after a byte was sent, or the answer was invalid
-  kUnreachable,  // the connection failed before a byte was sent
-  kMisplaced,    // another server now has its address
+  kGood,           // it gave a complete, valid answer
+  kOverloaded,     // it rejected the request without running it, taken as a lack of capacity
+  kInvalidAnswer,  // the connection failed after a byte was sent, or the answer was invalid
+  kUnreachable,    // the connection failed before a byte was sent
+  kWrongServer,    // another server now has its address
 };
 
 }  // namespace elderkeel::forwarding
--- a/src/forwarding/slow_start.cc
+++ b/src/forwarding/slow_start.cc
@@ -41,7 +41,7 @@
   }
 }
 
-void LoadBalancer::SetWarmup(uint32_t service, double per_s) {
+void LoadBalancer::SetSlowStartRate(uint32_t service, double per_s) {
   if (service >= slow_start_per_s_.size()) slow_start_per_s_.resize(service + 1, 0);
   slow_start_per_s_[service] = per_s;
 }
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -27,10 +27,10 @@
   version_ = rollouts.version();
   for (const auto& [service, version] : rollouts.in_force()) rules_[service];
   for (const auto& [service, rollout] : rollouts.rollouts()) rules_[service];
-  return Review(now);
+  return ApplyRules(now);
 }
 
-std::vector<uint32_t> VersionRouting::Review(base::Millis now) {
+std::vector<uint32_t> VersionRouting::ApplyRules(base::Millis now) {
   std::vector<uint32_t> excluded;
   for (auto& [service, applied] : rules_) {
     rollout::Rule rule = policy_.RuleOf(now, service);
@@ -59,13 +59,13 @@
                                       const Choose& choose) const {
   if (!policy_.active()) return choose(false);
   const std::string& service = services_->Name(pending.service);
-  bool secondary = pending.tried.empty()
+  bool secondary = pending.tried_servers.empty()
                        ? policy_.TakesSecondary(now, service, base::Hash(pending.attempt_id))
                        : policy_.RetriesToSecondary(now, service);
-  uint32_t server = secondary ? choose(true) : LoadBalancer::kNone;
-  if (server == LoadBalancer::kNone) server = choose(false);
+  uint32_t server = secondary ? choose(true) : LoadBalancer::kNoServer;
+  if (server == LoadBalancer::kNoServer) server = choose(false);
   // While traffic is shifting, requests that one version has no capacity for go to the other.
-  if (server == LoadBalancer::kNone && policy_.RetriesToSecondary(now, service)) {
+  if (server == LoadBalancer::kNoServer && policy_.RetriesToSecondary(now, service)) {
     server = choose(true);
   }
   return server;
@@ -87,8 +87,8 @@
   sent_request.server = balancer_->at(attempt.server).id;
   sent_request.route = pending.route->label;
   sent_request.ending = outcome;
-  sent_request.timed = attempt.timed;
-  sent_request.late = duration > attempt.late_after;
+  sent_request.timed = attempt.counts_latency;
+  sent_request.late = duration > attempt.late_after_ms;
   policy_.CountOutcome(base::SteadyMillis(), sent_request);
 }
 
--- a/src/forwarding/version_routing.h
+++ b/src/forwarding/version_routing.h
@@ -32,11 +32,11 @@
   // has changed.
   std::vector<uint32_t> Adopt(base::Millis now, const rollout::Rollouts& rollouts);
   // Applies the rules that follow from the roll-outs and the time. Returns the same as Adopt().
-  std::vector<uint32_t> Review(base::Millis now);
+  std::vector<uint32_t> ApplyRules(base::Millis now);
   // An observer of a roll-out has answered a report: extends the lease to send to the new version.
   void OnLeaseRenewal(base::Millis now, const rollout::LeaseRenewal& renewal);
   // Whether any state of the roll-outs has been applied.
-  bool known() const { return version_ > 0; }
+  bool has_rollouts() const { return version_ > 0; }
   // Whether a roll-out is under way.
   bool active() const { return policy_.active(); }
   // Whether traffic is moving to a version that is being promoted.
@@ -44,7 +44,7 @@
 
   // Counts a request for the service's roll-out, if one is in progress.
   void OnRequest(uint32_t service);
-  // Chooses the server of the request's next attempt, or returns LoadBalancer::kNone. Calls
+  // Chooses the server of the request's next attempt, or returns LoadBalancer::kNoServer. Calls
   // `choose` for the version that the request goes to. If that has no server available, it calls
   // `choose` for the primary version, or, while traffic is shifting, for the secondary one.
   using Choose = std::function<uint32_t(bool secondary)>;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -73,7 +73,7 @@
   recorder_ = std::make_unique<telemetry::Recorder>(options, MakeSink());
   router_ = std::make_unique<forwarding::RequestRouter>(loop_, settings_, recorder_.get());
   // The router may deny that a route exists only while the configuration log is known to be recent.
-  router_->SetDenialGuard([this] {
+  router_->SetNotFoundGuard([this] {
     base::Millis age = node_->disseminator().log_age(base::SteadyMillis());
     return age >= 0 && age <= settings_.PropagationMs();
   });
@@ -138,11 +138,11 @@
   bool by_patch = in_force && !disseminator.configuration_patch().empty() &&
                   in_force->revision() == disseminator.configuration_base();
   if (by_patch) {
-    table = RoutingTable::Patch(*in_force, disseminator.configuration_patch(), router_->names(),
-                                router_->regions());
+    table = RoutingTable::Patch(*in_force, disseminator.configuration_patch(),
+                                router_->service_names(), router_->regions());
   }
   if (!table) {
-    table = RoutingTable::Build(disseminator.configuration_text(), router_->names(),
+    table = RoutingTable::Build(disseminator.configuration_text(), router_->service_names(),
                                 router_->regions());
   }
   if (!table) {
@@ -158,8 +158,8 @@
 // among the proxies of its zone.
 void Proxy::OnNodesChanged() {
   const membership::Membership& membership = node_->membership();
-  router_->SetProxies(membership.CountAlive(membership::Program::kProxy),
-                      membership.CountNotLeft(membership::Program::kProxy));
+  router_->SetProxyCounts(membership.CountAlive(membership::Program::kProxy),
+                          membership.CountNotLeft(membership::Program::kProxy));
   size_t rank = 0, proxies = 0;
   forwarding::ZoneProxies zone_proxies;
   zone_proxies.self = membership.self().id;
@@ -264,7 +264,7 @@
   if (lifecycle_.leaving()) return;
   base::Info("proxy.stopping", {{"busy", router_->busy()}});
   lifecycle_.Leave(base::SteadyMillis());
-  router_->SetLeaving(lifecycle_.accept_until());
+  router_->BeginShutdown(lifecycle_.accept_until());
   node_->Leave();
   RunShutdownPhase();
 }
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -34,7 +34,7 @@
 void StartupConfirmation::Probe() {
   base::Millis now = base::SteadyMillis();
   bool timed_out = now - started_at_ > kProbePeriodMs;
-  bool done = router_->able() && (lifecycle_->confirmed() || timed_out);
+  bool done = router_->HasRequiredState() && (lifecycle_->confirmed() || timed_out);
   if (done || lifecycle_->leaving()) return;
   next_request_at_ = std::min(next_request_at_, now + kProbeIntervalMs);
   Tick(now);
@@ -53,7 +53,7 @@
     node_->VouchForLog(confirmation_.known_at());
     base::Info("configuration.confirmed", {{"revision", node_->disseminator().revision()}});
   }
-  if (router_->able()) lifecycle_->SetServable(now);
+  if (router_->HasRequiredState()) lifecycle_->SetServable(now);
   router_->SetServing(lifecycle_->IsServing(now));
 }
 
@@ -79,7 +79,7 @@
   return own.revision < std::max<int64_t>(1, wanted.revision) ||
          own.zone_drains < wanted.zone_drains || own.rollouts < wanted.rollouts ||
          !node_->disseminator().has_endpoints() ||
-         (settings_->VersionsByOrder() && !router_->versions_known());
+         (settings_->VersionsByOrder() && !router_->has_rollout_state());
 }
 
 void StartupConfirmation::OnReply(base::Millis now, const dissemination::ConfirmReply& reply) {
--- a/tests/forwarding/at_most_once_test.cc
+++ b/tests/forwarding/at_most_once_test.cc
@@ -3,7 +3,7 @@
 #include <optional>
 
 #include "forwarding/request_router.h"
-#include "forwarding/stand_in.h"
+#include "forwarding/test_server.h"
 #include "http/http_client.h"
 
 // At-most-once execution with one misbehaving server: for each misbehaviour and each class of
@@ -13,9 +13,9 @@
 namespace elderkeel {
 namespace {
 
-using stand_in::Client;
-using stand_in::Deed;
-using stand_in::Server;
+using test_server::Behavior;
+using test_server::Client;
+using test_server::Server;
 
 // Runs the loop until `done` returns true; returns false if it doesn't within `at_most` ms.
 template <class Condition>
@@ -48,7 +48,7 @@
 
 struct Case {
   const char* name;
-  Deed deed;
+  Behavior behavior;
   Expected expected;
   bool reuse;  // whether the next request uses the same connection
   // When the server misbehaves.
@@ -79,8 +79,9 @@
       router_->SetServing(true);
       if (router_->Listen().has_value()) break;
     }
-    router_->Adopt(configuration::RoutingTable::Build(
-        stand_in::ConfigurationText(2000, 60, idle_ms_), router_->names(), router_->regions()));
+    router_->Adopt(
+        configuration::RoutingTable::Build(test_server::ConfigurationText(2000, 60, idle_ms_),
+                                           router_->service_names(), router_->regions()));
   }
   void AdoptEndpoints(const std::vector<Server*>& servers) {
     discovery::EndpointSnapshot endpoints{1, ++sequence_, {}};
@@ -95,17 +96,17 @@
   // closed; checks that a server's answer is the one to this request.
   int SendRequest(bool idempotent, const std::string& attempt, int remaining_ms, size_t bytes = 4) {
     Client client(&loop_, settings_.front);
-    client.Send(stand_in::RequestText(idempotent, attempt, remaining_ms, bytes));
+    client.Send(test_server::RequestText(idempotent, attempt, remaining_ms, bytes));
     EXPECT_TRUE(RunUntil(
-        &loop_, [&] { return client.closed || client.no_answer || !client.answers.empty(); },
+        &loop_, [&] { return client.closed || client.invalid_answer || !client.answers.empty(); },
         remaining_ms + 1000))
         << attempt;
-    EXPECT_FALSE(client.no_answer) << attempt;
+    EXPECT_FALSE(client.invalid_answer) << attempt;
     if (client.answers.empty()) return 0;
     EXPECT_EQ(client.answers.size(), 1u) << attempt;
     const http::Message& answer = client.answers[0];
     if (answer.Find("Elderkeel-Server-Seal")) {
-      const std::string* id = answer.Find(stand_in::kAttempt);
+      const std::string* id = answer.Find(test_server::kAttempt);
       EXPECT_TRUE(id && *id == attempt) << attempt;
       EXPECT_EQ(answer.body, Server::BodyOf(attempt));
     }
@@ -154,8 +155,8 @@
   FillRetryBudget();
   auto misbehave_on = [&](const char* attempt) {
     bad.choose = [=](const http::Message& request) {
-      const std::string* id = request.Find(stand_in::kAttempt);
-      return id && *id == attempt ? Server::Play{c.deed, status, 0} : Server::Play();
+      const std::string* id = request.Find(test_server::kAttempt);
+      return id && *id == attempt ? Server::Response{c.behavior, status, 0} : Server::Response();
     };
   };
   AdoptEndpoints({&bad});
@@ -167,11 +168,11 @@
     // idle connection happens 5 ms after the answer, so before the request is sent.
     if (!idempotent || c.when == When::kBefore) RunFor(&loop_, 18);
   } else {
-    bad.on_connection = [&] { return c.deed; };
+    bad.on_connection = [&] { return c.behavior; };
     if (c.expected == Expected::kAnswered) misbehave_on("watched");
   }
   bool armed = c.when == When::kPart;
-  if (armed) bad.on_part = [&] { return c.deed; };
+  if (armed) bad.on_part = [&] { return c.behavior; };
   AdoptEndpoints({&bad, &good});
 
   bool no_answer = c.expected == Expected::kNoAnswer;
@@ -207,67 +208,70 @@
 
   // The next request gets its own answer, on the same connection only if that may be reused.
   if (got != 0 && answered == 421 && expected == Expected::kNotRun) return;  // it is ejected
-  RunFor(&loop_, c.deed == Deed::kTwiceLater ? 10 : 1);
-  bad.on_connection = bad.on_part = [] { return Deed::kWell; };
+  RunFor(&loop_, c.behavior == Behavior::kTwiceLater ? 10 : 1);
+  bad.on_connection = bad.on_part = [] { return Behavior::kAnswer; };
   AdoptEndpoints({&bad});
   EXPECT_EQ(SendRequest(true, "next", 2000), 200);
-  int on = ConnectionOf(bad, "watched");
-  if (on != 0) {
-    EXPECT_EQ(ConnectionOf(bad, "next") == on, c.reuse);
+  int watched_connection = ConnectionOf(bad, "watched");
+  if (watched_connection != 0) {
+    EXPECT_EQ(ConnectionOf(bad, "next") == watched_connection, c.reuse);
   }
   if (c.when == When::kBefore) {
-    EXPECT_NE(ConnectionOf(bad, "before"), on);
+    EXPECT_NE(ConnectionOf(bad, "before"), watched_connection);
   }
 }
 
 using When = Case::When;
 const Case kCases[] = {
-    {"success", Deed::kWell, Expected::kAnswered, true},
-    {"interim answers first", Deed::kInterim, Expected::kAnswered, true},
-    {"answer twice", Deed::kTwice, Expected::kAnswered, false},
-    {"answer twice, the second later", Deed::kTwiceLater, Expected::kAnswered, false},
-    {"half of an earlier answer after it, the rest with the next", Deed::kPieces,
+    {"success", Behavior::kAnswer, Expected::kAnswered, true},
+    {"interim answers first", Behavior::kInterim, Expected::kAnswered, true},
+    {"answer twice", Behavior::kTwice, Expected::kAnswered, false},
+    {"answer twice, the second later", Behavior::kTwiceLater, Expected::kAnswered, false},
+    {"half of an earlier answer after it, the rest with the next", Behavior::kPieces,
      Expected::kAnswered, false},
-    {"another request's answer, then its own", Deed::kOtherThenOwn, Expected::kAnswered, false},
-    {"surplus bytes after the answer", Deed::kExtra, Expected::kAnswered, false},
-    {"another request's id", Deed::kOtherId, Expected::kNoAnswer, false},
-    {"no id", Deed::kNoId, Expected::kMaybeRun, false},
-    {"two ids", Deed::kTwoIds, Expected::kMaybeRun, false},
-    {"not executed", Deed::kNotExecuted, Expected::kNotRun, true},
-    {"not executed, with another request's id", Deed::kOtherNotExecuted, Expected::kNoAnswer,
+    {"another request's answer, then its own", Behavior::kOtherThenOwn, Expected::kAnswered, false},
+    {"surplus bytes after the answer", Behavior::kExtra, Expected::kAnswered, false},
+    {"another request's id", Behavior::kOtherId, Expected::kNoAnswer, false},
+    {"no id", Behavior::kNoId, Expected::kMaybeRun, false},
+    {"two ids", Behavior::kTwoIds, Expected::kMaybeRun, false},
+    {"not executed", Behavior::kNotExecuted, Expected::kNotRun, true},
+    {"not executed, with another request's id", Behavior::kOtherNotExecuted, Expected::kNoAnswer,
      false},
-    {"not executed, without an id", Deed::kNoIdNotExecuted, Expected::kMaybeRun, false},
-    {"after a piece of a status line", Deed::kGluedReason, Expected::kMaybeRun, false},
-    {"after a piece of a header", Deed::kGluedValue, Expected::kMaybeRun, false},
-    {"head cut off", Deed::kCutHead, Expected::kMaybeRun, false},
-    {"body cut off", Deed::kCutBody, Expected::kMaybeRun, false},
-    {"reset after the request", Deed::kReset, Expected::kMaybeRun, false, When::kRequest, false},
-    {"half-closed after the request", Deed::kHalfClose, Expected::kMaybeRun, false, When::kRequest,
+    {"not executed, without an id", Behavior::kNoIdNotExecuted, Expected::kMaybeRun, false},
+    {"after a piece of a status line", Behavior::kCutStatusLineFirst, Expected::kMaybeRun, false},
+    {"after a piece of a header", Behavior::kCutHeaderFirst, Expected::kMaybeRun, false},
+    {"head cut off", Behavior::kCutHead, Expected::kMaybeRun, false},
+    {"body cut off", Behavior::kCutBody, Expected::kMaybeRun, false},
+    {"reset after the request", Behavior::kReset, Expected::kMaybeRun, false, When::kRequest,
      false},
-    {"no answer after the request", Deed::kNoAnswer, Expected::kNoAnswer, false, When::kRequest,
+    {"half-closed after the request", Behavior::kHalfClose, Expected::kMaybeRun, false,
+     When::kRequest, false},
+    {"no answer after the request", Behavior::kNoAnswer, Expected::kNoAnswer, false, When::kRequest,
      false},
-    {"reset within the request", Deed::kResetMiddle, Expected::kMaybeRun, false, When::kPart,
+    {"reset within the request", Behavior::kResetMiddle, Expected::kMaybeRun, false, When::kPart,
      false},
-    {"half-closed within the request", Deed::kHalfCloseMiddle, Expected::kMaybeRun, false,
+    {"half-closed within the request", Behavior::kHalfCloseMiddle, Expected::kMaybeRun, false,
      When::kPart, false},
-    {"no answer, request read in part", Deed::kNoAnswerInTheMiddle, Expected::kNoAnswer, false,
+    {"no answer, request read in part", Behavior::kNoAnswerInTheMiddle, Expected::kNoAnswer, false,
      When::kPart, false},
-    {"reset before the request", Deed::kResetFirst, Expected::kEither, false, When::kFresh, false},
-    {"half-closed before the request", Deed::kHalfCloseFirst, Expected::kEither, false,
-     When::kFresh, false},
-    {"no answer on a new connection", Deed::kNoAnswerAtAll, Expected::kNoAnswer, false,
+    {"reset before the request", Behavior::kResetFirst, Expected::kEither, false, When::kFresh,
+     false},
+    {"half-closed before the request", Behavior::kHalfCloseFirst, Expected::kEither, false,
      When::kFresh, false},
-    {"another request's answer before the request", Deed::kOtherFirst, Expected::kAnswered, false,
+    {"no answer on a new connection", Behavior::kNoAnswerAtAll, Expected::kNoAnswer, false,
      When::kFresh, false},
-    {"answer without an id before the request", Deed::kNoIdFirst, Expected::kMaybeRun, false,
+    {"another request's answer before the request", Behavior::kOtherFirst, Expected::kAnswered,
+     false, When::kFresh, false},
+    {"answer without an id before the request", Behavior::kNoIdFirst, Expected::kMaybeRun, false,
      When::kFresh, false},
-    {"idle connection reset", Deed::kResetIdle, Expected::kAnswered, true, When::kBefore, false},
-    {"answer on an idle connection", Deed::kNoiseIdle, Expected::kAnswered, true, When::kBefore,
+    {"idle connection reset", Behavior::kResetIdle, Expected::kAnswered, true, When::kBefore,
      false},
-    {"previous request answered twice", Deed::kTwiceLater, Expected::kAnswered, true, When::kBefore,
+    {"answer on an idle connection", Behavior::kOtherIdle, Expected::kAnswered, true, When::kBefore,
      false},
-    {"previous answer followed by half of an earlier one", Deed::kPieces, Expected::kAnswered, true,
+    {"previous request answered twice", Behavior::kTwiceLater, Expected::kAnswered, true,
      When::kBefore, false},
+    {"previous answer followed by half of an earlier one", Behavior::kPieces, Expected::kAnswered,
+     true, When::kBefore, false},
 };
 
 void AtMostOnce::RunAllCases(bool idempotent) {
@@ -326,13 +330,13 @@
       Open();
       Server one(&loop_, "i-1", 24000), two(&loop_, "i-2", 24000);
       one.choose = two.choose = [](const http::Message& request) {
-        bool late = *request.Find(stand_in::kAttempt) == "left";
-        return late ? Server::Play{Deed::kLate, 200, 60} : Server::Play();
+        bool late = *request.Find(test_server::kAttempt) == "left";
+        return late ? Server::Response{Behavior::kLate, 200, 60} : Server::Response();
       };
       AdoptEndpoints({&one, &two});
       int remaining = way == kLateAfterDeadline ? 30 : 2000;
       auto client = std::make_unique<Client>(&loop_, settings_.front);
-      client->Send(stand_in::RequestText(idempotent, "left", remaining));
+      client->Send(test_server::RequestText(idempotent, "left", remaining));
       ASSERT_TRUE(RunUntil(
           &loop_, [&] { return !one.arrivals.empty(); }, 1000));
       if (way == kReset) client->Reset();
@@ -349,7 +353,7 @@
         RunFor(&loop_, 10);
       }
       if (way == kLateAfterDeadline) {
-        client->Send(stand_in::RequestText(idempotent, "again", 2000));
+        client->Send(test_server::RequestText(idempotent, "again", 2000));
         ASSERT_TRUE(RunUntil(
             &loop_, [&] { return client->answers.size() == 2; }, 1000));
         EXPECT_EQ(client->answers[1].body, Server::BodyOf("again"));
@@ -369,13 +373,15 @@
     Open();
     Server one(&loop_, "i-1", 24000), two(&loop_, "i-2", 24000);
     one.choose = two.choose = [](const http::Message& request) {
-      return *request.Find(stand_in::kAttempt) == "a" ? Server::Play{Deed::kLate, 200, 40}
-                                                      : Server::Play();
+      return *request.Find(test_server::kAttempt) == "a"
+                 ? Server::Response{Behavior::kLate, 200, 40}
+                 : Server::Response();
     };
     AdoptEndpoints({&one, &two});
     Client client(&loop_, settings_.front);
-    client.Send(stand_in::RequestText(true, "a", 2000) + stand_in::RequestText(true, "b", 2000) +
-                stand_in::RequestText(false, "c", 2000) + stand_in::RequestText(true, "d", 2000));
+    client.Send(
+        test_server::RequestText(true, "a", 2000) + test_server::RequestText(true, "b", 2000) +
+        test_server::RequestText(false, "c", 2000) + test_server::RequestText(true, "d", 2000));
     RunFor(&loop_, 15);
     EXPECT_EQ(Count(one, "c", false) + Count(two, "c", false), 0);
     if (leaves) {
@@ -399,7 +405,7 @@
   settings_.memory_mb = 0;
   Open();
   Client client(&loop_, settings_.front);
-  std::string request = stand_in::RequestText(false, "large", 2000, 100000);
+  std::string request = test_server::RequestText(false, "large", 2000, 100000);
   client.Send(request.substr(0, 50000));
   ASSERT_TRUE(RunUntil(
       &loop_, [&] { return !client.answers.empty(); }, 1000));
@@ -417,7 +423,7 @@
   Client client(&loop_, settings_.front);
   for (size_t i = 0; i < 3; ++i) {
     std::string id = "r" + std::to_string(i);
-    client.Send(stand_in::RequestText(i == 1, id, 2000));
+    client.Send(test_server::RequestText(i == 1, id, 2000));
     ASSERT_TRUE(RunUntil(
         &loop_, [&] { return client.answers.size() == i + 1; }, 1000))
         << i;
--- a/tests/forwarding/at_most_once_world.h
+++ b/tests/forwarding/at_most_once_world.h
@@ -13,13 +13,13 @@
 #include <unordered_map>
 
 #include "forwarding/request_router.h"
-#include "forwarding/stand_in.h"
+#include "forwarding/test_server.h"
 
-namespace elderkeel::once {
+namespace elderkeel::at_most_once {
 
-using stand_in::Client;
-using stand_in::Deed;
-using stand_in::Server;
+using test_server::Behavior;
+using test_server::Client;
+using test_server::Server;
 
 struct Options {
   uint64_t seed = 1;
@@ -31,11 +31,11 @@
 
 // Counts of one run. Those of the first group are violations and must be 0.
 struct Report {
-  int doubled = 0;                 // non-idempotent requests that ran more than once
-  int foreign = 0;                 // answers, or bytes, that don't belong to the client's request
-  int broken_promises = 0;         // 503, 429, 408 or 421 ("not executed") for requests that ran
-  int reused = 0;                  // requests on a connection that had carried surplus bytes
-  std::vector<std::string> first;  // descriptions of the first violations
+  int doubled = 0;          // non-idempotent requests that ran more than once
+  int foreign = 0;          // answers, or bytes, that don't belong to the client's request
+  int broken_promises = 0;  // 503, 429, 408 or 421 ("not executed") for requests that ran
+  int reused = 0;           // requests on a connection that had carried surplus bytes
+  std::vector<std::string> first_violations;  // descriptions of the first violations
 
   int once = 0, repeatable = 0;  // requests sent by clients: non-idempotent, idempotent
   int runs = 0, answers = 0, promises = 0, without_answer = 0;
@@ -137,7 +137,7 @@
   int Draw(int below) { return static_cast<int>(random_() % static_cast<uint64_t>(below)); }
   bool Chance(int percent) { return Draw(100) < percent; }
   void RecordViolation(const std::string& what) {
-    if (report_.first.size() < 5) report_.first.push_back(what);
+    if (report_.first_violations.size() < 5) report_.first_violations.push_back(what);
   }
   void RunLoopFor(base::Millis ms) {
     base::Timer stop;
@@ -150,14 +150,15 @@
     Server* server = servers_.back().get();
     server->choose = [this](const http::Message&) { return ChooseBehaviour(); };
     server->on_connection = [this] {
-      static const Deed kDeeds[] = {Deed::kResetFirst, Deed::kHalfCloseFirst, Deed::kNoAnswerAtAll,
-                                    Deed::kOtherFirst, Deed::kNoIdFirst};
-      return Chance(6) ? kDeeds[Draw(5)] : Deed::kWell;
+      static const Behavior kBehaviors[] = {Behavior::kResetFirst, Behavior::kHalfCloseFirst,
+                                            Behavior::kNoAnswerAtAll, Behavior::kOtherFirst,
+                                            Behavior::kNoIdFirst};
+      return Chance(6) ? kBehaviors[Draw(5)] : Behavior::kAnswer;
     };
     server->on_part = [this] {
-      static const Deed kDeeds[] = {Deed::kResetMiddle, Deed::kHalfCloseMiddle,
-                                    Deed::kNoAnswerInTheMiddle};
-      return Chance(20) ? kDeeds[Draw(3)] : Deed::kWell;
+      static const Behavior kBehaviors[] = {Behavior::kResetMiddle, Behavior::kHalfCloseMiddle,
+                                            Behavior::kNoAnswerInTheMiddle};
+      return Chance(20) ? kBehaviors[Draw(3)] : Behavior::kAnswer;
     };
     server->on_arrival = [this](const Server::Arrival& arrival) {
       auto at = attempts_.find(arrival.attempt);
@@ -169,7 +170,7 @@
       AttemptStats& stats = at->second;
       if (++stats.arrivals > 1 && stats.once) ++report_.sent_again;
       stats.statuses.insert(arrival.status);
-      if (arrival.spoilt) {
+      if (arrival.excess_bytes_before) {
         ++report_.reused;
         RecordViolation("request sent on a connection with surplus bytes: " + arrival.attempt);
       }
@@ -179,23 +180,39 @@
     };
   }
 
-  Server::Play ChooseBehaviour() {
-    static const Deed kDeeds[] = {
-        Deed::kInterim,         Deed::kTwice,       Deed::kTwiceLater,  Deed::kPieces,
-        Deed::kOtherThenOwn,    Deed::kOtherId,     Deed::kNoId,        Deed::kTwoIds,
-        Deed::kNotExecuted,     Deed::kNotExecuted, Deed::kNotExecuted, Deed::kOtherNotExecuted,
-        Deed::kNoIdNotExecuted, Deed::kGluedReason, Deed::kGluedValue,  Deed::kCutHead,
-        Deed::kCutBody,         Deed::kExtra,       Deed::kReset,       Deed::kHalfClose,
-        Deed::kNoAnswer,        Deed::kResetIdle,   Deed::kNoiseIdle};
+  Server::Response ChooseBehaviour() {
+    static const Behavior kBehaviors[] = {Behavior::kInterim,
+                                          Behavior::kTwice,
+                                          Behavior::kTwiceLater,
+                                          Behavior::kPieces,
+                                          Behavior::kOtherThenOwn,
+                                          Behavior::kOtherId,
+                                          Behavior::kNoId,
+                                          Behavior::kTwoIds,
+                                          Behavior::kNotExecuted,
+                                          Behavior::kNotExecuted,
+                                          Behavior::kNotExecuted,
+                                          Behavior::kOtherNotExecuted,
+                                          Behavior::kNoIdNotExecuted,
+                                          Behavior::kCutStatusLineFirst,
+                                          Behavior::kCutHeaderFirst,
+                                          Behavior::kCutHead,
+                                          Behavior::kCutBody,
+                                          Behavior::kExtra,
+                                          Behavior::kReset,
+                                          Behavior::kHalfClose,
+                                          Behavior::kNoAnswer,
+                                          Behavior::kResetIdle,
+                                          Behavior::kOtherIdle};
     static const int kStatuses[] = {200, 200, 200, 200, 200, 200, 200, 200,
                                     409, 404, 500, 503, 429, 408, 421};
-    Server::Play play;
+    Server::Response play;
     play.status = kStatuses[Draw(15)];
     if (Chance(25)) {
-      play.deed = kDeeds[Draw(23)];
+      play.behavior = kBehaviors[Draw(23)];
       ++report_.misdeeds;
     } else if (Chance(40)) {
-      play.deed = Deed::kLate;
+      play.behavior = Behavior::kLate;
       play.late_ms = Draw(60);
     }
     return play;
@@ -234,9 +251,10 @@
     forwarding::RequestRouter router(&loop, settings, &recorder);
     router.SetServing(true);
     if (!router.Listen().has_value()) _exit(3);
-    router.SetProxies(static_cast<size_t>(options_.proxies), static_cast<size_t>(options_.proxies));
-    router.Adopt(configuration::RoutingTable::Build(stand_in::ConfigurationText(1000, 200, 3000),
-                                                    router.names(), router.regions()));
+    router.SetProxyCounts(static_cast<size_t>(options_.proxies),
+                          static_cast<size_t>(options_.proxies));
+    router.Adopt(configuration::RoutingTable::Build(test_server::ConfigurationText(1000, 200, 3000),
+                                                    router.service_names(), router.regions()));
     router.Adopt(discovery::EndpointSnapshot{1, 1, list});
     loop.Run();
     _exit(0);
@@ -302,7 +320,7 @@
       attempts_[attempt].once = once;
       ++(once ? report_.once : report_.repeatable);
       state->sent.push_back(attempt);
-      bytes += stand_in::RequestText(!once, attempt, remaining, Chance(10) ? 200000 : 4);
+      bytes += test_server::RequestText(!once, attempt, remaining, Chance(10) ? 200000 : 4);
     }
     state->client->Send(bytes);
     if (Chance(8)) {
@@ -328,10 +346,10 @@
     for (; state->checked < client.answers.size(); ++state->checked) {
       CheckAnswer(state, client.answers[state->checked]);
     }
-    if (client.no_answer) {
+    if (client.invalid_answer) {
       ++report_.foreign;
       RecordViolation("a client received bytes that are no HTTP answer");
-      client.no_answer = false;
+      client.invalid_answer = false;
       client.closed = true;
     }
     if (client.closed || state->checked == state->sent.size()) ScheduleSend(state, 1 + Draw(25));
@@ -346,7 +364,7 @@
     const std::string& attempt = state->sent[state->checked];
     AttemptStats& stats = attempts_[attempt];
     int status = answer.status;
-    const std::string* id = answer.Find(stand_in::kAttempt);
+    const std::string* id = answer.Find(test_server::kAttempt);
     bool sealed = answer.Find("Elderkeel-Server-Seal") != nullptr;
     bool own = sealed && id && *id == attempt && stats.statuses.count(status) > 0 &&
                (answer.body.empty() || answer.body == Server::BodyOf(attempt));
@@ -388,4 +406,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace elderkeel::once
+}  // namespace elderkeel::at_most_once
--- a/tests/forwarding/at_most_once_world_test.cc
+++ b/tests/forwarding/at_most_once_world_test.cc
@@ -2,13 +2,13 @@
 
 #include <gtest/gtest.h>
 
-namespace elderkeel::once {
+namespace elderkeel::at_most_once {
 namespace {
 
 // A short run of the at-most-once checker (at_most_once_run.cc): under faults, no non-idempotent
 // request runs twice, no client gets another request's answer, and nothing answered as not executed
 // has run.
-TEST(Once, NoViolationUnderServerClientAndProxyFaults) {
+TEST(AtMostOnceWorld, NoViolationUnderServerClientAndProxyFaults) {
   Options options;
   options.seed = 7;
   Report report = World(options).Run();
@@ -17,7 +17,7 @@
   EXPECT_EQ(report.foreign, 0);
   EXPECT_EQ(report.broken_promises, 0);
   EXPECT_EQ(report.reused, 0);
-  for (const std::string& what : report.first) ADD_FAILURE() << what;
+  for (const std::string& what : report.first_violations) ADD_FAILURE() << what;
   // The run proves something only if all of these occurred.
   EXPECT_GT(report.once, 200);
   EXPECT_GT(report.runs, 100);
@@ -31,4 +31,4 @@
 }
 
 }  // namespace
-}  // namespace elderkeel::once
+}  // namespace elderkeel::at_most_once
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -30,43 +30,43 @@
   } cases[] = {
       {"nothing sent", false, 2, {}, true, true},
       {"not sent", false, 2, {AttemptOutcome::kNotSent}, true, true},
-      {"rejected", false, 2, {AttemptOutcome::kNotRun}, true, true},
+      {"rejected", false, 2, {AttemptOutcome::kNotExecuted}, true, true},
       {"rejected by all",
        false,
        2,
-       {AttemptOutcome::kNotRun, AttemptOutcome::kNotRun},
+       {AttemptOutcome::kNotExecuted, AttemptOutcome::kNotExecuted},
        false,
        true},
       {"attempts that were not sent don't count",
        false,
        2,
-       {AttemptOutcome::kNotSent, AttemptOutcome::kNotSent, AttemptOutcome::kNotRun},
+       {AttemptOutcome::kNotSent, AttemptOutcome::kNotSent, AttemptOutcome::kNotExecuted},
        true,
        true},
       {"in flight", false, 2, {AttemptOutcome::kPending}, false, false},
-      {"may have run", false, 2, {AttemptOutcome::kMaybeRun}, false, false},
+      {"may have run", false, 2, {AttemptOutcome::kMaybeExecuted}, false, false},
       {"rejected, then may have run",
        false,
        3,
-       {AttemptOutcome::kNotRun, AttemptOutcome::kMaybeRun},
+       {AttemptOutcome::kNotExecuted, AttemptOutcome::kMaybeExecuted},
        false,
        false},
-      {"ran", false, 2, {AttemptOutcome::kRun}, false, false},
+      {"ran", false, 2, {AttemptOutcome::kExecuted}, false, false},
       {"idempotent, in flight", true, 2, {AttemptOutcome::kPending}, true, false},
-      {"idempotent, may have run", true, 2, {AttemptOutcome::kMaybeRun}, true, false},
+      {"idempotent, may have run", true, 2, {AttemptOutcome::kMaybeExecuted}, true, false},
       {"idempotent, no attempts left",
        true,
        2,
-       {AttemptOutcome::kMaybeRun, AttemptOutcome::kMaybeRun},
+       {AttemptOutcome::kMaybeExecuted, AttemptOutcome::kMaybeExecuted},
        false,
        false},
-      {"idempotent, one attempt", true, 1, {AttemptOutcome::kNotRun}, false, true},
+      {"idempotent, one attempt", true, 1, {AttemptOutcome::kNotExecuted}, false, true},
   };
   for (const Case& c : cases) {
     AttemptLog attempt_log(c.idempotent, c.attempts);
     for (AttemptOutcome outcome : c.outcomes) attempt_log.End(attempt_log.Begin(), outcome);
     EXPECT_EQ(attempt_log.MayAttempt(), c.may_send) << c.name;
-    EXPECT_EQ(attempt_log.IsCertainlyNotRun(), c.certainly_not_run) << c.name;
+    EXPECT_EQ(attempt_log.IsCertainlyNotExecuted(), c.certainly_not_run) << c.name;
   }
 }
 
@@ -92,7 +92,7 @@
     std::map<std::string, int> counts;
     for (int i = 0; i < 200; ++i) {
       uint32_t server = balancer_.Choose(now, {names_.Find("s"), 100, idempotent, tried, allowed_});
-      ++counts[server == LoadBalancer::kNone ? "none" : balancer_.at(server).id];
+      ++counts[server == LoadBalancer::kNoServer ? "none" : balancer_.at(server).id];
     }
     return counts;
   }
@@ -107,8 +107,8 @@
   balancer_.Adopt(0, MakeSnapshot({Entry("near", "here"), Entry("far", "there")}));
   EXPECT_EQ(Choices(0)["near"], 200);
   uint32_t near = 0;
-  balancer_.Begin(0, near);
-  balancer_.Begin(0, near);
+  balancer_.OnAttemptBegun(0, near);
+  balancer_.OnAttemptBegun(0, near);
   EXPECT_EQ(Choices(1)["far"], 200);
 }
 
@@ -132,8 +132,8 @@
 // untested, which could fail many requests at once.
 TEST_F(LoadBalancerTest, EjectsAFailingServerAndReadmitsItByATrialRequest) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
-  balancer_.Begin(0, 0);
-  balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
+  balancer_.OnAttemptBegun(0, 0);
+  balancer_.OnAttemptEnded(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["b"], 200);
   EXPECT_TRUE(balancer_.DueProbes(20).empty());
   EXPECT_EQ(Choices(10000)["b"], 200);  // time alone doesn't readmit it
@@ -141,9 +141,9 @@
   balancer_.OnProbeResult(10000, 0, true);
   EXPECT_EQ(Choices(10001, true)["a"], 200);   // on probation: idempotent requests only
   EXPECT_EQ(Choices(10001, false)["b"], 200);  // not requests that may run only once
-  balancer_.Begin(10001, 0);
+  balancer_.OnAttemptBegun(10001, 0);
   EXPECT_EQ(Choices(10002, true)["b"], 200);  // one at a time
-  balancer_.End(10100, 0, 10001, Signal::kGood, 99, 100);
+  balancer_.OnAttemptEnded(10100, 0, 10001, Signal::kGood, 99, 100);
   EXPECT_EQ(Choices(10101, false)["a"], 200);
 }
 
@@ -152,8 +152,8 @@
 TEST_F(LoadBalancerTest, AnswersToRequestsOutweighWrongProbeResults) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   base::Millis now = 0;
-  balancer_.Begin(now, 0);
-  balancer_.End(now, 0, now, Signal::kUnreachable, -1, 100);
+  balancer_.OnAttemptBegun(now, 0);
+  balancer_.OnAttemptEnded(now, 0, now, Signal::kUnreachable, -1, 100);
   // Probes that keep failing don't keep a server ejected for ever: it is put on probation.
   int probes = 0;
   while (!balancer_.at(0).probation && probes < 10) {
@@ -163,16 +163,16 @@
   }
   EXPECT_EQ(probes, 2);
   // One failed request ejects a readmitted server again, whatever probes show.
-  balancer_.Begin(now, 0);
-  balancer_.End(now + 5, 0, now, Signal::kBroken, -1, 100);
+  balancer_.OnAttemptBegun(now, 0);
+  balancer_.OnAttemptEnded(now + 5, 0, now, Signal::kInvalidAnswer, -1, 100);
   EXPECT_EQ(Choices(now + 6)["b"], 200);
 }
 
 // Guards against failing all requests when every server is ejected, although one of them may work.
 TEST_F(LoadBalancerTest, ChoosesAnEjectedServerWhenNoOtherIsEligible) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here")}));
-  balancer_.Begin(0, 0);
-  balancer_.End(10, 0, 0, Signal::kUnreachable, -1, 100);
+  balancer_.OnAttemptBegun(0, 0);
+  balancer_.OnAttemptEnded(10, 0, 0, Signal::kUnreachable, -1, 100);
   EXPECT_EQ(Choices(20)["a"], 200);
 }
 
@@ -182,11 +182,11 @@
                                    Entry("cold", "here", false, 3000)}));
   EXPECT_EQ(Choices(1)["cold"], 0);
   for (int i = 0; i < 30; ++i) {
-    balancer_.Begin(i, 0);
-    balancer_.End(i, 0, i, Signal::kGood, 500, 100);
+    balancer_.OnAttemptBegun(i, 0);
+    balancer_.OnAttemptEnded(i, 0, i, Signal::kGood, 500, 100);
   }
   EXPECT_EQ(Choices(100)["a"], 0);
-  balancer_.Begin(100, 1);
+  balancer_.OnAttemptBegun(100, 1);
   EXPECT_EQ(Choices(5000)["b"], 0);  // its attempt has long been unanswered
 }
 
@@ -195,15 +195,16 @@
 TEST_F(LoadBalancerTest, EjectsAnUnresponsiveServer) {
   balancer_.Adopt(0, MakeSnapshot({Entry("a", "here"), Entry("b", "there")}));
   auto abandon_attempt = [&](base::Millis now, base::Millis age) {
-    balancer_.Begin(now - age, 0);
+    balancer_.OnAttemptBegun(now - age, 0);
     balancer_.OnAttemptAbandoned(now, 0, now - age, 100);
   };
   abandon_attempt(1000, 150);  // abandoned too early to count as a failure
   abandon_attempt(1000, 150);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
   abandon_attempt(2000, 400);
-  balancer_.Begin(2000, 0);
-  balancer_.End(2090, 0, 2000, Signal::kGood, 90, 100);  // a good answer resets the failures
+  balancer_.OnAttemptBegun(2000, 0);
+  balancer_.OnAttemptEnded(2090, 0, 2000, Signal::kGood, 90,
+                           100);  // a good answer resets the failures
   abandon_attempt(3000, 400);
   EXPECT_EQ(balancer_.at(0).ejected_until, 0);
   abandon_attempt(3500, 400);
@@ -242,7 +243,7 @@
   };
   for (const Case& c : cases) {
     forwarding::RetryBudget b({0.2, c.slack, 0.75});
-    b.SetNodes(10);
+    b.SetProxyCount(10);
     for (int i = 0; i < c.requests; ++i) b.Deposit(0);
     forwarding::RetryBudget copy = b;
     EXPECT_EQ(b.TryWithdrawForHedge(0), c.may_hedge) << c.slack << " " << c.requests;
@@ -264,7 +265,7 @@
   std::vector<forwarding::RetryBudget> budgets;
   auto new_budget = [&] {
     forwarding::RetryBudget b(bounds);
-    b.SetNodes(nodes);
+    b.SetProxyCount(nodes);
     return b;
   };
   for (size_t i = 0; i < nodes; ++i) budgets.push_back(new_budget());
@@ -299,7 +300,7 @@
 // Guards against a node that restarts and spends again what it spent before the restart.
 TEST(RetryBudget, ANodeStartsWithoutTokens) {
   forwarding::RetryBudget b({0.2, 60, 0.75});
-  b.SetNodes(10);
+  b.SetProxyCount(10);
   EXPECT_FALSE(b.TryWithdraw(0));
   for (int i = 0; i < 7; ++i) b.Deposit(0);
   EXPECT_TRUE(b.TryWithdraw(0));
@@ -361,10 +362,10 @@
     std::map<std::string, std::set<std::string>> used;
     for (int i = 0; i < 400; ++i) {
       uint32_t server = balancer_.Choose(0, {s, 100, true, {}, {}}, secondary);
-      if (server == LoadBalancer::kNone) continue;
+      if (server == LoadBalancer::kNoServer) continue;
       used[balancer_.VersionOf(server)].insert(balancer_.at(server).id);
-      balancer_.Begin(0, server);
-      balancer_.End(0, server, 0, Signal::kGood, -1, 100);
+      balancer_.OnAttemptBegun(0, server);
+      balancer_.OnAttemptEnded(0, server, 0, Signal::kGood, -1, 100);
     }
     return used;
   };
@@ -389,7 +390,7 @@
   EXPECT_EQ(versions(false).begin()->first, "v2");
   EXPECT_EQ(versions(true).begin()->first, "v1");
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 0u);
-  balancer_.Begin(0, balancer_.Choose(0, {s, 100, true, {}, {}}, true));
+  balancer_.OnAttemptBegun(0, balancer_.Choose(0, {s, 100, true, {}, {}}, true));
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 1u);
   // A rejected version is never used, not even if no other server is left. Without servers of the
   // primary version, other versions are used.
--- a/tests/forwarding/request_router_fixture.h
+++ b/tests/forwarding/request_router_fixture.h
@@ -22,13 +22,13 @@
 namespace elderkeel::forwarding {
 
 // A server on loopback that answers with bytes chosen by the test. Runs on the test's event loop.
-class StandIn {
+class FakeServer {
  public:
   // Called with the bytes of each request; returns the bytes to send, empty for no answer. "RESET"
   // resets the connection; with "CUT" the bytes before it are sent and the connection is closed.
   using Script = std::function<std::string(const std::string& request)>;
 
-  StandIn(base::Loop* loop, Script script) : loop_(loop), script_(std::move(script)) {
+  FakeServer(base::Loop* loop, Script script) : loop_(loop), script_(std::move(script)) {
     for (uint16_t port = 21000; port < 22000; ++port) {
       address_ = {"127.0.0.1", port};
       if (listener_.Open(loop, address_, [this](int fd) { Accept(fd); }).has_value()) return;
@@ -45,7 +45,7 @@
 
  private:
   struct Connection {
-    StandIn* self;
+    FakeServer* self;
     transport::BuffereventPtr socket;
   };
   void Accept(int fd) {
@@ -138,14 +138,14 @@
 }
 
 // A successful answer to `request` that passes all checks.
-inline std::string Good(const std::string& request, const std::string& body = "hello") {
+inline std::string SuccessAnswer(const std::string& request, const std::string& body = "hello") {
   return "HTTP/1.1 200 OK\r\nElderkeel-Attempt-Id: " + HeaderOf(request, "Elderkeel-Attempt-Id") +
          "\r\nElderkeel-Server-Seal: seal\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-// A RequestRouter with its own event loop. Tests add servers with Serve(), call Configure(), and
-// send requests with Exchange() or Open().
+// A RequestRouter with its own event loop. Tests add servers with AddServer(), call Configure(),
+// and send requests with Exchange() or Open().
 class RequestRouterTest : public ::testing::Test {
  protected:
   RequestRouterTest()
@@ -168,8 +168,8 @@
   }
 
   // Starts a server and adds it to the endpoint list.
-  StandIn* Serve(const std::string& id, StandIn::Script script) {
-    servers_.push_back(std::make_unique<StandIn>(&loop_, std::move(script)));
+  FakeServer* AddServer(const std::string& id, FakeServer::Script script) {
+    servers_.push_back(std::make_unique<FakeServer>(&loop_, std::move(script)));
     AddEndpoint(id, servers_.back()->address().ToString());
     return servers_.back().get();
   }
@@ -190,7 +190,8 @@
         R"({"revision":1,"route-list":[)" + route("get", "/get/", "idempotent") + "," +
         route("post", "/post/", "effectful") +
         R"(],"service-list":[{"label":"s","max-conns":100}],"limits":{"max-header-bytes":600,"max-body-bytes":1000,"header-timeout-ms":200,"idle-timeout-ms":3000}})";
-    router_->Adopt(configuration::RoutingTable::Build(text, router_->names(), router_->regions()));
+    router_->Adopt(
+        configuration::RoutingTable::Build(text, router_->service_names(), router_->regions()));
     router_->Adopt(endpoints_);
     // These match no route and get 404; they run the loop, but don't add to the retry budget.
     for (int i = 0; i < 4; ++i) Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
@@ -216,7 +217,7 @@
       ssize_t n = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (n == 0) break;
       if (n > 0) answer.append(buffer, static_cast<size_t>(n));
-      if (n > 0 && ReadAnswer(answer) >= CountRequests(bytes)) break;
+      if (n > 0 && CountAnswers(answer) >= CountRequests(bytes)) break;
     }
     close(fd);
     return answer;
@@ -245,7 +246,7 @@
     return std::max(1, n);
   }
   // The number of complete answers at the start of `bytes`.
-  static int ReadAnswer(const std::string& bytes) {
+  static int CountAnswers(const std::string& bytes) {
     int n = 0;
     std::unique_ptr<evbuffer, decltype(&evbuffer_free)> buffer(evbuffer_new(), &evbuffer_free);
     evbuffer_add(buffer.get(), bytes.data(), bytes.size());
@@ -257,8 +258,8 @@
     return n;
   }
   // A request of kind "get" (idempotent) or "post" (non-idempotent).
-  std::string Ask(const std::string& kind, const std::string& id = "id-1",
-                  const std::string& remaining = "900") {
+  std::string RequestText(const std::string& kind, const std::string& id = "id-1",
+                          const std::string& remaining = "900") {
     std::string head = (kind == "post" ? "POST" : "GET") + std::string(" /") + kind +
                        "/x?y=1 HTTP/1.1\r\nHost: h.example\r\n" + "Elderkeel-Attempt-Id: " + id +
                        "\r\nElderkeel-Remaining-Ms: " + remaining + "\r\n";
@@ -275,7 +276,7 @@
   std::mutex mutex_;
   std::string records_;
   telemetry::Recorder recorder_;
-  std::vector<std::unique_ptr<StandIn>> servers_;
+  std::vector<std::unique_ptr<FakeServer>> servers_;
   discovery::EndpointSnapshot endpoints_{1, 1, {}};
   std::unique_ptr<RequestRouter> router_;
 };
--- a/tests/forwarding/request_router_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 TEST_F(RequestRouterTest, ForwardsRequestsUnchangedWithDeadlineAndExpectedServer) {
-  auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
+  auto* server = AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
   std::string answer = Exchange(
       "POST /post/x?y=%20z HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a7\r\n"
@@ -39,7 +39,7 @@
 TEST_F(RequestRouterTest, RetriesOnlyWhatCannotRunTwiceAfterEachKindOfFailure) {
   struct Case {
     const char* name;
-    StandIn::Script bad;
+    FakeServer::Script bad;
     int get_status, post_status;
     size_t post_arrivals;  // of the "post" request, at both servers together
   };
@@ -56,19 +56,21 @@
   };
   const char* busy = "HTTP/1.1 503 Busy\r\nElderkeel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   std::vector<Case> cases = {
-      {"success", [](const std::string& r) { return Good(r); }, 200, 200, 1},
+      {"success", [](const std::string& r) { return SuccessAnswer(r); }, 200, 200, 1},
       {"not executed", with_id(busy, true), 200, 200, 2},
       // Neither answer is about this request, which may therefore have been executed.
       {"another request not executed", with_id(busy, false), 200, 504, 1},
       {"not executed, without an id", plain(busy), 200, 502, 1},
       {"misdirected", with_id("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", true), 200, 200, 2},
       {"late answer to another request, then its own",
-       [](const std::string& r) { return Good("Elderkeel-Attempt-Id: other\r\n") + Good(r); }, 200,
-       200, 1},
+       [](const std::string& r) {
+         return SuccessAnswer("Elderkeel-Attempt-Id: other\r\n") + SuccessAnswer(r);
+       },
+       200, 200, 1},
       {"two answers to another request",
        [](const std::string& r) {
-         std::string other = Good("Elderkeel-Attempt-Id: other\r\n");
-         return other + other + Good(r);
+         std::string other = SuccessAnswer("Elderkeel-Attempt-Id: other\r\n");
+         return other + other + SuccessAnswer(r);
        },
        200, 502, 1},
       {"reset", plain("RESET"), 200, 502, 1},
@@ -83,10 +85,11 @@
        },
        200, 502, 1},
       {"answer to another request",
-       [](const std::string&) { return Good("Elderkeel-Attempt-Id: other\r\n"); }, 200, 504, 1},
+       [](const std::string&) { return SuccessAnswer("Elderkeel-Attempt-Id: other\r\n"); }, 200,
+       504, 1},
       {"encoded body",
        [](const std::string& r) {
-         std::string good = Good(r);
+         std::string good = SuccessAnswer(r);
          return good.insert(17, "Content-Encoding: gzip\r\n");
        },
        200, 502, 1},
@@ -104,7 +107,7 @@
       {"final client error", with_id("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n", true),
        409, 409, 1},
       {"bytes after the answer",
-       [](const std::string& r) { return Good(r) + "HTTP/1.1 200 OK\r\n"; }, 200, 200, 1},
+       [](const std::string& r) { return SuccessAnswer(r) + "HTTP/1.1 200 OK\r\n"; }, 200, 200, 1},
   };
   for (const Case& c : cases) {
     for (const char* kind : {"get", "post"}) {
@@ -116,16 +119,16 @@
       }
       router_->SetServing(true);
       endpoints_.servers.clear();
-      auto* bad = Serve("i-bad", c.bad);
-      auto* good = Serve("i-good", [](const std::string& r) { return Good(r); });
+      auto* bad = AddServer("i-bad", c.bad);
+      auto* good = AddServer("i-good", [](const std::string& r) { return SuccessAnswer(r); });
       Configure();
-      for (int i = 0; i < 3; ++i) Exchange(Ask("get", "warm-" + std::to_string(i)));
+      for (int i = 0; i < 3; ++i) Exchange(RequestText("get", "warm-" + std::to_string(i)));
       // These requests fill the retry budget, but their failures may have ejected the bad server.
       // Under a new id it starts without that history.
       endpoints_.servers[0].id = "i-bad-2";
       router_->Adopt(endpoints_);
       size_t before = bad->requests.size() + good->requests.size();
-      std::string answer = Exchange(Ask(kind));
+      std::string answer = Exchange(RequestText(kind));
       std::string want =
           kind == std::string("get") ? std::to_string(c.get_status) : std::to_string(c.post_status);
       EXPECT_EQ(std::to_string(Status(answer)), want) << c.name << " " << kind << ": " << answer;
@@ -137,35 +140,35 @@
 }
 
 TEST_F(RequestRouterTest, RejectsRequestsUntilItsStateIsConfirmed) {
-  auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
+  auto* server = AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
   router_->SetServing(false);
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);
+  EXPECT_EQ(Status(Exchange(RequestText("get"))), 503);
   EXPECT_TRUE(server->requests.empty());
   router_->SetServing(true);
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);
+  EXPECT_EQ(Status(Exchange(RequestText("get"))), 200);
 }
 
 // Guards against a 404 for a route that a newer configuration has: while its configuration may be
 // out of date, the router answers 503 instead.
 TEST_F(RequestRouterTest, AnswersUnknownRouteWith503WhileConfigurationMayBeOutOfDate) {
-  Serve("i-1", [](const std::string& r) { return Good(r); });
+  AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
   bool recent = false;
-  router_->SetDenialGuard([&] { return recent; });
+  router_->SetNotFoundGuard([&] { return recent; });
   std::string unknown = "GET /got/ HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: a\r\n\r\n";
   std::string answer = Exchange(unknown);
   EXPECT_EQ(Status(answer), 503);
   EXPECT_NE(answer.find("Retry-After: "), std::string::npos) << answer;
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 200);  // known routes are served
+  EXPECT_EQ(Status(Exchange(RequestText("get"))), 200);  // known routes are served
   recent = true;
   EXPECT_EQ(Status(Exchange(unknown)), 404);
 }
 
 TEST_F(RequestRouterTest, RejectsInvalidRequestsWithoutForwardingThem) {
-  auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
+  auto* server = AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   std::string big(700, 'x');
-  EXPECT_EQ(Status(Exchange(Ask("get"))), 503);  // no configuration yet
+  EXPECT_EQ(Status(Exchange(RequestText("get"))), 503);  // no configuration yet
   Configure();
   struct Case {
     const char* name;
@@ -203,9 +206,12 @@
 }
 
 TEST_F(RequestRouterTest, AnswersPipelinedRequestsInOrder) {
-  Serve("i-1", [](const std::string& r) { return Good(r, HeaderOf(r, "Elderkeel-Attempt-Id")); });
+  AddServer("i-1", [](const std::string& r) {
+    return SuccessAnswer(r, HeaderOf(r, "Elderkeel-Attempt-Id"));
+  });
   Configure();
-  std::string answer = Exchange(Ask("get", "first") + Ask("post", "second") + Ask("get", "third"));
+  std::string answer = Exchange(RequestText("get", "first") + RequestText("post", "second") +
+                                RequestText("get", "third"));
   size_t first = answer.find("\r\n\r\nfirst"), second = answer.find("\r\n\r\nsecond"),
          third = answer.find("\r\n\r\nthird");
   ASSERT_NE(third, std::string::npos) << answer;
@@ -215,24 +221,24 @@
 
 TEST_F(RequestRouterTest, WaitsForASilentServerUntilTheDeadline) {
   settings_.second_sends = false;
-  Serve("i-1", [](const std::string&) { return std::string(); });
+  AddServer("i-1", [](const std::string&) { return std::string(); });
   Configure();
   base::Millis begun = base::SteadyMillis();
-  EXPECT_EQ(Status(Exchange(Ask("post", "a", "300"))), 504);
+  EXPECT_EQ(Status(Exchange(RequestText("post", "a", "300"))), 504);
   base::Millis took = base::SteadyMillis() - begun;
   EXPECT_GE(took, 290);
   EXPECT_LT(took, 600);
 }
 
 TEST_F(RequestRouterTest, HedgesAnIdempotentRequestThatIsLate) {
-  auto* silent = Serve("i-1", [](const std::string&) { return std::string(); });
-  auto* healthy = Serve("i-2", [](const std::string& r) { return Good(r); });
+  auto* silent = AddServer("i-1", [](const std::string&) { return std::string(); });
+  auto* healthy = AddServer("i-2", [](const std::string& r) { return SuccessAnswer(r); });
   Configure(1000, 200);
-  for (int i = 0; i < 3; ++i) Exchange(Ask("get", "w" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) Exchange(RequestText("get", "w" + std::to_string(i)));
   endpoints_.servers[0].id = "i-1-again";
   router_->Adopt(endpoints_);
   size_t before = silent->requests.size();
-  EXPECT_EQ(Status(Exchange(Ask("get", "late"))), 200);
+  EXPECT_EQ(Status(Exchange(RequestText("get", "late"))), 200);
   EXPECT_EQ(silent->requests.size(), before + 1);
   EXPECT_FALSE(healthy->requests.empty());
 }
@@ -241,8 +247,8 @@
   settings_.held_body_bytes = 1000;
   std::string large(300000, 'x');
   bool cut = false, chunks = false;
-  Serve("i-1", [&](const std::string& r) {
-    std::string good = Good(r, large);
+  AddServer("i-1", [&](const std::string& r) {
+    std::string good = SuccessAnswer(r, large);
     if (chunks) {
       size_t at = good.find("Content-Length");
       good.erase(at, good.find("\r\n", at) - at);
@@ -256,27 +262,27 @@
   for (bool in_chunks : {false, true}) {
     chunks = in_chunks;
     cut = false;
-    std::string answer = Exchange(Ask("get", "whole"));
-    EXPECT_EQ(ReadAnswer(answer), 1) << answer.substr(0, 300);
+    std::string answer = Exchange(RequestText("get", "whole"));
+    EXPECT_EQ(CountAnswers(answer), 1) << answer.substr(0, 300);
     EXPECT_GT(answer.size(), large.size());
     EXPECT_EQ(answer.find("chunked") != std::string::npos, in_chunks);
     cut = true;
-    answer = Exchange(Ask("get", "cut"));
+    answer = Exchange(RequestText("get", "cut"));
     EXPECT_GT(answer.size(), 1000u);
-    EXPECT_EQ(ReadAnswer(answer), 0);  // the client must not take it for complete
+    EXPECT_EQ(CountAnswers(answer), 0);  // the client must not take it for complete
   }
 }
 
 // Guards against an incident in which a suspended proxy, once resumed, sent all requests that had
 // accumulated to the servers, although their clients had disconnected.
 TEST_F(RequestRouterTest, AfterASuspensionSendsNothingForClientsThatDisconnected) {
-  auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
+  auto* server = AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
   std::vector<int> clients;
   for (int i = 0; i < 5; ++i) {
     int fd = transport::StartConnect(settings_.front, 0);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    std::string bytes = Ask(i % 2 ? "post" : "get", "gone-" + std::to_string(i));
+    std::string bytes = RequestText(i % 2 ? "post" : "get", "gone-" + std::to_string(i));
     EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
     if (i < 4) {
@@ -288,7 +294,7 @@
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the loop does not run
   Exchange("GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
-  EXPECT_EQ(Status(Exchange(Ask("get", "after"))), 200);
+  EXPECT_EQ(Status(Exchange(RequestText("get", "after"))), 200);
   // One request whose client is still connected, and the one sent after the suspension.
   EXPECT_EQ(server->requests.size(), 2u);
   for (int fd : clients) close(fd);
@@ -296,20 +302,21 @@
 
 TEST_F(RequestRouterTest, RetriesANonIdempotentRequestAfterAnUnreachableServer) {
   AddEndpoint("i-gone", "127.0.0.1:1");
-  auto* healthy = Serve("i-2", [](const std::string& r) { return Good(r); });
+  auto* healthy = AddServer("i-2", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
-  EXPECT_EQ(Status(Exchange(Ask("post"))), 200);
+  EXPECT_EQ(Status(Exchange(RequestText("post"))), 200);
   EXPECT_EQ(healthy->requests.size(), 1u);
 }
 
 TEST_F(RequestRouterTest, ReusesConnectionsAndRecordsWhyARequestFailed) {
-  auto* server = Serve("i-1", [](const std::string& r) { return Good(r); });
+  auto* server = AddServer("i-1", [](const std::string& r) { return SuccessAnswer(r); });
   Configure();
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(Status(Exchange(Ask("get", "r" + std::to_string(i)))), 200);
+  for (int i = 0; i < 5; ++i)
+    EXPECT_EQ(Status(Exchange(RequestText("get", "r" + std::to_string(i)))), 200);
   EXPECT_EQ(server->connections, 1);
   endpoints_.servers[0].draining = true;
   router_->Adopt(endpoints_);
-  std::string answer = Exchange(Ask("get", "nobody-there"));
+  std::string answer = Exchange(RequestText("get", "nobody-there"));
   EXPECT_EQ(Status(answer), 503);
   EXPECT_FALSE(HeaderOf(answer, "Retry-After").empty());
   recorder_.Flush();
--- a/tests/forwarding/slow_start_test.cc
+++ b/tests/forwarding/slow_start_test.cc
@@ -24,7 +24,7 @@
 // Guards against two proxies owning a server in slow start at once, so that it gets more than its
 // bound within a second. All proxies of a zone send it as much as they may, while their views of
 // the zone differ and proxies restart.
-TEST(Warmup, RequestsOfAllProxiesStayWithinTheBound) {
+TEST(SlowStart, RequestsOfAllProxiesStayWithinTheBound) {
   constexpr double kPerS = 2.7, kBound = 2.7 * 1.5 + 8;
   constexpr size_t kProxies = 12;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -38,7 +38,7 @@
     auto start = [&](size_t i, base::Millis now, base::Millis slow_start_until) {
       proxies[i] = std::make_unique<LoadBalancer>(options, &names, &regions, random.Next());
       in_slow_start.warm_at = slow_start_until;
-      proxies[i]->SetWarmup(names.Intern("s"), kPerS);
+      proxies[i]->SetSlowStartRate(names.Intern("s"), kPerS);
       proxies[i]->Adopt(now, MakeSnapshot({in_slow_start}));
       proxies[i]->SetZoneProxies(now, {all[i], all, {}});
     };
@@ -56,9 +56,9 @@
       }
       for (size_t i = 0; i < kProxies; ++i) {
         uint32_t s = proxies[i]->Choose(now, {names.Find("s"), 100, true, {}, {}});
-        if (s == LoadBalancer::kNone) continue;
-        proxies[i]->Begin(now, s);
-        proxies[i]->End(now, s, now, Signal::kGood, 10, 100);
+        if (s == LoadBalancer::kNoServer) continue;
+        proxies[i]->OnAttemptBegun(now, s);
+        proxies[i]->OnAttemptEnded(now, s, now, Signal::kGood, 10, 100);
         sent.push_back(now);
       }
     }
@@ -95,7 +95,7 @@
     proxy.newest_incarnation.clear();
     proxy.balancer =
         std::make_unique<LoadBalancer>(ZoneOptions(), &names_, &regions_, random_.Next());
-    proxy.balancer->SetWarmup(names_.Intern("s"), kWarmupPerS);
+    proxy.balancer->SetSlowStartRate(names_.Intern("s"), kWarmupPerS);
     proxy.balancer->Adopt(now_, MakeSnapshot({{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false,
                                                kSlowStartMs, kSlowStartMs}}));
     SendNotices(number, true);
@@ -198,9 +198,9 @@
       return;
     }
     uint32_t server = proxy->balancer->Choose(now_, {names_.Find("s"), 100, true, {}, {}});
-    if (server == LoadBalancer::kNone) return;
-    proxy->balancer->Begin(now_, server);
-    proxy->balancer->End(now_, server, now_, Signal::kGood, 10, 100);
+    if (server == LoadBalancer::kNoServer) return;
+    proxy->balancer->OnAttemptBegun(now_, server);
+    proxy->balancer->OnAttemptEnded(now_, server, now_, Signal::kGood, 10, 100);
     sent_.push_back(now_);
   }
 
--- a/tests/forwarding/stand_in.h
+++ b/tests/forwarding/test_server.h
@@ -15,15 +15,15 @@
 
 // Stand-ins for the servers and clients around a proxy, on loopback: a server that misbehaves in
 // chosen ways, a client, and the texts of requests and configurations.
-namespace elderkeel::stand_in {
+namespace elderkeel::test_server {
 
 constexpr const char* kAttempt = "Elderkeel-Attempt-Id";
 
 // How a server behaves for one request, or on the connection that carries it. "Own answer" is the
 // correct answer to the request; ids are attempt ids. The previous request is the one before on the
 // same connection; if there is none, the id "other" takes its place.
-enum class Deed {
-  kWell,          // sends its own answer
+enum class Behavior {
+  kAnswer,        // sends its own answer
   kInterim,       // sends interim answers (1xx) before its own
   kTwice,         // sends its own answer twice, at once
   kTwiceLater,    // sends its own answer again 5 ms later, without a request
@@ -35,8 +35,8 @@
   kNotExecuted,   // rejects the request as not executed
   kOtherNotExecuted,     // the same, with the previous request's id
   kNoIdNotExecuted,      // the same, without an id
-  kGluedReason,          // an incomplete status line, then its own answer
-  kGluedValue,           // an answer that is cut off in a header's value, then its own answer
+  kCutStatusLineFirst,   // an incomplete status line, then its own answer
+  kCutHeaderFirst,       // an answer that is cut off in a header's value, then its own answer
   kCutHead,              // cuts off its own answer within the head, then half-closes
   kCutBody,              // the same within the body
   kExtra,                // its own answer, then bytes that are no answer
@@ -47,7 +47,7 @@
   kHalfCloseMiddle,      // half-closes after a part of the request
   kNoAnswerInTheMiddle,  // stops reading after a part of the request
   kResetIdle,            // answers, then resets the idle connection 5 ms later
-  kNoiseIdle,       // answers, then sends another request's answer 5 ms later, without a request
+  kOtherIdle,       // answers, then sends another request's answer 5 ms later, without a request
   kResetFirst,      // resets a new connection before it reads anything
   kHalfCloseFirst,  // half-closes a new connection before it reads anything
   kNoAnswerAtAll,   // reads nothing from a new connection
@@ -62,8 +62,8 @@
 class Server {
  public:
   // The behaviour for one request, and the status of its own answer.
-  struct Play {
-    Deed deed = Deed::kWell;
+  struct Response {
+    Behavior behavior = Behavior::kAnswer;
     int status = 200;
     base::Millis late_ms = 0;  // for kLate
   };
@@ -72,8 +72,9 @@
     std::string attempt;
     int connection;  // counted from 1
     bool ran;
-    int status;   // of its own answer, if one is sent
-    bool spoilt;  // an earlier answer on this connection was sent with excess bytes, in one write
+    int status;                // of its own answer, if one is sent
+    bool excess_bytes_before;  // an earlier answer on this connection was sent with excess bytes,
+                               // in one write
   };
 
   // Listens on the first free port of the 2000 from `first_port` on. `loop` must outlive it.
@@ -93,11 +94,13 @@
   void SetId(std::string id) { id_ = std::move(id); }
 
   // Called for each request; returns the behaviour for it.
-  std::function<Play(const http::Message&)> choose = [](const http::Message&) { return Play(); };
-  // Called for each new connection, and when an incomplete request has been read; only the deeds
-  // for that moment have an effect.
-  std::function<Deed()> on_connection = [] { return Deed::kWell; };
-  std::function<Deed()> on_part = [] { return Deed::kWell; };
+  std::function<Response(const http::Message&)> choose = [](const http::Message&) {
+    return Response();
+  };
+  // Called for each new connection, and when an incomplete request has been read; only the
+  // behaviours for that moment have an effect.
+  std::function<Behavior()> on_connection = [] { return Behavior::kAnswer; };
+  std::function<Behavior()> on_part = [] { return Behavior::kAnswer; };
   // Called for each request that has arrived completely, except health probes. If it is not set,
   // they are appended to `arrivals`.
   std::function<void(const Arrival&)> on_arrival;
@@ -125,11 +128,11 @@
     int number = 0;
     transport::BuffereventPtr socket;
     http::MessageReader reader{HTTP_REQUEST};
-    bool stopped = false;            // ignores further requests and sends nothing more
-    bool part_handled = false;       // on_part was called for the present request
-    bool spoilt = false;             // as in Arrival, for later requests
-    std::string before_next_answer;  // bytes sent when the next request arrives
-    std::string previous_attempt;    // attempt id of the previous request
+    bool stopped = false;              // ignores further requests and sends nothing more
+    bool part_handled = false;         // on_part was called for the present request
+    bool excess_bytes_before = false;  // as in Arrival, for later requests
+    std::string before_next_answer;    // bytes sent when the next request arrives
+    std::string previous_attempt;      // attempt id of the previous request
     base::Timer timer;
   };
 
@@ -182,17 +185,17 @@
     bufferevent_setcb(c->socket.get(), &OnReadable, nullptr, &OnEvent, c);
     open_.push_back(std::move(connection));
     switch (on_connection()) {
-      case Deed::kResetFirst:
+      case Behavior::kResetFirst:
         return Reset(c);
-      case Deed::kNoAnswerAtAll:
+      case Behavior::kNoAnswerAtAll:
         return StopAnswering(c);
-      case Deed::kHalfCloseFirst:
+      case Behavior::kHalfCloseFirst:
         bufferevent_enable(c->socket.get(), EV_READ | EV_WRITE);
         return HalfClose(c);
-      case Deed::kOtherFirst:
+      case Behavior::kOtherFirst:
         Write(c, Answer(200, {"other"}, BodyOf("other")));
         break;
-      case Deed::kNoIdFirst:
+      case Behavior::kNoIdFirst:
         Write(c, Answer(200, {}, BodyOf("other")));
         break;
       default:
@@ -218,11 +221,11 @@
       if (c->part_handled) return;
       c->part_handled = true;
       switch (c->self->on_part()) {
-        case Deed::kResetMiddle:
+        case Behavior::kResetMiddle:
           return c->self->Reset(c);
-        case Deed::kHalfCloseMiddle:
+        case Behavior::kHalfCloseMiddle:
           return c->self->HalfClose(c);
-        case Deed::kNoAnswerInTheMiddle:
+        case Behavior::kNoAnswerInTheMiddle:
           return c->self->StopAnswering(c);
         default:
           return;
@@ -243,13 +246,13 @@
     }
     const std::string& attempt = *attempt_header;
     const std::string* expected = request.Find("Elderkeel-Expected-Server");
-    Play play = choose(request);
-    Deed deed = play.deed;
+    Response play = choose(request);
+    Behavior behavior = play.behavior;
     bool misplaced = expected && *expected != id_;
-    bool rejected = misplaced || play.status == 421 || deed == Deed::kNotExecuted;
+    bool rejected = misplaced || play.status == 421 || behavior == Behavior::kNotExecuted;
     int refusal = play.status / 100 == 2 ? 503 : play.status;
-    int answered = misplaced ? 421 : deed == Deed::kNotExecuted ? refusal : play.status;
-    Arrival arrival{attempt, c->number, !rejected, answered, c->spoilt};
+    int answered = misplaced ? 421 : behavior == Behavior::kNotExecuted ? refusal : play.status;
+    Arrival arrival{attempt, c->number, !rejected, answered, c->excess_bytes_before};
     if (on_arrival) {
       on_arrival(arrival);
     } else {
@@ -264,60 +267,61 @@
     std::string other = Answer(play.status, {previous}, BodyOf(previous));
     const std::string refused = "Elderkeel-Not-Executed: 1\r\n";
     c->previous_attempt = attempt;
-    c->spoilt |= !misplaced && (deed == Deed::kTwice || deed == Deed::kPieces ||
-                                deed == Deed::kOtherThenOwn || deed == Deed::kExtra);
+    c->excess_bytes_before |=
+        !misplaced && (behavior == Behavior::kTwice || behavior == Behavior::kPieces ||
+                       behavior == Behavior::kOtherThenOwn || behavior == Behavior::kExtra);
     if (misplaced) return Write(c, Answer(421, {attempt}, ""));
-    switch (deed) {
-      case Deed::kInterim:
+    switch (behavior) {
+      case Behavior::kInterim:
         return Write(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n" +
                             std::string(kAttempt) + ": other\r\n\r\n" + own);
-      case Deed::kTwice:
+      case Behavior::kTwice:
         return Write(c, own + own);
-      case Deed::kTwiceLater:
+      case Behavior::kTwiceLater:
         Write(c, own);
         return c->timer.Start(loop_, 5, [this, c, own] { Write(c, own); });
-      case Deed::kPieces:
+      case Behavior::kPieces:
         c->before_next_answer = other.substr(other.size() / 2);
         return Write(c, own + other.substr(0, other.size() / 2));
-      case Deed::kOtherThenOwn:
+      case Behavior::kOtherThenOwn:
         return Write(c, other + own);
-      case Deed::kOtherId:
+      case Behavior::kOtherId:
         return Write(c, other);
-      case Deed::kNoId:
+      case Behavior::kNoId:
         return Write(c, Answer(play.status, {}, body));
-      case Deed::kTwoIds:
+      case Behavior::kTwoIds:
         return Write(c, Answer(play.status, {attempt, "other"}, body));
-      case Deed::kNotExecuted:
+      case Behavior::kNotExecuted:
         return Write(c, Answer(refusal, {attempt}, "", refused));
-      case Deed::kOtherNotExecuted:
+      case Behavior::kOtherNotExecuted:
         return Write(c, Answer(refusal, {previous}, "", refused));
-      case Deed::kNoIdNotExecuted:
+      case Behavior::kNoIdNotExecuted:
         return Write(c, Answer(refusal, {}, "", refused));
-      case Deed::kGluedReason:
+      case Behavior::kCutStatusLineFirst:
         return Write(c, "HTTP/1.1 421 " + own);
-      case Deed::kGluedValue:
+      case Behavior::kCutHeaderFirst:
         return Write(c, "HTTP/1.1 421 X\r\nX-Cut: " + own);
-      case Deed::kCutHead:
+      case Behavior::kCutHead:
         Write(c, own.substr(0, 30));
         return HalfClose(c);
-      case Deed::kCutBody:
+      case Behavior::kCutBody:
         Write(c, own.substr(0, own.size() - 3));
         return HalfClose(c);
-      case Deed::kExtra:
+      case Behavior::kExtra:
         return Write(c, own + "%%%% what is this\r\n\r\n");
-      case Deed::kReset:
+      case Behavior::kReset:
         return Reset(c);
-      case Deed::kHalfClose:
+      case Behavior::kHalfClose:
         return HalfClose(c);
-      case Deed::kNoAnswer:
+      case Behavior::kNoAnswer:
         return StopAnswering(c);
-      case Deed::kResetIdle:
+      case Behavior::kResetIdle:
         Write(c, own);
         return c->timer.Start(loop_, 5, [this, c] { Reset(c); });
-      case Deed::kNoiseIdle:
+      case Behavior::kOtherIdle:
         Write(c, own);
         return c->timer.Start(loop_, 5, [this, c, other] { Write(c, other); });
-      case Deed::kLate:
+      case Behavior::kLate:
         return c->timer.Start(loop_, play.late_ms, [this, c, own] { Write(c, own); });
       default:
         return Write(c, own);
@@ -367,17 +371,17 @@
   std::function<void()> on_change;  // called when bytes have arrived or the connection closed
   std::vector<http::Message> answers;
   bool closed = false;
-  bool no_answer = false;  // bytes arrived that are no valid answer
+  bool invalid_answer = false;  // bytes arrived that are no valid answer
 
  private:
   static void OnReadable(bufferevent* b, void* arg) {
     auto* c = static_cast<Client*>(arg);
     evbuffer* in = bufferevent_get_input(b);
-    while (!c->no_answer && evbuffer_get_length(in) > 0) {
+    while (!c->invalid_answer && evbuffer_get_length(in) > 0) {
       auto progress = c->reader_.Read(in, http::Limits());
       if (progress == http::MessageReader::Progress::kMore) break;
       if (progress == http::MessageReader::Progress::kBad) {
-        c->no_answer = true;
+        c->invalid_answer = true;
         break;
       }
       c->answers.push_back(c->reader_.Take());
@@ -424,4 +428,4 @@
          std::to_string(idle_ms) + "}}";
 }
 
-}  // namespace elderkeel::stand_in
+}  // namespace elderkeel::test_server
--- a/tests/proxy/shutdown_test.cc
+++ b/tests/proxy/shutdown_test.cc
@@ -9,9 +9,9 @@
 namespace elderkeel::proxy {
 namespace {
 
-using forwarding::Good;
 using forwarding::HeaderOf;
 using forwarding::OpenConnection;
+using forwarding::SuccessAnswer;
 using Phase = lifecycle::Lifecycle::Phase;
 
 std::string NoAnswer(const std::string&) { return ""; }
@@ -21,14 +21,14 @@
   static constexpr base::Millis kGraceMs = 6000;
 
   // Starts a server that does not answer until the test sends its answers.
-  forwarding::StandIn* ServeWithoutAnswers(int64_t capacity = 100) {
-    forwarding::StandIn* server = Serve("i-1", NoAnswer);
+  forwarding::FakeServer* ServeWithoutAnswers(int64_t capacity = 100) {
+    forwarding::FakeServer* server = AddServer("i-1", NoAnswer);
     endpoints_.servers.back().capacity = capacity;
     Configure(9000, 9000);
     return server;
   }
   std::string AskFor(const std::string& id, const std::string& kind = "get") {
-    return Ask(kind, id, "9000");
+    return RequestText(kind, id, "9000");
   }
   // Carries out the phase `elapsed` milliseconds after SIGTERM; true if the process may end.
   bool AdvanceAt(base::Millis elapsed) {
@@ -38,15 +38,15 @@
     lifecycle.Leave(0);
     return AdvanceShutdown(lifecycle.PhaseAt(elapsed, router_->busy()), router_.get());
   }
-  void LeaveAccepting() { router_->SetLeaving(base::SteadyMillis() + 60000); }
-  void LeaveRejecting() { router_->SetLeaving(base::SteadyMillis()); }
-  bool WaitForRequests(const forwarding::StandIn& server, size_t count) {
+  void LeaveAccepting() { router_->BeginShutdown(base::SteadyMillis() + 60000); }
+  void LeaveRejecting() { router_->BeginShutdown(base::SteadyMillis()); }
+  bool WaitForRequests(const forwarding::FakeServer& server, size_t count) {
     return RunUntil([&] { return server.requests.size() >= count; });
   }
   bool WaitForAnswers(OpenConnection* connection, int count) {
     return RunUntil([&] {
       connection->Receive();
-      return ReadAnswer(connection->answers()) >= count;
+      return CountAnswers(connection->answers()) >= count;
     });
   }
 };
@@ -54,14 +54,14 @@
 // Requests in flight were answered 502 at four fifths of the grace time, though their servers would
 // have answered before the last sixth of it.
 TEST_F(ShutdownTest, WaitsForServersUntilTheLastSixthOfTheGraceTime) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("early"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
   for (base::Millis elapsed = 0; elapsed <= kGraceMs * 5 / 6; elapsed += 100) {
     EXPECT_FALSE(AdvanceAt(elapsed)) << elapsed;
   }
-  server->SendLate(0, Good(server->requests[0]));
+  server->SendLate(0, SuccessAnswer(server->requests[0]));
   ASSERT_TRUE(WaitForAnswers(&client, 1));
   EXPECT_EQ(Status(client.answers()), 200) << client.answers();
   EXPECT_NE(client.answers().find("Connection: close"), std::string::npos);
@@ -70,7 +70,7 @@
 // Requests that came more than three seconds after SIGTERM were sent to servers. The shutdown may
 // not fail such late requests, so they must be rejected instead.
 TEST_F(ShutdownTest, RejectsLateRequestsOnOpenConnections) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection used = Open(AskFor("before"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   OpenConnection idle(settings_.front);
@@ -82,7 +82,7 @@
   // Late requests behind one that is in flight wait for their turn, and are answered as well.
   ASSERT_TRUE(used.TrySend(AskFor("behind-1") + AskFor("behind-2", "post")));
   RunUntil([end = base::SteadyMillis() + 50] { return base::SteadyMillis() > end; });
-  server->SendLate(0, Good(server->requests[0]));
+  server->SendLate(0, SuccessAnswer(server->requests[0]));
   ASSERT_TRUE(WaitForAnswers(&used, 3));
   EXPECT_EQ(Status(used.answers()), 200) << used.answers();
   EXPECT_NE(used.answers().rfind("HTTP/1.1 503"), used.answers().find("HTTP/1.1 503"));
@@ -92,16 +92,16 @@
 // A request that a client had sent behind one in flight was read, and lost when the connection
 // closed with the answer to the first one.
 TEST_F(ShutdownTest, AnswersARequestThatWasReadBehindOneInFlight) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("first"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
   ASSERT_TRUE(client.TrySend(AskFor("second")));
   ASSERT_TRUE(WaitForRequests(*server, 2));
-  server->SendLate(0, Good(server->requests[0]));
+  server->SendLate(0, SuccessAnswer(server->requests[0]));
   ASSERT_TRUE(WaitForAnswers(&client, 1));
   EXPECT_EQ(client.answers().find("Connection: close"), std::string::npos) << client.answers();
-  server->SendLate(1, Good(server->requests[1]));
+  server->SendLate(1, SuccessAnswer(server->requests[1]));
   ASSERT_TRUE(WaitForAnswers(&client, 2));
   EXPECT_NE(client.answers().find("Connection: close"), std::string::npos) << client.answers();
 }
@@ -109,7 +109,7 @@
 // Failing one request freed a slot at its server for a waiting request, which was sent there and
 // failed at once.
 TEST_F(ShutdownTest, SendsNoWaitingRequestWhileFailingRequestsInFlight) {
-  forwarding::StandIn* server = ServeWithoutAnswers(2);
+  forwarding::FakeServer* server = ServeWithoutAnswers(2);
   std::deque<OpenConnection> clients;
   for (int i = 0; i < 24; ++i) clients.push_back(Open(AskFor(std::to_string(i), "post")));
   ASSERT_TRUE(WaitForRequests(*server, 2));
@@ -128,7 +128,7 @@
 // A process that was suspended throughout the answering phase ended in the same pass in which it
 // wrote the last answers, and they were lost.
 TEST_F(ShutdownTest, SendsTheLastAnswersAfterASuspensionOfTheProcess) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("a"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   LeaveAccepting();
@@ -143,7 +143,7 @@
 TEST_F(ShutdownTest, FailsStreamsAndTheRequestsBehindThemOnce) {
   constexpr size_t kBehind = 5;
   settings_.held_body_bytes = 2048;
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   std::deque<OpenConnection> clients;
   for (int i = 0; i < 4; ++i) {
     std::string requests = AskFor("stream");
@@ -151,7 +151,7 @@
     size_t before = server->requests.size();
     clients.push_back(Open(requests));
     ASSERT_TRUE(WaitForRequests(*server, before + 1 + kBehind));
-    std::string answer = Good(server->requests[before], std::string(90000, 'x'));
+    std::string answer = SuccessAnswer(server->requests[before], std::string(90000, 'x'));
     server->SendLate(before, answer.substr(0, 50000));
     ASSERT_TRUE(RunUntil([&] {
       clients.back().Receive();
@@ -165,7 +165,7 @@
       client.Receive();
       return client.closed();
     }));
-    EXPECT_EQ(ReadAnswer(client.answers()), 0);
+    EXPECT_EQ(CountAnswers(client.answers()), 0);
   }
   EXPECT_TRUE(AdvanceAt(kGraceMs));
 }
@@ -174,11 +174,11 @@
 // whether its server or its client is slow.
 TEST_F(ShutdownTest, ContinuesAnAnswerThatIsBeingStreamed) {
   settings_.held_body_bytes = 2048;
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("stream"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
   constexpr size_t kBodyBytes = 3000000;
-  std::string answer = Good(server->requests[0], std::string(kBodyBytes, 'x'));
+  std::string answer = SuccessAnswer(server->requests[0], std::string(kBodyBytes, 'x'));
   server->SendLate(0, answer.substr(0, 50000));
   LeaveAccepting();
   ASSERT_TRUE(RunUntil([&] {
@@ -192,14 +192,14 @@
     EXPECT_FALSE(AdvanceAt(kGraceMs * 23 / 24)) << client.answers().size();
     // Parsed only once it may be complete: parsing it at each step takes seconds.
     bool may_be_complete = client.answers().size() > kBodyBytes;
-    return (may_be_complete && ReadAnswer(client.answers()) == 1) || HasFailure();
+    return (may_be_complete && CountAnswers(client.answers()) == 1) || HasFailure();
   }));
 }
 
 // A request that begins in time but whose body is complete only after accept_until must be answered
 // 503, and not sent to a server.
 TEST_F(ShutdownTest, RejectsARequestWhoseBodyIsCompleteTooLate) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   std::string request = AskFor("long", "post");
   OpenConnection client = Open(request.substr(0, request.size() - 2));
   ASSERT_TRUE(RunUntil([&] { return router_->busy() == 1; }));
@@ -213,9 +213,9 @@
 
 // A request that was accepted in time may be retried at a second server, even after accept_until.
 TEST_F(ShutdownTest, RetriesARequestLateThatWasAcceptedInTime) {
-  forwarding::StandIn* near = Serve("i-1", NoAnswer);
+  forwarding::FakeServer* near = AddServer("i-1", NoAnswer);
   endpoints_.servers.back().capacity = 100;
-  forwarding::StandIn* far = Serve("i-2", NoAnswer);
+  forwarding::FakeServer* far = AddServer("i-2", NoAnswer);
   Configure(9000, 9000);
   std::deque<OpenConnection> clients;  // several, so that the budget has a retry
   for (const char* id : {"a", "b", "c", "d"}) clients.push_back(Open(AskFor(id)));
@@ -227,8 +227,8 @@
                         "\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(WaitForRequests(*far, 1));
   EXPECT_FALSE(AdvanceAt(kGraceMs * 5 / 6 + 100));
-  far->SendLate(0, Good(far->requests[0]));
-  for (size_t number : {1, 2, 3}) near->SendLate(number, Good(near->requests[number]));
+  far->SendLate(0, SuccessAnswer(far->requests[0]));
+  for (size_t number : {1, 2, 3}) near->SendLate(number, SuccessAnswer(near->requests[number]));
   for (OpenConnection& client : clients) {
     ASSERT_TRUE(WaitForAnswers(&client, 1));
     EXPECT_EQ(Status(client.answers()), 200) << client.answers();
@@ -238,17 +238,18 @@
 // A request in flight must be completed even if a new configuration shortens its timeout or removes
 // its route and service, and a new list of endpoints removes its server.
 TEST_F(ShutdownTest, KeepsARequestWhoseRouteServiceAndServerAreRemoved) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection shortened = Open(AskFor("a")), removed = Open(AskFor("b", "post"));
   ASSERT_TRUE(WaitForRequests(*server, 2));
   Configure(50, 50);
   RunUntil([end = base::SteadyMillis() + 150] { return base::SteadyMillis() > end; });
-  router_->Adopt(configuration::RoutingTable::Build(
-      R"({"revision":2,"route-list":[],"service-list":[]})", router_->names(), router_->regions()));
+  router_->Adopt(
+      configuration::RoutingTable::Build(R"({"revision":2,"route-list":[],"service-list":[]})",
+                                         router_->service_names(), router_->regions()));
   LeaveAccepting();
   router_->Adopt(discovery::EndpointSnapshot{1, 2, {}});
   EXPECT_FALSE(AdvanceAt(kGraceMs * 5 / 6));
-  for (size_t number : {0, 1}) server->SendLate(number, Good(server->requests[number]));
+  for (size_t number : {0, 1}) server->SendLate(number, SuccessAnswer(server->requests[number]));
   ASSERT_TRUE(WaitForAnswers(&shortened, 1));
   ASSERT_TRUE(WaitForAnswers(&removed, 1));
   EXPECT_EQ(Status(shortened.answers()), 200) << shortened.answers();
@@ -259,7 +260,7 @@
 // answers. Each request that was sent to the server must be answered before the end, and late
 // requests must be rejected without being sent to it.
 TEST_F(ShutdownTest, AStoppingProxyAnswersEveryRequestThatItAccepts) {
-  forwarding::StandIn* server = ServeWithoutAnswers();
+  forwarding::FakeServer* server = ServeWithoutAnswers();
   struct Client {
     int fd = -1;
     std::string id;
@@ -273,7 +274,7 @@
   lifecycle::Lifecycle lifecycle(options);
   base::Millis begin = base::SteadyMillis();
   lifecycle.Leave(begin);
-  router_->SetLeaving(lifecycle.accept_until());
+  router_->BeginShutdown(lifecycle.accept_until());
   std::vector<Client> clients;
   base::Timer tick, wake;
   bool ended = false;
@@ -298,7 +299,7 @@
     wake.Start(&loop_, 2, [] {});
     event_base_loop(loop_.base(), EVLOOP_ONCE);
     for (Client& client : clients) {
-      std::string bytes = Ask("post", client.id, "9000");
+      std::string bytes = RequestText("post", client.id, "9000");
       if (!client.sent) client.sent = send(client.fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0;
       receive(&client);
     }
@@ -314,7 +315,7 @@
     offered += ran;
     rejected += Status(client.answer) == 503;
     if (ran) {
-      EXPECT_EQ(ReadAnswer(client.answer), 1) << client.id << " at " << client.begun << " ms";
+      EXPECT_EQ(CountAnswers(client.answer), 1) << client.id << " at " << client.begun << " ms";
       EXPECT_LT(begin + client.begun, lifecycle.accept_until()) << client.id;
     }
     close(client.fd);
--- a/tools/at_most_once_run.cc
+++ b/tools/at_most_once_run.cc
@@ -13,16 +13,16 @@
 
 int main(int argc, char** argv) {
   using namespace elderkeel;
-  once::Options options;
+  at_most_once::Options options;
   options.run_ms = (argc > 1 ? std::atoi(argv[1]) : 20) * 1000;
   options.seed = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
   int runs = argc > 3 ? std::atoi(argv[3]) : 1;
   bool holds = true;
   for (int i = 0; i < runs; ++i, ++options.seed) {
-    once::Report report = once::World(options).Run();
+    at_most_once::Report report = at_most_once::World(options).Run();
     std::printf("seed=%llu %s\n", static_cast<unsigned long long>(options.seed),
                 report.Line().c_str());
-    for (const std::string& what : report.first) std::printf("  %s\n", what.c_str());
+    for (const std::string& what : report.first_violations) std::printf("  %s\n", what.c_str());
     std::fflush(stdout);
     holds = holds && report.Holds();
   }
