--- a/src/configuration/configuration_state.cc
+++ b/src/configuration/configuration_state.cc
@@ -122,7 +122,7 @@
 bool ConfigurationState::Apply(const Change& change) {
   auto candidate = PrepareCandidate(change);
   if (!candidate) return false;
-  base_ = change.patch ? revision_ : 0;
+  base_revision_ = change.patch ? revision_ : 0;
   if (candidate->patch) {
     document_.Apply(*candidate->patch);
   } else {
--- a/src/configuration/configuration_state.h
+++ b/src/configuration/configuration_state.h
@@ -43,7 +43,7 @@
 
   int64_t revision() const { return revision_; }
   // The revision that the newest change was based on; 0 if that change was a full document.
-  int64_t base() const { return base_; }
+  int64_t base_revision() const { return base_revision_; }
   const std::string& text() const { return document_.text(); }
   const ParsedConfiguration& document() const { return document_; }
   // The newest change as it was sent, if it was a patch; else empty, and text() is what was sent.
@@ -52,7 +52,8 @@
 
   template <class Archive>
   void save(Archive& archive) const {
-    archive(kFormat, revision_, base_, document_, patch_, oldest_known_if_match_, applied_);
+    archive(kFormat, revision_, base_revision_, document_, patch_, oldest_known_if_match_,
+            applied_);
   }
   // Also reads the older format, which starts with the revision instead of kFormat and stores
   // 64-bit digests of the applied changes instead of their identities.
@@ -60,12 +61,12 @@
   void load(Archive& archive) {
     archive(revision_);
     if (revision_ == kFormat) {
-      archive(revision_, base_, document_, patch_, oldest_known_if_match_, applied_);
+      archive(revision_, base_revision_, document_, patch_, oldest_known_if_match_, applied_);
       return;
     }
     Change newest;
     std::vector<uint64_t> digests;
-    archive(base_, document_, newest, digests);
+    archive(base_revision_, document_, newest, digests);
     patch_ = newest.patch ? newest.body : "";
     applied_.clear();
     if (revision_ > 0) applied_.push_back({newest.if_match, newest.Identify()});
@@ -105,7 +106,7 @@
   base::Verdict CheckCandidateSize(const Candidate& candidate, const Change& change) const;
 
   int64_t revision_ = 0;
-  int64_t base_ = 0;
+  int64_t base_revision_ = 0;
   ParsedConfiguration document_;
   std::string patch_;
   // Every applied change with this If-Match or a higher one is in applied_.
--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -62,7 +62,7 @@
 }
 
 void OperatorApi::RedirectToLeader(uint64_t ticket, const std::string& target) {
-  auto leader = log_->leader_control();
+  auto leader = log_->leader_control_address();
   if (!leader || leader->empty()) {
     AnswerStatus(ticket, 503, "no leader is known");
     return;
@@ -106,7 +106,7 @@
   if (pending != calls_.end()) pending->second.read_requested = requested;
 }
 
-void OperatorApi::OnCallerGone(uint64_t ticket) {
+void OperatorApi::OnCallerDisconnected(uint64_t ticket) {
   for (auto pending = calls_.begin(); pending != calls_.end(); ++pending) {
     if (pending->second.ticket != ticket) continue;
     bool proposed = in_flight_ && in_flight_->token == pending->first;
--- a/src/configuration/operator_api.h
+++ b/src/configuration/operator_api.h
@@ -48,7 +48,7 @@
   // sent before this returns.
   void OnRequest(base::Millis now, uint64_t ticket, const http::Message& request);
   // The caller closed its connection: drops its call unless the call has already been proposed.
-  void OnCallerGone(uint64_t ticket);
+  void OnCallerDisconnected(uint64_t ticket);
   // Ends the read that ReplicatedLog::ConfirmRead() began. `confirmed` is false if leadership was
   // lost.
   void OnReadFinished(base::Millis now, uint64_t token, bool confirmed);
--- a/src/configuration/replicated_log.h
+++ b/src/configuration/replicated_log.h
@@ -21,7 +21,7 @@
   virtual uint64_t term() const = 0;
   // Returns the address and port of the leader's operator API if another controller leads; nullopt
   // or empty if none is known.
-  virtual std::optional<std::string> leader_control() const = 0;
+  virtual std::optional<std::string> leader_control_address() const = 0;
   // Starts to confirm with a quorum that this controller still leads. If it returns true,
   // OperatorApi::OnReadFinished() is called once with `token`, which may happen before this
   // returns. Returns false if this controller doesn't lead or has not committed an entry in its
--- a/src/configuration/routing_table.cc
+++ b/src/configuration/routing_table.cc
@@ -75,7 +75,7 @@
   return nullptr;
 }
 
-uint32_t RoutingTable::Pick(const Route& route, uint64_t key) const {
+uint32_t RoutingTable::PickService(const Route& route, uint64_t key) const {
   if (route.targets.size() == 1) return route.targets[0].service;
   uint64_t point = key % route.weight_sum;
   for (const WeightedTarget& target : route.targets) {
@@ -108,7 +108,7 @@
     auto route = std::make_shared<const Route>(MakeRoute(json));
     table_->by_label_.Set(route->label, route);
     table_->by_location_.Set(LocationOf(*route), route);
-    table_->changed_.push_back(std::move(route));
+    table_->changed_routes_.push_back(std::move(route));
   }
 
   void RemoveRoute(const std::string& label) {
@@ -178,7 +178,7 @@
   if (!ParseObject(patch, &changes)) return nullptr;
   auto table = std::make_shared<RoutingTable>(base);
   table->revision_ = IntegerOr(changes, "revision", 0);
-  table->changed_.clear();
+  table->changed_routes_.clear();
   Builder builder(table.get(), names, regions);
   ForEachItem(changes, "remove", "service-list",
               [&](const Value& label) { builder.RemoveService(label.GetString()); });
--- a/src/configuration/routing_table.h
+++ b/src/configuration/routing_table.h
@@ -50,7 +50,9 @@
   const http::Limits& limits() const { return limits_; }
   // Returns the routes that the patch added or replaced if Patch() made this table, and all routes
   // if Build() did.
-  const std::vector<std::shared_ptr<const Route>>& changed() const { return changed_; }
+  const std::vector<std::shared_ptr<const Route>>& changed_routes() const {
+    return changed_routes_;
+  }
   // Returns the service with this dense index; null if this revision doesn't list it.
   const Service* service(uint32_t index) const {
     return index < services_.size() ? services_[index].get() : nullptr;
@@ -60,7 +62,7 @@
   const Route* Match(std::string_view host, std::string_view path) const;
   // Returns the dense index of the service for a request, chosen by weight. The result depends only
   // on `route` and `key`, so the same key always gives the same service.
-  uint32_t Pick(const Route& route, uint64_t key) const;
+  uint32_t PickService(const Route& route, uint64_t key) const;
 
   // Builds a table from a valid document. Maps service labels to dense indices by `names` and
   // regions by `regions`. Returns null if the document can't be parsed. REQUIRES: `names` and
@@ -79,7 +81,7 @@
 
   int64_t revision_ = 0;
   http::Limits limits_;
-  std::vector<SharedRoute> changed_;
+  std::vector<SharedRoute> changed_routes_;
   CopyOnWriteMap<SharedRoute> by_label_;
   CopyOnWriteMap<SharedRoute> by_location_;  // key: host, NUL, prefix
   std::vector<std::shared_ptr<const Service>> services_;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -156,7 +156,7 @@
   control_server_ = std::make_unique<http::HttpServer>(
       loop_, options,
       [this](Ticket ticket, http::Message&& request) { OnRequest(ticket, std::move(request)); });
-  control_server_->OnGone([this](Ticket ticket) { operator_api_->OnCallerGone(ticket); });
+  control_server_->OnGone([this](Ticket ticket) { operator_api_->OnCallerDisconnected(ticket); });
 }
 
 base::Status Controller::StartDirectory() {
@@ -251,7 +251,7 @@
   return true;
 }
 
-std::optional<std::string> Controller::leader_control() const {
+std::optional<std::string> Controller::leader_control_address() const {
   auto leader = context_.replica->raft().LeaderInContact(base::SteadyMillis());
   if (!leader || leader->control.empty()) return std::nullopt;
   return leader->control;
@@ -443,7 +443,7 @@
     RedirectToDurable(ticket, request.target);
     return;
   }
-  auto leader = context_.replica->running() ? leader_control() : std::nullopt;
+  auto leader = context_.replica->running() ? leader_control_address() : std::nullopt;
   if (!is_leader() && leader) {
     control_server_->Answer(
         ticket, Redirect("this controller is not the leader: see the Location header", *leader,
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -40,7 +40,7 @@
   bool HasCommittedInTerm() const override { return context_.HasCommittedInTerm(); }
   bool is_leader() const override { return context_.IsLeader(); }
   uint64_t term() const override { return context_.replica->raft().term(); }
-  std::optional<std::string> leader_control() const override;
+  std::optional<std::string> leader_control_address() const override;
   bool ConfirmRead(uint64_t token) override { return context_.replica->ConfirmRead(token); }
   std::optional<uint64_t> Propose(const configuration::Change& change) override;
   std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override;
--- a/src/dissemination/disseminator_log.cc
+++ b/src/dissemination/disseminator_log.cc
@@ -73,10 +73,10 @@
 
 void Disseminator::Commit(base::Millis now, const configuration::ConfigurationState& state) {
   if (state.revision() <= revision_) return;
-  bool patch = state.base() != 0 && !state.patch().empty();
+  bool patch = state.base_revision() != 0 && !state.patch().empty();
   // Applies the patch to this node's own document, as a proxy does: copying the state's document
   // would take time in proportion to its length.
-  bool patched = patch && state.base() == revision_ && !document_.empty() &&
+  bool patched = patch && state.base_revision() == revision_ && !document_.empty() &&
                  document_.ApplyUnchecked(state.patch());
   if (!patched) {
     document_ = state.document();
@@ -84,7 +84,7 @@
   }
   revision_ = state.revision();
   document_rejected_ = false;
-  if (patch) patches_.Add({state.base(), state.revision(), state.patch()});
+  if (patch) patches_.Add({state.base_revision(), state.revision(), state.patch()});
   out_.configuration_adopted = true;
   LogAdvanced(&fetch_configuration_);
   // Every controller applies the log itself, so only the zone's representative sends the
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -112,7 +112,7 @@
 
 void RequestRouter::Adopt(std::shared_ptr<const configuration::RoutingTable> table) {
   table_ = std::move(table);
-  for (const auto& route : table_->changed()) {
+  for (const auto& route : table_->changed_routes()) {
     uint32_t index = routes_.Intern(route->label);
     if (index >= mean_latency_ms_.size()) {
       mean_latency_ms_.resize(index + 1, 0);
@@ -259,7 +259,7 @@
   remaining_ms = std::min<int64_t>(route->timeout_ms, remaining_ms);
   PendingRequest* pending = Admit(ticket, std::move(request), *route, remaining_ms);
   pending->attempt_id = std::move(attempt_id);
-  pending->service = table_->Pick(*route, base::Hash(pending->attempt_id));
+  pending->service = table_->PickService(*route, base::Hash(pending->attempt_id));
   retry_budget_.Deposit(pending->service);
   version_routing_.OnRequest(pending->service);
   Dispatch(pending);
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -42,8 +42,8 @@
   // Opens the listener for clients; returns an error if its address can't be bound.
   base::Status Listen();
 
-  // Puts a table in force. Only the routes in `table->changed()` are examined, so a table that was
-  // patched must be based on the table adopted before it.
+  // Puts a table in force. Only the routes in `table->changed_routes()` are examined, so a table
+  // that was patched must be based on the table adopted before it.
   void Adopt(std::shared_ptr<const configuration::RoutingTable> table);
   // Puts a newer endpoint list, set of drained zones or state of the roll-outs in force. Idle
   // connections to servers that get no further requests are closed, and queued requests are sent.
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -130,7 +130,7 @@
   int second = 0;
   const struct Route* split = table->Match("h.example", "/a/b/");
   for (int i = 0; i < 10000; ++i) {
-    second += table->Pick(*split, base::Hash(std::to_string(i))) == names.Find("s2");
+    second += table->PickService(*split, base::Hash(std::to_string(i))) == names.Find("s2");
   }
   EXPECT_NEAR(second, 1000, 150);
 }
@@ -238,7 +238,7 @@
     ASSERT_TRUE(state);
     const ConfigurationState& read = state->configuration;
     EXPECT_EQ(read.revision(), 5);
-    EXPECT_EQ(read.base(), before.base);
+    EXPECT_EQ(read.base_revision(), before.base);
     EXPECT_EQ(read.text(), before.text);
     EXPECT_EQ(read.patch(), newest.patch ? newest.body : "");
     EXPECT_EQ(state->catalog_reader.epoch, 7u);
@@ -271,7 +271,7 @@
   bool HasCommittedInTerm() const override { return committed_in_term_; }
   bool is_leader() const override { return is_leader_; }
   uint64_t term() const override { return term_; }
-  std::optional<std::string> leader_control() const override { return leader_; }
+  std::optional<std::string> leader_control_address() const override { return leader_; }
   bool ConfirmRead(uint64_t token) override {
     reads_.push_back(token);
     return true;
@@ -716,7 +716,7 @@
 // passed: it may have retried elsewhere. A call that is already proposed completes.
 TEST_F(OperatorApiTest, ProposesNothingForDisconnectedCallersOrExpiredCalls) {
   api_.OnRequest(0, 1, DrainCall("POST", "a"));
-  api_.OnCallerGone(1);
+  api_.OnCallerDisconnected(1);
   ConfirmReads();
   EXPECT_TRUE(log_.drained_zones_.empty());
   EXPECT_EQ(StatusOf(1), 0);
@@ -730,7 +730,7 @@
   api_.OnRequest(0, 3, DrainCall("POST", "a"));
   ConfirmReads();
   ASSERT_EQ(log_.drained_zones_.size(), 1u);
-  api_.OnCallerGone(3);
+  api_.OnCallerDisconnected(3);
   api_.OnRequest(0, 4, DrainCall("POST", "a"));
   ConfirmReads();
   EXPECT_EQ(log_.drained_zones_.size(), 1u);
--- a/tests/configuration/parsed_configuration_test.cc
+++ b/tests/configuration/parsed_configuration_test.cc
@@ -232,7 +232,7 @@
         ASSERT_TRUE(next);
         ASSERT_EQ(DescribeTable(*next, names), DescribeTable(*built, names)) << change.body;
         ASSERT_EQ(DescribeTable(*table, names), before) << change.body;
-        ASSERT_LE(next->changed().size(), 5u);
+        ASSERT_LE(next->changed_routes().size(), 5u);
         table = next;
       } else {
         table = built;
--- a/tests/simulation/operators.h
+++ b/tests/simulation/operators.h
@@ -117,7 +117,7 @@
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
     bool is_leader() const override { return node().raft->is_leader(); }
     uint64_t term() const override { return node().raft->term(); }
-    std::optional<std::string> leader_control() const override {
+    std::optional<std::string> leader_control_address() const override {
       auto leader = node().raft->leader();
       if (!leader) return std::nullopt;
       return leader->ip + ":8080";
@@ -457,7 +457,7 @@
     attempt.closed = true;
     if (!attempt.delivered) return;
     if (apis_[i] && world_->node(i).frozen) return Schedule(10, Event::kConnectionClosed, ticket);
-    if (apis_[i]) apis_[i]->api->OnCallerGone(ticket);
+    if (apis_[i]) apis_[i]->api->OnCallerDisconnected(ticket);
     attempts_.erase(ticket);
   }
   // The node has answered: delivers the answer to the caller, or loses it.
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -384,7 +384,7 @@
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
     bool is_leader() const override { return node().raft->is_leader(); }
     uint64_t term() const override { return node().raft->term(); }
-    std::optional<std::string> leader_control() const override {
+    std::optional<std::string> leader_control_address() const override {
       auto leader = node().raft->LeaderInContact(now());
       if (!leader) return std::nullopt;
       return leader->ip;
