--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -143,16 +143,18 @@
   CarryOutEffects();
 }
 
-void ClusterNode::VouchForLog(base::Millis as_of) {
-  disseminator_.VouchForLog(as_of);
+void ClusterNode::ConfirmLogCurrent(base::Millis as_of) {
+  disseminator_.ConfirmLogCurrent(as_of);
   CarryOutEffects();
 }
 
-void ClusterNode::VouchForEndpoints() { disseminator_.VouchForEndpoints(base::SteadyMillis()); }
+void ClusterNode::ConfirmEndpointsCurrent() {
+  disseminator_.ConfirmEndpointsCurrent(base::SteadyMillis());
+}
 
-void ClusterNode::SetVouchers(std::optional<base::Address> leader,
-                              std::optional<base::Address> reader) {
-  disseminator_.SetVouchers(std::move(leader), std::move(reader));
+void ClusterNode::SetAuthorities(std::optional<base::Address> leader,
+                                 std::optional<base::Address> reader) {
+  disseminator_.SetAuthorities(std::move(leader), std::move(reader));
 }
 
 void ClusterNode::RejectConfiguration() { disseminator_.RejectConfiguration(); }
@@ -174,7 +176,7 @@
   CarryOutEffects();
 }
 
-std::vector<base::Address> ClusterNode::Controllers() const {
+std::vector<base::Address> ClusterNode::ControllersToContact() const {
   std::vector<base::Address> controllers, in_other_zones;
   for (const membership::Node* node : membership_.ReachableOthers()) {
     if (node->program != Program::kController) continue;
@@ -305,8 +307,8 @@
 
 // --- sending ---
 
-void ClusterNode::SendSmall(const base::Address& to, transport::Kind kind,
-                            const std::string& bytes) {
+void ClusterNode::SendDatagramOrStream(const base::Address& to, transport::Kind kind,
+                                       const std::string& bytes) {
   bool sent =
       bytes.size() <= kMaxDatagramBytes && mesh_.SendDatagram(to, kind, std::string_view(bytes));
   if (!sent) mesh_.Send(to, kind, std::string_view(bytes));
@@ -345,7 +347,7 @@
   if (own && self.incarnation > 1) {
     mesh_.Send(to, transport::Kind::kMembershipUpdate, std::string_view(bytes));
   } else {
-    SendSmall(to, transport::Kind::kMembershipUpdate, bytes);
+    SendDatagramOrStream(to, transport::Kind::kMembershipUpdate, bytes);
   }
 }
 
@@ -358,7 +360,7 @@
     mesh_.SendDatagram(to, transport::Kind::kPartDigests, digests);
   }
   for (const auto& [to, summary] : effects.summaries) {
-    SendSmall(to, transport::Kind::kSummary, transport::Encode(summary));
+    SendDatagramOrStream(to, transport::Kind::kSummary, transport::Encode(summary));
   }
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -75,12 +75,12 @@
   // The catalog reader of `epoch` requested the list at `asked_at` and found it unchanged.
   void ConfirmEndpoints(base::Millis asked_at, uint64_t epoch);
   // A majority confirmed that the log's state on this node was the newest committed at `as_of`.
-  void VouchForLog(base::Millis as_of);
+  void ConfirmLogCurrent(base::Millis as_of);
   // On the catalog reader: the list that it published is the newest one now.
-  void VouchForEndpoints();
+  void ConfirmEndpointsCurrent();
   // The addresses of the leader and the catalog reader, which can confirm that state is current; no
   // address if unknown or this node itself.
-  void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
+  void SetAuthorities(std::optional<base::Address> leader, std::optional<base::Address> reader);
   // The adopted configuration can't be used. Until this node adopts a document again, it reports to
   // its peers that it has none, so that they send it the complete document.
   void RejectConfiguration();
@@ -94,10 +94,11 @@
   void SetReady(bool ready);
   // Sends an encoded message: as a datagram if it fits into one, which needs no connection to a
   // node that may have failed, otherwise over a connection.
-  void SendSmall(const base::Address& to, transport::Kind kind, const std::string& bytes);
+  void SendDatagramOrStream(const base::Address& to, transport::Kind kind,
+                            const std::string& bytes);
   // The controllers to contact, in order: the reachable ones with a disk, then those without,
   // within each those of this node's zone first; then the seeds that are not among them.
-  std::vector<base::Address> Controllers() const;
+  std::vector<base::Address> ControllersToContact() const;
 
  private:
   void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -68,7 +68,7 @@
       settings_path_(std::move(settings_path)),
       context_(loop, std::move(settings), base::RandomSeed() | 1),
       catalog_poller_(&context_),
-      voucher_(&context_, &catalog_poller_),
+      freshness_confirmer_(&context_, &catalog_poller_),
       confirmations_(&context_) {}
 
 base::Status Controller::Start() {
@@ -341,7 +341,7 @@
 void Controller::OnReadFinished(uint64_t token, bool confirmed) {
   if (token >= configuration::OperatorApi::kFirstToken) {
     operator_api_->OnReadFinished(base::SteadyMillis(), token, confirmed);
-  } else if (!voucher_.OnReadFinished(token, confirmed)) {
+  } else if (!freshness_confirmer_.OnReadFinished(token, confirmed)) {
     confirmations_.OnReadFinished(token, confirmed);
   }
 }
@@ -366,7 +366,7 @@
   if (!context_.replica->store_error().empty()) return;
   if (context_.IsInContactWithLeader(now)) return;
   next_join_at_ = now + kJoinIntervalMs;
-  for (const base::Address& address : context_.node->Controllers()) {
+  for (const base::Address& address : context_.node->ControllersToContact()) {
     context_.node->mesh().Send(address, transport::Kind::kJoin, context_.replica->self());
   }
 }
@@ -543,7 +543,7 @@
   }
   rollouts_->SendVotes(now);
   catalog_poller_.Tick(now);
-  voucher_.Tick(now);
+  freshness_confirmer_.Tick(now);
 }
 
 // --- shutdown ---
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,7 +12,7 @@
 #include "controller/confirmation_service.h"
 #include "controller/context.h"
 #include "controller/diagnosis_service.h"
-#include "controller/freshness_voucher.h"
+#include "controller/freshness_confirmer.h"
 #include "controller/rollout_manager.h"
 #include "directory/directory.h"
 #include "http/http_server.h"
@@ -84,7 +84,7 @@
   std::string settings_path_;
   Context context_;
   CatalogPoller catalog_poller_;
-  FreshnessVoucher voucher_;
+  FreshnessConfirmer freshness_confirmer_;
   ConfirmationService confirmations_;
   std::unique_ptr<DiagnosisService> diagnosis_;
   std::unique_ptr<RolloutManager> rollouts_;
--- a/src/controller/freshness_voucher.cc
+++ b/src/controller/freshness_confirmer.cc
@@ -1,4 +1,4 @@
-#include "controller/freshness_voucher.h"
+#include "controller/freshness_confirmer.h"
 
 #include <optional>
 
@@ -10,7 +10,7 @@
 constexpr base::Millis kMaxAssignmentAgeMs = 1000;
 }  // namespace
 
-void FreshnessVoucher::UpdateVouchers() {
+void FreshnessConfirmer::UpdateAuthorities() {
   const consensus::RaftNode& raft = context_->replica->raft();
   std::optional<base::Address> leader, reader;
   if (auto member = raft.leader(); member && !raft.is_leader()) leader = member->address();
@@ -18,10 +18,10 @@
     bool is_owner = voter.id == context_->state.catalog_reader.owner;
     if (is_owner && !poller_->IsReader()) reader = voter.address();
   }
-  context_->node->SetVouchers(leader, reader);
+  context_->node->SetAuthorities(leader, reader);
 }
 
-void FreshnessVoucher::ConfirmLeadership(base::Millis now) {
+void FreshnessConfirmer::ConfirmLeadership(base::Millis now) {
   bool timed_out = read_token_ != 0 && now - read_at_ > kReadTimeoutMs;
   if (!context_->HasCommittedInTerm() || timed_out) read_token_ = 0;
   if (!context_->HasCommittedInTerm() || read_token_ != 0) return;
@@ -30,18 +30,18 @@
   if (!context_->replica->ConfirmReadByHeartbeat(read_token_)) read_token_ = 0;
 }
 
-void FreshnessVoucher::Tick(base::Millis now) {
-  UpdateVouchers();
+void FreshnessConfirmer::Tick(base::Millis now) {
+  UpdateAuthorities();
   ConfirmLeadership(now);
   base::Millis log_age = context_->node->disseminator().log_age(now);
   bool assignment_current = log_age >= 0 && log_age <= kMaxAssignmentAgeMs;
-  if (poller_->HasPublished() && assignment_current) context_->node->VouchForEndpoints();
+  if (poller_->HasPublished() && assignment_current) context_->node->ConfirmEndpointsCurrent();
 }
 
-bool FreshnessVoucher::OnReadFinished(uint64_t token, bool confirmed) {
+bool FreshnessConfirmer::OnReadFinished(uint64_t token, bool confirmed) {
   if (token != read_token_) return false;
   read_token_ = 0;
-  if (confirmed) context_->node->VouchForLog(read_at_);
+  if (confirmed) context_->node->ConfirmLogCurrent(read_at_);
   return true;
 }
 
--- a/src/controller/freshness_voucher.h
+++ b/src/controller/freshness_confirmer.h
@@ -11,10 +11,10 @@
 // confirms with a majority that it still leads, so that nothing was committed without it, and the
 // catalog reader confirms that it still has its role. Passes the evidence to the disseminator,
 // together with the addresses of these two controllers. Controller calls it on each tick.
-class FreshnessVoucher {
+class FreshnessConfirmer {
  public:
   // Both pointers outlive this object.
-  FreshnessVoucher(Context* context, const CatalogPoller* poller)
+  FreshnessConfirmer(Context* context, const CatalogPoller* poller)
       : context_(context), poller_(poller) {}
 
   // REQUIRES: the replica is running.
@@ -23,7 +23,7 @@
   bool OnReadFinished(uint64_t token, bool confirmed);
 
  private:
-  void UpdateVouchers();
+  void UpdateAuthorities();
   void ConfirmLeadership(base::Millis now);
 
   Context* context_;
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -287,16 +287,16 @@
   }
 }
 
-void Disseminator::VouchForLog(base::Millis as_of) {
+void Disseminator::ConfirmLogCurrent(base::Millis as_of) {
   log_.Claim(as_of, OwnVersions(), OwnVersions());
 }
 
-void Disseminator::VouchForEndpoints(base::Millis now) {
+void Disseminator::ConfirmEndpointsCurrent(base::Millis now) {
   endpoints_freshness_.Claim(now, OwnEndpointVersion(), VerifiableEndpointVersion());
 }
 
-void Disseminator::SetVouchers(std::optional<base::Address> leader,
-                               std::optional<base::Address> reader) {
+void Disseminator::SetAuthorities(std::optional<base::Address> leader,
+                                  std::optional<base::Address> reader) {
   leader_ = std::move(leader);
   reader_ = std::move(reader);
 }
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -133,12 +133,12 @@
 
   // A majority has confirmed that nothing beyond this node's state was committed at `as_of`. Called
   // by the leader and by a starting proxy.
-  void VouchForLog(base::Millis as_of);
+  void ConfirmLogCurrent(base::Millis as_of);
   // Called by the catalog reader: the list that it published is the newest one at `now`.
-  void VouchForEndpoints(base::Millis now);
+  void ConfirmEndpointsCurrent(base::Millis now);
   // Sets the log's leader and the catalog reader, as far as a controller has them from the log.
   // Synchronization requests go to them first.
-  void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
+  void SetAuthorities(std::optional<base::Address> leader, std::optional<base::Address> reader);
   // The adopted configuration is unusable: the complete document is requested again.
   void RejectConfiguration();
 
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -67,13 +67,13 @@
   return others;
 }
 
-std::optional<base::Address> Membership::NearestDurable(bool suspects) const {
+std::optional<base::Address> Membership::NearestDurable(bool include_suspected) const {
   auto distance = [this](const Node& node) {
     return (node.state == State::kAlive ? 0 : 2) + (node.zone == self_.zone ? 0 : 1);
   };
   const Node* nearest = nullptr;
   for (const Node* node : ReachableOthers()) {
-    if (!node->durable || (!suspects && node->state != State::kAlive)) continue;
+    if (!node->durable || (!include_suspected && node->state != State::kAlive)) continue;
     if (!nearest || distance(*node) < distance(*nearest)) nearest = node;
   }
   if (!nearest) return std::nullopt;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -90,9 +90,9 @@
   bool IsZoneRepresentative() const;
   // All other nodes that are alive or suspected.
   std::vector<const Node*> ReachableOthers() const;
-  // The nearest other node with a disk that is alive, or with `suspects` also one that is suspected
-  // if none is alive. Nodes of this process's zone are nearer than all others.
-  std::optional<base::Address> NearestDurable(bool suspects) const;
+  // The nearest other node with a disk that is alive, or with `include_suspected` also one that is
+  // suspected if none is alive. Nodes of this process's zone are nearer than all others.
+  std::optional<base::Address> NearestDurable(bool include_suspected) const;
   // The number of nodes that are alive or suspected, this process included.
   size_t CountAlive(Program program) const { return table_.CountReachable(program); }
   // The number of nodes that have not left, dead ones included: a node that was declared dead may
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -50,7 +50,7 @@
 void StartupConfirmation::UpdateServing(base::Millis now) {
   if (!lifecycle_->confirmed() && confirmation_.Holds(now, OwnVersions())) {
     lifecycle_->SetConfirmed();
-    node_->VouchForLog(confirmation_.known_at());
+    node_->ConfirmLogCurrent(confirmation_.known_at());
     base::Info("configuration.confirmed", {{"revision", node_->disseminator().revision()}});
   }
   if (router_->HasRequiredState()) lifecycle_->SetServable(now);
@@ -61,7 +61,7 @@
   UpdateServing(now);
   if (lifecycle_->confirmed() || now < next_request_at_) return;
   next_request_at_ = now + kRequestIntervalMs;
-  std::vector<base::Address> controllers = node_->Controllers();
+  std::vector<base::Address> controllers = node_->ControllersToContact();
   if (controllers.empty()) return;
   const base::Address& to = controllers[next_controller_++ % controllers.size()];
   if (now >= next_confirm_at_) {
--- a/tests/dissemination/list_order_test.cc
+++ b/tests/dissemination/list_order_test.cc
@@ -118,7 +118,7 @@
   }
 
   void Tick(Node* node) {
-    if (node->epoch > 0 && node->published >= 0) node->disseminator->VouchForEndpoints(now_);
+    if (node->epoch > 0 && node->published >= 0) node->disseminator->ConfirmEndpointsCurrent(now_);
     node->disseminator->Tick(now_);
   }
 
--- a/tests/dissemination/sync_test.cc
+++ b/tests/dissemination/sync_test.cc
@@ -158,7 +158,7 @@
   membership::Membership members(self, {}, 0);
   Disseminator disseminator(Disseminator::Options(), &members, 0);
   disseminator.OnConfigurationUpdate(10, Peer(1), {7, 0, kDocument});
-  disseminator.VouchForLog(20);
+  disseminator.ConfirmLogCurrent(20);
   EXPECT_EQ(disseminator.log_age(30), 10);
   disseminator.RejectConfiguration();
   SyncReply reply;
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -300,9 +300,9 @@
   void ProposeAssignment(Node& n, const std::optional<singleton::Assignment>& assignment);
   void OnResignation(size_t i, const singleton::Resignation& r);
 
-  // Passes the leader and the catalog reader to a controller's disseminator as the nodes that vouch
-  // for its state, and renews the node's own voucher if it is one of the two.
-  void UpdateVouchers(Node& n);
+  // Passes the leader and the catalog reader to a controller's disseminator as the nodes that can
+  // confirm its state, and renews the node's own confirmation if it is one of the two.
+  void UpdateAuthorities(Node& n);
 
   // A controller's periodic work every 50 ms: roll-outs, the catalog-reader assignment, joining the
   // group, and polling the platform if it is the catalog reader.
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -107,7 +107,7 @@
                       n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
 }
 
-void World::UpdateVouchers(Node& n) {
+void World::UpdateAuthorities(Node& n) {
   std::optional<Address> leader, reader;
   if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
     leader = member->address();
@@ -116,7 +116,7 @@
   for (const auto& voter : n.raft->voters()) {
     if (voter.id == n.state.catalog_reader.owner && !reads) reader = voter.address();
   }
-  n.disseminator->SetVouchers(leader, reader);
+  n.disseminator->SetAuthorities(leader, reader);
   if (!n.raft->HasCommittedInTerm()) n.heartbeat_reads.clear();
   if (n.raft->HasCommittedInTerm() && n.heartbeat_reads.empty()) {
     n.heartbeat_reads[++last_id_] = now;
@@ -126,7 +126,7 @@
   bool published = n.sequence > 0 && n.reader_epoch == n.state.catalog_reader.epoch;
   if (reads && n.state.catalog_reader.boot_id == n.boot_id && published && log_age >= 0 &&
       log_age <= 1000) {
-    n.disseminator->VouchForEndpoints(now);
+    n.disseminator->ConfirmEndpointsCurrent(now);
   }
 }
 
@@ -135,7 +135,7 @@
   TickRollouts(i);
   if (n.raft->HasCommittedInTerm())
     ProposeAssignment(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
-  UpdateVouchers(n);
+  UpdateAuthorities(n);
   bool reporting = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
   if (!n.raft->is_leader() && !reporting && now >= n.join_at) {
     n.join_at = now + 400;
@@ -249,7 +249,7 @@
         if (n.pending_confirms.count(token)) {
           AnswerConfirm(i, token, ok);
         } else if (n.heartbeat_reads.count(token)) {
-          if (ok) n.disseminator->VouchForLog(n.heartbeat_reads[token]);
+          if (ok) n.disseminator->ConfirmLogCurrent(n.heartbeat_reads[token]);
           n.heartbeat_reads.erase(token);
         } else if (hooks.read_done) {
           hooks.read_done(i, token, ok);
