--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -46,7 +46,7 @@
 }
 
 void OperatorApi::AnswerRollout(uint64_t ticket, const std::string& service) {
-  const rollout::Rollout* rollout = rollouts_->Of(service);
+  const rollout::Rollout* rollout = rollouts_->NewestOf(service);
   if (!rollout) return AnswerStatus(ticket, 404, "no roll-out of this service was ordered");
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
@@ -152,7 +152,7 @@
 }
 
 uint64_t OperatorApi::NewestRollout(const std::string& service) const {
-  const rollout::Rollout* rollout = rollouts_->Of(service);
+  const rollout::Rollout* rollout = rollouts_->NewestOf(service);
   return rollout ? rollout->number : 0;
 }
 
--- a/src/configuration/operator_call.cc
+++ b/src/configuration/operator_call.cc
@@ -83,8 +83,8 @@
   rollout::RolloutOrder order;
   order.service = document["target"].GetString();
   order.version = document["target-revision"].GetString();
-  auto over_ms = static_cast<int64_t>(document["over-s"].GetDouble() * 1000);
-  order.over_ms = std::max<int64_t>(1, over_ms);
+  auto time_limit_ms = static_cast<int64_t>(document["over-s"].GetDouble() * 1000);
+  order.time_limit_ms = std::max<int64_t>(1, time_limit_ms);
   return order;
 }
 
--- a/src/controller/rollout_manager.cc
+++ b/src/controller/rollout_manager.cc
@@ -62,7 +62,7 @@
     logged = state;
     base::Info("rollout.stage", {{"service", service},
                                  {"version", rollout.order.version},
-                                 {"from", rollout.from},
+                                 {"from", rollout.previous_version},
                                  {"stage", stage},
                                  {"reason", rollout.reason},
                                  {"elapsed_ms", rollout.elapsed_ms}});
@@ -97,8 +97,8 @@
   if (endpoints.epoch == 0 || now < next_detection_at_) return;
   next_detection_at_ = now + kVersionDetectionIntervalMs;
   rollout::Step step;
-  step.found = rollout::DetectVersions(context_->state.rollouts, endpoints);
-  if (step.found.empty()) return;
+  step.detected = rollout::DetectVersions(context_->state.rollouts, endpoints);
+  if (step.detected.empty()) return;
   context_->replica->Propose(MakeCommand(Command::Kind::kRollout, step));
 }
 
@@ -106,7 +106,8 @@
   base::Millis now = base::SteadyMillis();
   bool observed = observer_.OnProxyReport(now, report);
   if (!observed || !report.wants_renewal || !context_->IsInContactWithLeader(now)) return;
-  rollout::LeaseRenewal renewal{report.number, context_->state.rollouts.version(), report.asked_at};
+  rollout::LeaseRenewal renewal{report.number, context_->state.rollouts.version(),
+                                report.reported_at};
   context_->node->mesh().SendDatagram(from, transport::Kind::kLeaseRenewal, renewal);
 }
 
--- a/src/controller/status_writer.cc
+++ b/src/controller/status_writer.cc
@@ -128,7 +128,7 @@
   json->Number("answers", static_cast<int64_t>(counters.answers));
   json->Number("failed", static_cast<int64_t>(counters.failed));
   json->Number("broken-off", static_cast<int64_t>(counters.broken));
-  json->Number("timed", static_cast<int64_t>(counters.timed));
+  json->Number("timed", static_cast<int64_t>(counters.latency_samples));
   json->Number("late", static_cast<int64_t>(counters.late));
   json->EndObject();
 }
@@ -145,16 +145,16 @@
   }
 
   void Write(const std::string& service, const rollout::Rollout& rollout) {
-    bool ended = rollout::Ended(rollout.stage);
+    bool ended = rollout::IsFinal(rollout.stage);
     json_->BeginObject();
     json_->Text("service", service);
     json_->Text("version", rollout.order.version);
-    json_->Text("from", rollout.from.empty() ? "unknown" : rollout.from);
+    json_->Text("from", rollout.previous_version.empty() ? "unknown" : rollout.previous_version);
     json_->Text("status", rollout::StatusName(rollout.stage));
     json_->Text("stage", rollout::StageName(rollout.stage));
     json_->Text("reason", rollout.reason);
     json_->Number("number", rollout.number);
-    json_->Number("over-ms", rollout.order.over_ms);
+    json_->Number("over-ms", rollout.order.time_limit_ms);
     json_->Number("elapsed-ms", ended ? rollout.elapsed_ms : coordinator_.Age(now_, rollout));
     json_->BeginArray("watchers");
     for (uint64_t observer : rollout.observers) WriteObserver(observer, rollout.number);
@@ -185,7 +185,7 @@
   }
 
   void WriteVote(const rollout::Vote& vote) {
-    json_->Text("why", vote.why);
+    json_->Text("why", vote.reason);
     json_->Number("proxies-heard", static_cast<int64_t>(vote.reporting));
     json_->Number("proxies-in-sight", static_cast<int64_t>(vote.known_proxies));
     json_->Number("requests", vote.requests);
@@ -240,7 +240,7 @@
 std::string WriteRollouts(const Context& context, const rollout::RolloutCoordinator& coordinator,
                           std::string_view service, base::Millis now) {
   const rollout::Rollouts& rollouts = context.state.rollouts;
-  if (!service.empty() && !rollouts.Of(std::string(service))) return "";
+  if (!service.empty() && !rollouts.NewestOf(std::string(service))) return "";
   auto is_requested = [service](const std::string& name) {
     return service.empty() || name == service;
   };
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -95,7 +95,7 @@
   // Sets which of the service's versions may receive requests. If the rule limits the secondary
   // version, only the fraction `limited_share` of its servers may (at least kMinCanaries). Returns
   // the excluded servers.
-  std::vector<uint32_t> SetVersions(uint32_t service, const rollout::Rule& rule,
+  std::vector<uint32_t> SetVersions(uint32_t service, const rollout::VersionPolicy& rule,
                                     double limited_share);
   const std::string& VersionOf(uint32_t server) const {
     return versions_.Name(servers_[server].version);
@@ -186,7 +186,7 @@
   base::Names zones_;
   base::Names versions_;
   struct VersionRule {
-    rollout::Rule rule;
+    rollout::VersionPolicy rule;
     double limited_share = 0;
   };
   std::vector<VersionRule> version_rules_;  // by service
--- a/src/forwarding/version_roles.cc
+++ b/src/forwarding/version_roles.cc
@@ -12,11 +12,11 @@
 
 // Returns the role of a server of `version`. For a limited secondary version it is kExcluded;
 // ChooseCanaries() then gives the canaries their role.
-ServerState::VersionRole RoleOf(const std::string& version, const rollout::Rule& rule) {
+ServerState::VersionRole RoleOf(const std::string& version, const rollout::VersionPolicy& rule) {
   using VersionRole = ServerState::VersionRole;
   if (!rule.excluded.empty() && version == rule.excluded) return VersionRole::kExcluded;
   if (!rule.secondary.empty() && version == rule.secondary) {
-    return rule.limited ? VersionRole::kExcluded : VersionRole::kSecondary;
+    return rule.canary ? VersionRole::kExcluded : VersionRole::kSecondary;
   }
   bool is_primary = rule.primary.empty() || version == rule.primary;
   return is_primary ? VersionRole::kPrimary : VersionRole::kExcluded;
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-std::vector<uint32_t> LoadBalancer::SetVersions(uint32_t service, const rollout::Rule& rule,
+std::vector<uint32_t> LoadBalancer::SetVersions(uint32_t service,
+                                                const rollout::VersionPolicy& rule,
                                                 double limited_share) {
   if (service >= version_rules_.size()) version_rules_.resize(service + 1);
   version_rules_[service] = {rule, limited_share};
@@ -56,7 +57,7 @@
 
 void LoadBalancer::AssignVersionRoles(uint32_t service) {
   if (service >= version_rules_.size() || !version_rules_[service].rule.known) return;
-  const rollout::Rule& rule = version_rules_[service].rule;
+  const rollout::VersionPolicy& rule = version_rules_[service].rule;
   using VersionRole = ServerState::VersionRole;
   bool any_primary = false;
   CanariesByZone canaries;
@@ -65,7 +66,7 @@
     const std::string& version = versions_.Name(state.version);
     state.version_role = RoleOf(version, rule);
     any_primary |= state.version_role == VersionRole::kPrimary && !state.draining;
-    bool limited = rule.limited && version == rule.secondary && version != rule.excluded;
+    bool limited = rule.canary && version == rule.secondary && version != rule.excluded;
     if (limited && !version.empty() && !state.draining) {
       canaries[state.zone].emplace_back(base::Hash(state.id, rule.number), i);
     }
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -33,7 +33,7 @@
 std::vector<uint32_t> VersionRouting::ApplyRules(base::Millis now) {
   std::vector<uint32_t> excluded;
   for (auto& [service, applied] : rules_) {
-    rollout::Rule rule = policy_.RuleOf(now, service);
+    rollout::VersionPolicy rule = policy_.RuleOf(now, service);
     if (rule == applied) continue;
     applied = rule;
     for (uint32_t server :
@@ -86,9 +86,9 @@
   sent_request.version = balancer_->VersionOf(attempt.server);
   sent_request.server = balancer_->at(attempt.server).id;
   sent_request.route = pending.route->label;
-  sent_request.ending = outcome;
-  sent_request.timed = attempt.counts_latency;
-  sent_request.late = duration > attempt.late_after_ms;
+  sent_request.outcome = outcome;
+  sent_request.latency_counts = attempt.counts_latency;
+  sent_request.is_late = duration > attempt.late_after_ms;
   policy_.CountOutcome(base::SteadyMillis(), sent_request);
 }
 
@@ -101,7 +101,7 @@
     addressed.observers = rollout.observers;
     uint32_t index = services_->Intern(service);
     addressed.report.new_in_flight = balancer_->InFlight(index, rollout.order.version);
-    addressed.report.old_in_flight = balancer_->InFlight(index, rollout.from);
+    addressed.report.old_in_flight = balancer_->InFlight(index, rollout.previous_version);
     reports.push_back(std::move(addressed));
   }
   return reports;
--- a/src/forwarding/version_routing.h
+++ b/src/forwarding/version_routing.h
@@ -62,8 +62,8 @@
   base::Names* services_;
   LoadBalancer* balancer_;
   rollout::CanaryPolicy policy_;
-  uint64_t version_ = 0;                        // of the roll-outs' state; 0 before the first
-  std::map<std::string, rollout::Rule> rules_;  // as last applied, by service
+  uint64_t version_ = 0;  // of the roll-outs' state; 0 before the first
+  std::map<std::string, rollout::VersionPolicy> rules_;  // as last applied, by service
 };
 
 }  // namespace elderkeel::forwarding
--- a/src/proxy/rollout_reporter.cc
+++ b/src/proxy/rollout_reporter.cc
@@ -24,7 +24,7 @@
     report.node = membership.self().id;
     report.boot_id = membership.self().boot_id;
     report.wants_renewal = wants_renewal;
-    if (wants_renewal) report.asked_at = now;
+    if (wants_renewal) report.reported_at = now;
     std::string bytes = transport::Encode(report);
     for (uint64_t observer : observers) {
       auto node = membership.nodes().find(observer);
--- a/src/rollout/canary_policy.cc
+++ b/src/rollout/canary_policy.cc
@@ -10,7 +10,7 @@
 // and the credit that each request adds. The credit bounds the number of attempts whatever is
 // selected.
 constexpr double kTargetFraction = 0.6;
-constexpr double kMaxFraction = 0.9;
+constexpr double kCreditFraction = 0.9;
 constexpr double kMaxCredit = 3;  // attempts for which unused credit may accumulate
 // The part of the canary share that a proxy keeps while it sees the new version fail.
 constexpr double kFailingFraction = 0.25;
@@ -29,7 +29,7 @@
     if (rollout.stage == Stage::kReverting || rollout.stage == Stage::kReverted) {
       reverted_[service] = rollout.order.version;
     }
-    if (Ended(rollout.stage)) continue;
+    if (IsFinal(rollout.stage)) continue;
     ServiceState state;
     auto before = active_.find(service);
     if (before != active_.end() && before->second.rollout.number == rollout.number) {
@@ -54,14 +54,14 @@
   // The lease runs from the time of the report, not from the arrival of the renewal: the renewal
   // may have spent longer than the lease in transit or in the socket of a suspended process.
   // A time in the future is from before a restart of the machine and renews nothing.
-  bool has_report_time = renewal.asked_at != 0;
-  if (has_report_time && renewal.asked_at > now) return;
+  bool has_report_time = renewal.reported_at != 0;
+  if (has_report_time && renewal.reported_at > now) return;
   for (auto& [service, state] : active_) {
     // An observer with an older state than this proxy may have missed that the roll-out was
     // reverted.
     if (state.rollout.number != renewal.number || renewal.version < version_) continue;
     state.lease_renewed_at =
-        has_report_time ? std::max(state.lease_renewed_at, renewal.asked_at) : now;
+        has_report_time ? std::max(state.lease_renewed_at, renewal.reported_at) : now;
   }
 }
 
@@ -97,8 +97,8 @@
   return progress * progress;
 }
 
-Rule CanaryPolicy::RuleOf(base::Millis now, const std::string& service) const {
-  Rule rule;
+VersionPolicy CanaryPolicy::RuleOf(base::Millis now, const std::string& service) const {
+  VersionPolicy rule;
   auto in_force = in_force_.find(service);
   auto reverted = reverted_.find(service);
   if (reverted != reverted_.end()) rule.excluded = reverted->second;
@@ -112,17 +112,17 @@
   const ServiceState& state = at->second;
   rule.known = true;
   rule.number = state.rollout.number;
-  rule.primary = state.rollout.from;
+  rule.primary = state.rollout.previous_version;
   const std::string& target = state.rollout.order.version;
   if (state.rollout.stage == Stage::kReverting) return rule;
   if (!MaySendToNew(now, state)) {
     rule.excluded = target;
   } else if (state.rollout.stage == Stage::kCanary) {
     rule.secondary = target;
-    rule.limited = true;
+    rule.canary = true;
   } else {
     rule.primary = target;
-    if (ShiftedShare(now, state) < 1) rule.secondary = state.rollout.from;
+    if (ShiftedShare(now, state) < 1) rule.secondary = state.rollout.previous_version;
   }
   return rule;
 }
@@ -134,7 +134,7 @@
   if (at == active_.end()) return;
   ServiceState& state = at->second;
   ++state.requests;
-  state.credit = std::min(kMaxCredit, state.credit + options_.share * kMaxFraction);
+  state.credit = std::min(kMaxCredit, state.credit + options_.share * kCreditFraction);
 }
 
 bool CanaryPolicy::TakesSecondary(base::Millis now, const std::string& service,
@@ -171,24 +171,26 @@
   if (at == active_.end()) return;
   ServiceState& state = at->second;
   bool target = send.version == state.rollout.order.version;
-  if (!target && !state.rollout.from.empty() && send.version != state.rollout.from) return;
+  if (!target && !state.rollout.previous_version.empty() &&
+      send.version != state.rollout.previous_version)
+    return;
   if (state.rows.size() >= kMaxRows && !state.rows.count(send.route)) return;
   Row& row = state.rows[send.route];
   row.route = RouteKey(send.route);
   VersionCounters& counts = target ? row.new_version : row.old_version;
   uint64_t bit = 1ull << (base::Hash(send.server) % 64);
-  bool broken = send.ending == Outcome::kBroken;
+  bool broken = send.outcome == Outcome::kBroken;
   ++counts.answers;
-  counts.failed += send.ending == Outcome::kFailed;
+  counts.failed += send.outcome == Outcome::kFailed;
   counts.broken += broken;
-  counts.timed += send.timed;
-  counts.late += send.timed && send.late;
-  counts.seen |= bit;
-  if (broken) counts.broken_at |= bit;
-  if (send.timed && send.late) counts.late_at |= bit;
+  counts.latency_samples += send.latency_counts;
+  counts.late += send.latency_counts && send.is_late;
+  counts.servers_seen |= bit;
+  if (broken) counts.servers_broken |= bit;
+  if (send.latency_counts && send.is_late) counts.servers_late |= bit;
   if (!target) return;
   ++state.answers;
-  if (send.ending == Outcome::kComplete) return;
+  if (send.outcome == Outcome::kComplete) return;
   ++state.failures;
   state.failing_servers |= bit;
   // Failures of a single server are not attributed to the version. When the breaker closes after
--- a/src/rollout/canary_policy.h
+++ b/src/rollout/canary_policy.h
@@ -11,16 +11,16 @@
 namespace elderkeel::rollout {
 
 // Which versions of one service this proxy may send requests to.
-struct Rule {
+struct VersionPolicy {
   bool known = false;     // false: nothing is known of the service's versions; any may be used
   std::string primary;    // empty: any version except `secondary` and `excluded`
   std::string secondary;  // for requests that `TakesSecondary` selects; empty: none
   std::string excluded;   // is never used, even if no other version has servers
-  bool limited = false;   // only a few servers of `secondary` may be used
+  bool canary = false;    // only a few servers of `secondary` may be used
   uint64_t number = 0;    // of the roll-out under way; 0 if there is none
-  bool operator==(const Rule& o) const {
+  bool operator==(const VersionPolicy& o) const {
     return known == o.known && primary == o.primary && secondary == o.secondary &&
-           excluded == o.excluded && limited == o.limited && number == o.number;
+           excluded == o.excluded && canary == o.canary && number == o.number;
   }
 };
 
@@ -42,7 +42,7 @@
   // Extends the lease after an observer has answered a report.
   void OnLeaseRenewal(base::Millis now, const LeaseRenewal& renewal);
   // Which versions of the service may be used now.
-  Rule RuleOf(base::Millis now, const std::string& service) const;
+  VersionPolicy RuleOf(base::Millis now, const std::string& service) const;
 
   // Whether any roll-out is under way.
   bool active() const { return !active_.empty(); }
@@ -73,9 +73,9 @@
     std::string version;
     std::string server;
     std::string route;
-    Outcome ending = Outcome::kComplete;
-    bool timed = false;  // its latency may be compared; false for a server in slow start
-    bool late = false;   // took longer than the route's limit for late answers
+    Outcome outcome = Outcome::kComplete;
+    bool latency_counts = false;  // its latency may be compared; false for a server in slow start
+    bool is_late = false;         // took longer than the route's limit for late answers
   };
   // Counts the outcome of an attempt. During a promotion it may open the circuit breaker.
   void CountOutcome(base::Millis now, const SentRequest& send);
--- a/src/rollout/coordinator.cc
+++ b/src/rollout/coordinator.cc
@@ -118,9 +118,9 @@
     if (vote.opinion == Opinion::kGood) ++votes.good;
     if (vote.opinion == Opinion::kBad) {
       ++votes.bad;
-      votes.reason = vote.why;
-    } else if (!vote.why.empty()) {
-      abstention = vote.why;
+      votes.reason = vote.reason;
+    } else if (!vote.reason.empty()) {
+      abstention = vote.reason;
     }
     if (vote.version < version || vote.known_proxies == 0) continue;
     bool all = vote.unconfirmed == 0 && vote.not_reporting == 0;
@@ -143,7 +143,7 @@
                                                             const Rollout& rollout,
                                                             const TrackedRollout& tracked,
                                                             const VoteCount& votes) const {
-  base::Millis limit = rollout.order.over_ms;
+  base::Millis limit = rollout.order.time_limit_ms;
   base::Millis age = now - tracked.ordered_at;
   bool bad = votes.bad * 2 > votes.reporting;
   bool good = votes.good * 2 > rollout.observers.size();
@@ -186,7 +186,7 @@
                                              const std::vector<Candidate>& candidates) {
   std::vector<Step> steps;
   for (const auto& [service, rollout] : rollouts.rollouts()) {
-    if (Ended(rollout.stage)) continue;
+    if (IsFinal(rollout.stage)) continue;
     auto at = tracked_.find(rollout.number);
     if (at == tracked_.end()) continue;
     TrackedRollout& tracked = at->second;
--- a/src/rollout/messages.cc
+++ b/src/rollout/messages.cc
@@ -12,10 +12,10 @@
   since.failed = increase(failed, before.failed);
   since.broken = increase(broken, before.broken);
   since.late = increase(late, before.late);
-  since.timed = increase(timed, before.timed);
-  since.seen = seen;
-  since.broken_at = broken_at;
-  since.late_at = late_at;
+  since.latency_samples = increase(latency_samples, before.latency_samples);
+  since.servers_seen = servers_seen;
+  since.servers_broken = servers_broken;
+  since.servers_late = servers_late;
   return since;
 }
 
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -18,30 +18,31 @@
   uint32_t failed = 0;  // answers that report a failure of the server itself
   uint32_t broken = 0;  // truncated, malformed, for another request, or missing at the timeout
   uint32_t late = 0;    // took longer than three times the route's mean
-  uint32_t timed = 0;   // answers whose latency may be compared: not of a server in slow start
+  uint32_t latency_samples =
+      0;  // answers whose latency may be compared: not of a server in slow start
   // Servers that answered, as a bit set of hashes of their ids; and those with broken and late
   // answers. Broken or late answers of only one among several servers are not attributed to the
   // version.
-  uint64_t seen = 0;
-  uint64_t broken_at = 0;
-  uint64_t late_at = 0;
+  uint64_t servers_seen = 0;
+  uint64_t servers_broken = 0;
+  uint64_t servers_late = 0;
 
   void Add(const VersionCounters& o) {
     answers += o.answers;
     failed += o.failed;
     broken += o.broken;
     late += o.late;
-    timed += o.timed;
-    seen |= o.seen;
-    broken_at |= o.broken_at;
-    late_at |= o.late_at;
+    latency_samples += o.latency_samples;
+    servers_seen |= o.servers_seen;
+    servers_broken |= o.servers_broken;
+    servers_late |= o.servers_late;
   }
   // The increase since `before`, an earlier report of the same process. The bit sets of servers are
   // returned unchanged.
   VersionCounters Since(const VersionCounters& before) const;
   template <class A>
   void serialize(A& a) {
-    a(answers, failed, broken, late, timed, seen, broken_at, late_at);
+    a(answers, failed, broken, late, latency_samples, servers_seen, servers_broken, servers_late);
   }
 };
 
@@ -73,34 +74,34 @@
   bool wants_renewal = false;  // asks for a LeaseRenewal
   std::vector<Row> rows;
   // When the report was made, in ms of the proxy's steady clock; the renewal returns it.
-  int64_t asked_at = 0;
+  int64_t reported_at = 0;
   template <class A>
   void serialize(A& a) {
     a(node, boot_id, number, version, age_ms, requests, exposed, old_in_flight, new_in_flight,
       confirmed, wants_renewal, rows);
   }
   // Later fields follow the others; builds from before them neither send nor read them.
-  bool has_later_fields() const { return asked_at != 0; }
+  bool has_later_fields() const { return reported_at != 0; }
   template <class A>
   void SerializeLaterFields(A& a) {
-    a(asked_at);
+    a(reported_at);
   }
 };
 
 // An observer's answer to a report. An observer sends it only while it is in contact with a leader.
 // A proxy whose lease is not renewed stops sending to a version that is not proven.
 struct LeaseRenewal {
-  uint64_t number = 0;   // of the roll-out
-  uint64_t version = 0;  // of the Rollouts that the observer has adopted
-  int64_t asked_at = 0;  // of the report that it answers; 0 from an observer that omits it
+  uint64_t number = 0;      // of the roll-out
+  uint64_t version = 0;     // of the Rollouts that the observer has adopted
+  int64_t reported_at = 0;  // of the report that it answers; 0 from an observer that omits it
   template <class A>
   void serialize(A& a) {
     a(number, version);
   }
-  bool has_later_fields() const { return asked_at != 0; }
+  bool has_later_fields() const { return reported_at != 0; }
   template <class A>
   void SerializeLaterFields(A& a) {
-    a(asked_at);
+    a(reported_at);
   }
 };
 
@@ -115,7 +116,7 @@
   uint64_t boot_id = 0;
   uint64_t version = 0;  // of the Rollouts that the observer has adopted
   Opinion opinion = Opinion::kAbstains;
-  std::string why;
+  std::string reason;
   uint32_t age_ms = 0;            // of the order, by the proxy that adopted it first
   uint32_t reporting = 0;         // reachable proxies whose last report is recent
   uint32_t known_proxies = 0;     // proxies that are reachable by the observer's membership
@@ -127,8 +128,8 @@
   std::vector<Row> rows;          // the sums over all proxies
   template <class A>
   void serialize(A& a) {
-    a(number, observer, boot_id, version, opinion, why, age_ms, reporting, known_proxies, requests,
-      exposed, unconfirmed, not_reporting, missing, rows);
+    a(number, observer, boot_id, version, opinion, reason, age_ms, reporting, known_proxies,
+      requests, exposed, unconfirmed, not_reporting, missing, rows);
   }
 };
 
--- a/src/rollout/observer.cc
+++ b/src/rollout/observer.cc
@@ -56,7 +56,7 @@
   answers += delta.answers;
   failed += delta.failed;
   broken += delta.broken;
-  timed += delta.timed;
+  timed += delta.latency_samples;
   late += delta.late;
   if (answers < kDecayAnswers) return;
   for (double* count : {&answers, &failed, &broken, &timed, &late}) *count /= 2;
@@ -78,7 +78,7 @@
   };
   test(&route->failed, added.answers, added.failed, old.answers, old.failed, kFailedRate);
   test(&route->broken, added.answers, added.broken, old.answers, old.broken, kBrokenRate);
-  test(&route->late, added.timed, added.late, old.timed, old.late, kLateRate);
+  test(&route->late, added.latency_samples, added.late, old.timed, old.late, kLateRate);
   if (!bad_reason_.empty()) return;
   auto set_bad = [&](const char* what, uint32_t events, uint32_t trials, double old_events,
                      double old_trials) {
@@ -87,10 +87,10 @@
   };
   if (route->failed.sum() >= kBadSum) {
     set_bad("failed", sum.failed, sum.answers, old.failed, old.answers);
-  } else if (route->broken.sum() >= kBadSum && IsWidespread(sum.broken_at, sum.seen)) {
+  } else if (route->broken.sum() >= kBadSum && IsWidespread(sum.servers_broken, sum.servers_seen)) {
     set_bad("were broken off", sum.broken, sum.answers, old.broken, old.answers);
-  } else if (route->late.sum() >= kBadSum && IsWidespread(sum.late_at, sum.seen)) {
-    set_bad("came late", sum.late, sum.timed, old.late, old.timed);
+  } else if (route->late.sum() >= kBadSum && IsWidespread(sum.servers_late, sum.servers_seen)) {
+    set_bad("came late", sum.late, sum.latency_samples, old.late, old.timed);
   }
 }
 
@@ -104,7 +104,7 @@
 std::string Comparison::MissingEvidence(double canary_share) const {
   const VersionCounters& sum = all_routes_.sums.new_version;
   if (sum.answers < kMinAnswers) return "too few answers";
-  if (sum.timed < kMinAnswers) return "too few answers of servers that are warm";
+  if (sum.latency_samples < kMinAnswers) return "too few answers of servers that are warm";
   auto doubtful = [](const Route& r) {
     return r.failed.sum() >= kDoubtSum || r.broken.sum() >= kDoubtSum || r.late.sum() >= kDoubtSum;
   };
@@ -129,7 +129,7 @@
   version_ = rollouts.version();
   std::map<uint64_t, ObservedRollout> next;
   for (const auto& [service, rollout] : rollouts.rollouts()) {
-    if (Ended(rollout.stage)) continue;
+    if (IsFinal(rollout.stage)) continue;
     const auto& observers = rollout.observers;
     if (std::find(observers.begin(), observers.end(), options_.self) == observers.end()) continue;
     auto before = observed_.find(rollout.number);
@@ -205,15 +205,15 @@
   }
   vote.rows = observed.comparison.RouteSums();
   if (just_resumed) {
-    vote.why = "has only just woken";
+    vote.reason = "has only just woken";
   } else if (!observed.comparison.bad_reason().empty()) {
     vote.opinion = Opinion::kBad;
-    vote.why = observed.comparison.bad_reason();
+    vote.reason = observed.comparison.bad_reason();
   } else if (vote.reporting * 2 < vote.known_proxies || vote.known_proxies == 0) {
-    vote.why = "hears too few proxies";
+    vote.reason = "hears too few proxies";
   } else {
-    vote.why = observed.comparison.MissingEvidence(options_.canary_share);
-    if (vote.why.empty()) vote.opinion = Opinion::kGood;
+    vote.reason = observed.comparison.MissingEvidence(options_.canary_share);
+    if (vote.reason.empty()) vote.opinion = Opinion::kGood;
   }
   return vote;
 }
--- a/src/rollout/rollouts.cc
+++ b/src/rollout/rollouts.cc
@@ -29,7 +29,7 @@
                                      : "in_progress";
 }
 
-const Rollout* Rollouts::Of(const std::string& service) const {
+const Rollout* Rollouts::NewestOf(const std::string& service) const {
   auto at = rollouts_.find(service);
   return at == rollouts_.end() ? nullptr : &at->second;
 }
@@ -41,7 +41,7 @@
 
 bool Rollouts::Active() const {
   return std::any_of(rollouts_.begin(), rollouts_.end(),
-                     [](const auto& r) { return !Ended(r.second.stage); });
+                     [](const auto& r) { return !IsFinal(r.second.stage); });
 }
 
 Rollout* Rollouts::Find(uint64_t number) {
@@ -54,9 +54,9 @@
 // An order equal to the newest one is a repeated call, even after that roll-out has ended: a caller
 // that got no answer sends its order again, and that must not start a second roll-out.
 base::Verdict Rollouts::Evaluate(const RolloutOrder& order) const {
-  const Rollout* known = Of(order.service);
+  const Rollout* known = NewestOf(order.service);
   if (known && known->order == order) return {200, ""};
-  if (known && !Ended(known->stage)) {
+  if (known && !IsFinal(known->stage)) {
     return {409, "a roll-out of " + known->order.version + " is under way"};
   }
   if (!known && rollouts_.size() >= kMaxServices) return {503, "limit of 4096 services reached"};
@@ -67,17 +67,17 @@
   bool changed = false;
   switch (step.kind) {
     case Step::Kind::kDetected:
-      for (const auto& [service, version] : step.found) {
-        const Rollout* known = Of(service);
+      for (const auto& [service, version] : step.detected) {
+        const Rollout* known = NewestOf(service);
         // A roll-out under way determines the version in force, unless none was known when it
         // started.
-        if (known && !Ended(known->stage) && !InForce(service).empty()) continue;
+        if (known && !IsFinal(known->stage) && !InForce(service).empty()) continue;
         if (in_force_.size() >= kMaxServices && !in_force_.count(service)) continue;
         std::string& in_force = in_force_[service];
         if (in_force == version) continue;
         in_force = version;
         changed = true;
-        if (known && !Ended(known->stage)) rollouts_[service].from = version;
+        if (known && !IsFinal(known->stage)) rollouts_[service].previous_version = version;
       }
       break;
     case Step::Kind::kOrder: {
@@ -85,10 +85,10 @@
       Rollout next;
       next.number = ++newest_number_;
       next.order = step.order;
-      next.from = InForce(step.order.service);
+      next.previous_version = InForce(step.order.service);
       next.observers = step.observers;
       next.reason = "ordered";
-      if (next.from == step.order.version) {
+      if (next.previous_version == step.order.version) {
         next.stage = Stage::kCompleted;
         next.reason = "was in force already";
       }
@@ -98,7 +98,7 @@
     }
     case Step::Kind::kStage: {
       Rollout* rollout = Find(step.number);
-      if (!rollout || Ended(rollout->stage)) break;
+      if (!rollout || IsFinal(rollout->stage)) break;
       // Once a roll-out is reverting, the same order never moves traffic to its version again.
       if (rollout->stage == Stage::kReverting && step.stage != Stage::kReverted) break;
       if (rollout->stage == step.stage || step.stage == Stage::kCanary) break;
@@ -114,7 +114,7 @@
     }
     case Step::Kind::kObservers: {
       Rollout* rollout = Find(step.number);
-      if (!rollout || Ended(rollout->stage) || rollout->observers == step.observers) break;
+      if (!rollout || IsFinal(rollout->stage) || rollout->observers == step.observers) break;
       rollout->observers = step.observers;
       changed = true;
       break;
@@ -134,8 +134,8 @@
   for (const auto& [service, versions] : counts) {
     std::string known = state.InForce(service);
     if (!known.empty() && versions.count(known)) continue;
-    const Rollout* rollout = state.Of(service);
-    bool active = rollout && !Ended(rollout->stage);
+    const Rollout* rollout = state.NewestOf(service);
+    bool active = rollout && !IsFinal(rollout->stage);
     // A roll-out under way alone determines the version in force, even when the old version has
     // no server left.
     if (active && !known.empty()) continue;
--- a/src/rollout/rollouts.h
+++ b/src/rollout/rollouts.h
@@ -24,19 +24,19 @@
 // The stage's status in the operator API: "in_progress", "completed" or "reverted".
 const char* StatusName(Stage stage);
 // Whether the stage is final.
-inline bool Ended(Stage stage) { return stage == Stage::kCompleted || stage == Stage::kReverted; }
+inline bool IsFinal(Stage stage) { return stage == Stage::kCompleted || stage == Stage::kReverted; }
 
-// An operator's order: move the service's traffic to servers of `version` within `over_ms`.
+// An operator's order: move the service's traffic to servers of `version` within `time_limit_ms`.
 struct RolloutOrder {
   std::string service;
   std::string version;
-  int64_t over_ms = 0;
+  int64_t time_limit_ms = 0;
   bool operator==(const RolloutOrder& o) const {
-    return service == o.service && version == o.version && over_ms == o.over_ms;
+    return service == o.service && version == o.version && time_limit_ms == o.time_limit_ms;
   }
   template <class A>
   void serialize(A& a) {
-    a(service, version, over_ms);
+    a(service, version, time_limit_ms);
   }
 };
 
@@ -44,14 +44,14 @@
 struct Rollout {
   uint64_t number = 0;  // increases with each order
   RolloutOrder order;
-  std::string from;  // the version in force before; empty if none was known
+  std::string previous_version;  // the version in force before; empty if none was known
   Stage stage = Stage::kCanary;
   std::string reason;               // of the last step
   int64_t elapsed_ms = 0;           // from the order to the last step
   std::vector<uint64_t> observers;  // ids on the ring
   template <class A>
   void serialize(A& a) {
-    a(number, order, from, stage, reason, elapsed_ms, observers);
+    a(number, order, previous_version, stage, reason, elapsed_ms, observers);
   }
 };
 
@@ -64,7 +64,7 @@
     kObservers,  // a roll-out's new observers
   };
   Kind kind = Kind::kDetected;
-  std::vector<std::pair<std::string, std::string>> found;  // service, version
+  std::vector<std::pair<std::string, std::string>> detected;  // service, version
   RolloutOrder order;
   uint64_t number = 0;
   Stage stage = Stage::kCanary;
@@ -73,7 +73,7 @@
   std::vector<uint64_t> observers;
   template <class A>
   void serialize(A& a) {
-    a(kind, found, order, number, stage, reason, elapsed_ms, observers);
+    a(kind, detected, order, number, stage, reason, elapsed_ms, observers);
   }
 };
 
@@ -89,7 +89,7 @@
   bool Apply(const Step& step);
 
   // The service's newest roll-out; null if it has none.
-  const Rollout* Of(const std::string& service) const;
+  const Rollout* NewestOf(const std::string& service) const;
   // The service's version in force; empty if it is not known.
   std::string InForce(const std::string& service) const;
   const std::map<std::string, Rollout>& rollouts() const { return rollouts_; }
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -79,10 +79,10 @@
   counts.failed = first + 1;
   counts.broken = first + 2;
   counts.late = first + 3;
-  counts.timed = first + 4;
-  counts.seen = first + 5;
-  counts.broken_at = first + 6;
-  counts.late_at = first + 7;
+  counts.latency_samples = first + 4;
+  counts.servers_seen = first + 5;
+  counts.servers_broken = first + 6;
+  counts.servers_late = first + 7;
   return counts;
 }
 
@@ -104,7 +104,7 @@
 
 rollout::Step MakeFoundStep() {
   rollout::Step step;
-  step.found = {{"service", "v1"}, {"other", "v7"}};
+  step.detected = {{"service", "v1"}, {"other", "v7"}};
   return step;
 }
 
@@ -188,7 +188,7 @@
   golden.AddEncoded("control-state", state);
   EXPECT_EQ(state.configuration.revision(), 7);
   EXPECT_EQ(state.drained_zones.zones().size(), 1u);
-  EXPECT_NE(state.rollouts.Of("service"), nullptr);
+  EXPECT_NE(state.rollouts.NewestOf("service"), nullptr);
 }
 
 TEST(Golden, MembershipAndDisseminationFrames) {
@@ -285,7 +285,7 @@
   vote.boot_id = 3;
   vote.version = 4;
   vote.opinion = rollout::Opinion::kBad;
-  vote.why = "reason";
+  vote.reason = "reason";
   vote.age_ms = 5;
   vote.reporting = 6;
   vote.known_proxies = 7;
@@ -337,7 +337,7 @@
   rollout::ProxyReport report;
   report.rows = {MakeRow()};
   rollout::ProxyReport asking = report;
-  asking.asked_at = 1000;
+  asking.reported_at = 1000;
   CheckLaterFields(&golden, "report", report, asking);
   dissemination::PullRequest pull{1, 2, 3, 4, 5, true};
   CheckLaterFields(&golden, "pull", pull, {1, 2, 3, 4, 5, true, 1000});
--- a/tests/compatibility/stored_data_test.cc
+++ b/tests/compatibility/stored_data_test.cc
@@ -59,9 +59,9 @@
             *base::ReadFile((kData / "store_0_1_0_configuration.json").string()));
   EXPECT_EQ(state->drained_zones.zones(), std::vector<std::string>{"z2"});
   EXPECT_EQ(state->drained_zones.version(), 3u);
-  ASSERT_NE(state->rollouts.Of("s1"), nullptr);
-  EXPECT_EQ(state->rollouts.Of("s1")->order.version, "v2");
-  EXPECT_EQ(state->rollouts.Of("s1")->order.over_ms, 3600000);
+  ASSERT_NE(state->rollouts.NewestOf("s1"), nullptr);
+  EXPECT_EQ(state->rollouts.NewestOf("s1")->order.version, "v2");
+  EXPECT_EQ(state->rollouts.NewestOf("s1")->order.time_limit_ms, 3600000);
   EXPECT_NE(state->catalog_reader.owner, 0u);
 }
 
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -614,7 +614,7 @@
   EXPECT_EQ(call("POST", post, order("s", "v2", "12.5")), 0);  // not before it is committed
   ASSERT_EQ(log_.rollouts_.size(), 1u);
   ordered.order = log_.rollouts_[0];
-  EXPECT_EQ(ordered.order.over_ms, 12500);
+  EXPECT_EQ(ordered.order.time_limit_ms, 12500);
   commit(ordered);
   EXPECT_EQ(StatusOf(ticket), 200);
   EXPECT_EQ(call("POST", post, order("s", "v2", "12.5")), 200);  // repeated
@@ -697,7 +697,7 @@
     step.order = {"s", version, 12000};
     ASSERT_TRUE(rollouts_.Apply(step));
     step.kind = rollout::Step::Kind::kStage;
-    step.number = rollouts_.Of("s")->number;
+    step.number = rollouts_.NewestOf("s")->number;
     step.stage = rollout::Stage::kReverted;
     ASSERT_TRUE(rollouts_.Apply(step));
   };
@@ -820,16 +820,16 @@
   step.observers = {3, 4};
   state.Apply(controller::MakeCommand(controller::Command::Kind::kRollout, step));
   step.kind = rollout::Step::Kind::kDetected;
-  step.found = {{"s", "v1"}, {"t", "v5"}};
+  step.detected = {{"s", "v1"}, {"t", "v5"}};
   state.Apply(controller::MakeCommand(controller::Command::Kind::kRollout, step));
   auto read = controller::ControlState::Decode(transport::Encode(state));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->configuration.revision(), 2);
   EXPECT_EQ(read->catalog_reader.epoch, 7u);
   EXPECT_TRUE(read->drained_zones.IsDrained("a"));
-  ASSERT_TRUE(read->rollouts.Of("s"));
-  EXPECT_EQ(read->rollouts.Of("s")->from, "v1");
-  EXPECT_EQ(read->rollouts.Of("s")->observers, (std::vector<uint64_t>{3, 4}));
+  ASSERT_TRUE(read->rollouts.NewestOf("s"));
+  EXPECT_EQ(read->rollouts.NewestOf("s")->previous_version, "v1");
+  EXPECT_EQ(read->rollouts.NewestOf("s")->observers, (std::vector<uint64_t>{3, 4}));
   EXPECT_EQ(read->rollouts.InForce("t"), "v5");
   EXPECT_EQ(read->rollouts.version(), 2u);
   // Before roll-outs were added, a snapshot ended with the drained zones.
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -350,11 +350,11 @@
     }
   }
   uint32_t s = names_.Intern("s");
-  rollout::Rule rule;
+  rollout::VersionPolicy rule;
   rule.known = true;
   rule.primary = "v1";
   rule.secondary = "v2";
-  rule.limited = true;
+  rule.canary = true;
   rule.number = 1;
   balancer_.SetVersions(s, rule, 0.06);
   balancer_.Adopt(0, list(servers));
@@ -385,7 +385,7 @@
   // After promotion the roles are swapped and unlimited; only the server of v9 is excluded.
   rule.primary = "v2";
   rule.secondary = "v1";
-  rule.limited = false;
+  rule.canary = false;
   EXPECT_EQ(balancer_.SetVersions(s, rule, 0.06).size(), 1u);
   EXPECT_EQ(versions(false).begin()->first, "v2");
   EXPECT_EQ(versions(true).begin()->first, "v1");
@@ -394,7 +394,7 @@
   EXPECT_EQ(balancer_.InFlight(s, "v1"), 1u);
   // A rejected version is never used, not even if no other server is left. Without servers of the
   // primary version, other versions are used.
-  rule = rollout::Rule();
+  rule = rollout::VersionPolicy();
   rule.known = true;
   rule.primary = "v1";
   rule.excluded = "v2";
--- a/tests/rollout/late_messages_test.cc
+++ b/tests/rollout/delayed_messages_test.cc
@@ -16,7 +16,7 @@
   Rollouts rollouts;
   Step found;
   found.kind = Step::Kind::kDetected;
-  found.found = {{"s", "v1"}};
+  found.detected = {{"s", "v1"}};
   EXPECT_TRUE(rollouts.Apply(found));
   Step order;
   order.kind = Step::Kind::kOrder;
@@ -43,10 +43,10 @@
   CanaryPolicy::Options options;
   CanaryPolicy policy(options);
   policy.Adopt(1000, rollouts);
-  Millis asked_at = 2000;
-  policy.OnLeaseRenewal(2050, {1, rollouts.version(), asked_at});
-  EXPECT_EQ(policy.RuleOf(asked_at + options.lease - 1, "s").secondary, "v2");
-  EXPECT_EQ(policy.RuleOf(asked_at + options.lease, "s").secondary, "");
+  Millis reported_at = 2000;
+  policy.OnLeaseRenewal(2050, {1, rollouts.version(), reported_at});
+  EXPECT_EQ(policy.RuleOf(reported_at + options.lease - 1, "s").secondary, "v2");
+  EXPECT_EQ(policy.RuleOf(reported_at + options.lease, "s").secondary, "");
   // Suspended until 12000; the renewal asked for at 3000 waited in the socket.
   policy.OnLeaseRenewal(12000, {1, rollouts.version(), 3000});
   EXPECT_EQ(policy.RuleOf(12000, "s").secondary, "");
--- a/tests/rollout/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -34,7 +34,7 @@
 struct Worst {
   double exposed = 0;         // as a fraction of the permitted exposure
   Millis after_fiftieth = 0;  // from the fiftieth bad answer to the last request to the version
-  int with_fifty = 0, histories = 0;
+  int with_fifty = 0, runs = 0;
 };
 Worst& worst() {
   static Worst all;
@@ -48,7 +48,7 @@
     std::printf(
         "bad versions: %d histories, at most %.2f of what may be exposed; %d had fifty bad "
         "answers, the last send at most %d ms after the fiftieth\n",
-        worst().histories, worst().exposed, worst().with_fifty,
+        worst().runs, worst().exposed, worst().with_fifty,
         static_cast<int>(worst().after_fiftieth));
   }
 };
@@ -60,7 +60,7 @@
   const World::Traffic& t = world.traffic;
   EXPECT_EQ(world.fault, "") << what;
   if (!bad) return;
-  ++worst().histories;
+  ++worst().runs;
   worst().exposed = std::max(worst().exposed, static_cast<double>(t.exposed) /
                                                   (static_cast<double>(t.requests) / 10 + 50));
   EXPECT_LE(t.exposed, t.requests / 10 + 50) << what;
@@ -188,7 +188,7 @@
         }
         // Every node receives the final stage.
         for (size_t i = 0; i < world.size(); ++i) {
-          const rollout::Rollout* known = world.node(i).disseminator->rollouts().Of("s");
+          const rollout::Rollout* known = world.node(i).disseminator->rollouts().NewestOf("s");
           ASSERT_TRUE(known) << what;
           EXPECT_EQ(known->stage, world.traffic.stage) << what << " " << i;
         }
@@ -209,7 +209,7 @@
     world.Run(6000);
     int leader = world.leader();
     ASSERT_GE(leader, 0);
-    ASSERT_TRUE(world.node(static_cast<size_t>(leader)).state.rollouts.Of("s"));
+    ASSERT_TRUE(world.node(static_cast<size_t>(leader)).state.rollouts.NewestOf("s"));
     EXPECT_EQ(world.fault, "");
   }
 }
--- a/tests/rollout/rollout_test.cc
+++ b/tests/rollout/rollout_test.cc
@@ -14,17 +14,18 @@
 
 using base::Millis;
 
-Step Ordered(const std::string& version, int64_t over_ms, std::vector<uint64_t> observers = {}) {
+Step Ordered(const std::string& version, int64_t time_limit_ms,
+             std::vector<uint64_t> observers = {}) {
   Step step;
   step.kind = Step::Kind::kOrder;
-  step.order = {"s", version, over_ms};
+  step.order = {"s", version, time_limit_ms};
   step.observers = std::move(observers);
   return step;
 }
 Step Found(const std::string& service, const std::string& version) {
   Step step;
   step.kind = Step::Kind::kDetected;
-  step.found = {{service, version}};
+  step.detected = {{service, version}};
   return step;
 }
 Step Entered(uint64_t number, Stage stage) {
@@ -64,13 +65,13 @@
     EXPECT_EQ(state.Apply(Entered(1, c.next)), c.taken) << StageName(c.next);
     EXPECT_EQ(state.version(), version + (c.taken ? 1 : 0));
     EXPECT_FALSE(state.Apply(Entered(9, c.next)));
-    bool completed = state.Of("s")->stage == Stage::kCompleted;
+    bool completed = state.NewestOf("s")->stage == Stage::kCompleted;
     EXPECT_EQ(state.InForce("s"), completed ? "v2" : "v1");
   }
   Rollouts state;
   state.Apply(Found("s", "v1"));
   EXPECT_TRUE(state.Apply(Ordered("v1", 1000)));  // in force already
-  EXPECT_EQ(state.Of("s")->stage, Stage::kCompleted);
+  EXPECT_EQ(state.NewestOf("s")->stage, Stage::kCompleted);
   EXPECT_TRUE(state.Apply(Ordered("v2", 1000)));
   EXPECT_FALSE(state.Apply(Ordered("v2", 1000)));
   EXPECT_FALSE(state.Apply(Ordered("v3", 1000)));
@@ -127,9 +128,9 @@
   EXPECT_EQ(policy.RuleOf(0, "s").secondary, "");
   state.Apply(Ordered("v2", 14000));
   policy.Adopt(1000, state);
-  Rule canary = policy.RuleOf(1100, "s");
+  VersionPolicy canary = policy.RuleOf(1100, "s");
   EXPECT_EQ(canary.primary + canary.secondary, "v1v2");
-  EXPECT_TRUE(canary.limited);
+  EXPECT_TRUE(canary.canary);
   // The lease has expired: no request goes to the unproven version.
   EXPECT_EQ(policy.RuleOf(3600, "s").secondary, "");
   EXPECT_EQ(policy.RuleOf(3600, "s").excluded, "v2");
@@ -257,11 +258,12 @@
           bool faulty = server < 1ull << at_fault;
           double scale = at_fault < 6 ? (faulty ? 6.0 / at_fault : 0) : 1;
           ++counts.answers;
-          ++counts.timed;
-          counts.seen |= server;
+          ++counts.latency_samples;
+          counts.servers_seen |= server;
           counts.failed += random.Unit() < rates.failed * scale;
-          if (random.Unit() < rates.broken * scale) ++counts.broken, counts.broken_at |= server;
-          if (random.Unit() < rates.late * scale) ++counts.late, counts.late_at |= server;
+          if (random.Unit() < rates.broken * scale)
+            ++counts.broken, counts.servers_broken |= server;
+          if (random.Unit() < rates.late * scale) ++counts.late, counts.servers_late |= server;
         }
         return counts;
       };
@@ -280,8 +282,8 @@
   Comparison sparse;
   EXPECT_EQ(sparse.MissingEvidence(0.06), "too few answers");
   VersionCounters some, old_version;
-  some.answers = some.timed = 15;
-  old_version.answers = old_version.timed = 1000;
+  some.answers = some.latency_samples = 15;
+  old_version.answers = old_version.latency_samples = 1000;
   sparse.Add({1, old_version, some});
   EXPECT_EQ(sparse.MissingEvidence(0.06), "");
   sparse.Add({2, old_version, {}});  // a route without answers of the new version
@@ -309,8 +311,8 @@
   report.exposed = 50;
   Row row;
   row.route = 3;
-  row.new_version.answers = row.new_version.timed = 50;
-  row.old_version.answers = row.old_version.timed = 900;
+  row.new_version.answers = row.new_version.latency_samples = 50;
+  row.old_version.answers = row.old_version.latency_samples = 900;
   report.rows = {row};
   auto reported = [&](Millis now, std::vector<Observer::KnownProxy> proxies) {
     auto votes = observer.Tick(now, proxies);
@@ -327,7 +329,7 @@
   other.number = 9;
   EXPECT_FALSE(observer.OnProxyReport(5030, other));
   Vote vote = reported(5100, {{1, true}});
-  EXPECT_EQ(vote.opinion, Opinion::kGood) << vote.why;
+  EXPECT_EQ(vote.opinion, Opinion::kGood) << vote.reason;
   EXPECT_EQ(vote.exposed, 50u);
   EXPECT_EQ(vote.rows[0].new_version.answers, 50u);
   // After a restart, the proxy's counters start from 0.
@@ -345,7 +347,7 @@
   EXPECT_TRUE(observer.OnProxyReport(8700, report));
   vote = reported(8800, {{1, true}});
   EXPECT_EQ(vote.opinion, Opinion::kAbstains);
-  EXPECT_EQ(vote.why, "has only just woken");
+  EXPECT_EQ(vote.reason, "has only just woken");
   reported(9300, {{1, true}});
   EXPECT_TRUE(observer.OnProxyReport(9700, report));
   vote = reported(9900, {{1, true}});
@@ -545,8 +547,9 @@
   ASSERT_EQ(steps.size(), 1u);
   EXPECT_EQ(steps[0].kind, Step::Kind::kObservers);
   EXPECT_TRUE(state.Apply(steps[0]));
-  EXPECT_EQ(state.Of("s")->observers.size(), 3u);
-  EXPECT_EQ(std::count(state.Of("s")->observers.begin(), state.Of("s")->observers.end(), chosen[0]),
+  EXPECT_EQ(state.NewestOf("s")->observers.size(), 3u);
+  EXPECT_EQ(std::count(state.NewestOf("s")->observers.begin(), state.NewestOf("s")->observers.end(),
+                       chosen[0]),
             0);
   coordinator.Adopt(250, state);
   EXPECT_TRUE(coordinator.Review(300, state, left).empty());
@@ -555,10 +558,10 @@
   started.Adopt(9000, state);
   Vote vote;
   vote.number = 1;
-  vote.observer = state.Of("s")->observers[0];
+  vote.observer = state.NewestOf("s")->observers[0];
   vote.age_ms = 8800;
   started.OnVote(9100, vote);
-  EXPECT_EQ(started.Age(9100, *state.Of("s")), 8800);
+  EXPECT_EQ(started.Age(9100, *state.NewestOf("s")), 8800);
 }
 
 // Guards against a delayed vote of an observer's earlier process that replaces the current vote.
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -279,7 +279,7 @@
   for (const Case& c : cases) {
     rollout::Rollouts state;
     rollout::Step found, order;
-    found.found = {{"s", "v1"}};
+    found.detected = {{"s", "v1"}};
     ASSERT_TRUE(state.Apply(found));
     order.kind = rollout::Step::Kind::kOrder;
     order.order = {"s", "v2", 10000};
@@ -290,7 +290,7 @@
     EXPECT_EQ(policy.RuleOf(0, "s").secondary, "v2");
     uint64_t version = static_cast<uint64_t>(static_cast<int64_t>(state.version()) + c.version);
     for (Millis now = 100; now <= 20000; now += 100) {
-      policy.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
+      policy.OnLeaseRenewal(now, {state.NewestOf("s")->number + c.number, version});
     }
     EXPECT_EQ(policy.RuleOf(20000, "s").secondary == "v2", c.renewed) << c.name;
   }
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -67,9 +67,9 @@
   // come.
   struct Traffic {
     Millis ordered_at = -1;  // when the order was first applied at a leader
-    int64_t over_ms = 0;
+    int64_t time_limit_ms = 0;
     // `requests` counts all requests and `exposed` those sent to the new version, from ordered_at
-    // until over_ms later; `bad` counts the failed answers of the new version.
+    // until time_limit_ms later; `bad` counts the failed answers of the new version.
     uint64_t requests = 0, exposed = 0, bad = 0;
     // Times of the fiftieth failed answer and of the last request sent to the new version.
     Millis fiftieth_at = -1, last_sent_at = -1;
@@ -191,9 +191,9 @@
   std::optional<configuration::Change> last_change() const { return last_change_; }
   // Proposes to drain a zone, or to end its drain.
   bool DrainZone(const std::string& zone, bool drain);
-  // Proposes to roll out version "v2" of service "s" over `over_ms`. The order counts as
+  // Proposes to roll out version "v2" of service "s" over `time_limit_ms`. The order counts as
   // acknowledged once it is applied at a leader.
-  bool Order(int64_t over_ms);
+  bool Order(int64_t time_limit_ms);
   // Changes the platform's endpoint list; the catalog reader sees it at its next poll.
   void ChangeList() { ++list_version_; }
 
--- a/tests/simulation/simulation_network.cc
+++ b/tests/simulation/simulation_network.cc
@@ -85,7 +85,7 @@
     bool reporting = n.raft->HasCommittedInTerm() ||
                      (n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200);
     if (n.observer->OnProxyReport(now, *m) && m->wants_renewal && reporting) {
-      Send(i, from, rollout::LeaseRenewal{m->number, n.state.rollouts.version(), m->asked_at});
+      Send(i, from, rollout::LeaseRenewal{m->number, n.state.rollouts.version(), m->reported_at});
     }
   }
   if (auto* m = std::get_if<rollout::Vote>(&body)) n.coordinator->OnVote(now, *m);
--- a/tests/simulation/simulation_operator.cc
+++ b/tests/simulation/simulation_operator.cc
@@ -53,15 +53,15 @@
   return false;
 }
 
-bool World::Order(int64_t over_ms) {
+bool World::Order(int64_t time_limit_ms) {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Node& n = *nodes_[i];
     if (!n.up || n.frozen || !n.raft || !n.raft->HasCommittedInTerm()) continue;
     rollout::Step step;
     step.kind = rollout::Step::Kind::kOrder;
-    step.order = {"s", "v2", over_ms};
+    step.order = {"s", "v2", time_limit_ms};
     step.observers = rollout::ChooseObservers("s", ObserverCandidates(n));
-    traffic.over_ms = over_ms;
+    traffic.time_limit_ms = time_limit_ms;
     return Propose(n, step);
   }
   return false;
--- a/tests/simulation/simulation_rollouts.cc
+++ b/tests/simulation/simulation_rollouts.cc
@@ -33,12 +33,12 @@
               true, random_.Unit() < 0.05});
   }
   bool ordered = traffic.ordered_at >= 0;
-  bool in_term = ordered && now < traffic.ordered_at + traffic.over_ms;
+  bool in_term = ordered && now < traffic.ordered_at + traffic.time_limit_ms;
   bool listed = ordered && now > traffic.ordered_at + 1200;  // the endpoint list has new servers
   for (double due = options_.requests; random_.Unit() < due; due -= 1) {
     n.policy->CountRequest("s");
     traffic.requests += in_term;
-    rollout::Rule rule = n.policy->RuleOf(now, "s");
+    rollout::VersionPolicy rule = n.policy->RuleOf(now, "s");
     bool secondary = n.policy->TakesSecondary(now, "s", random_.Next());
     bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
     n.in_flight.push_back(
@@ -66,14 +66,14 @@
   n.coordinator->Adopt(now, n.state.rollouts);
   n.observer->Adopt(n.state.rollouts);
   n.disseminator->Commit(n.state.rollouts);
-  const rollout::Rollout* rollout = n.state.rollouts.Of("s");
+  const rollout::Rollout* rollout = n.state.rollouts.NewestOf("s");
   if (!rollout || !n.raft->HasCommittedInTerm()) return;
   if (traffic.ordered_at < 0) traffic.ordered_at = now;
   if (traffic.ended_at >= 0 && rollout->stage != traffic.stage) {
     Fail("a roll-out that had ended went on");
   }
   traffic.stage = rollout->stage;
-  if (!rollout::Ended(rollout->stage) || traffic.ended_at >= 0) return;
+  if (!rollout::IsFinal(rollout->stage) || traffic.ended_at >= 0) return;
   traffic.ended_at = now;
   // The old servers are stopped now, so no reachable proxy may have requests in flight to them or
   // send them new ones.
@@ -96,7 +96,7 @@
     }
     if (options_.requests > 0 && n.state.rollouts.InForce("s").empty()) {
       rollout::Step found;
-      found.found = {{"s", "v1"}};
+      found.detected = {{"s", "v1"}};
       Propose(n, found);
     }
   }
--- a/tests/singleton/assigner_test.cc
+++ b/tests/singleton/assigner_test.cc
@@ -37,7 +37,7 @@
 
 // Guards against a delayed resignation, or a claim of another member, that takes the role from the
 // current owner.
-TEST(Assigner, AcceptsResignationsAndClaimsOnlyFromTheCurrentOwner) {
+TEST(Assigner, AcceptsResignationsOfTheCurrentEpochAndClaimsOfTheCurrentOwner) {
   std::vector<Candidate> candidates = {
       {1, 0, true}, {2, 10, false}, {3, 10, false}, {4, 9000, false}};
   struct Case {
