--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -55,7 +55,7 @@
   options.max_age = program == Program::kController ? bound / 3 : bound * 3 / 5;
   options.seeds = SeedNodes(settings, program);
   options.seed = base::RandomSeed();
-  options.digest_every = settings.digest_ms;
+  options.digest_interval = settings.digest_ms;
   return options;
 }
 
@@ -132,14 +132,14 @@
   CarryOutEffects();
 }
 
-bool ClusterNode::Publish(base::Millis asked_at, discovery::EndpointSnapshot endpoints) {
-  bool accepted = disseminator_.Publish(base::SteadyMillis(), asked_at, std::move(endpoints));
+bool ClusterNode::Publish(base::Millis requested_at, discovery::EndpointSnapshot endpoints) {
+  bool accepted = disseminator_.Publish(base::SteadyMillis(), requested_at, std::move(endpoints));
   CarryOutEffects();
   return accepted;
 }
 
-void ClusterNode::ConfirmEndpoints(base::Millis asked_at, uint64_t epoch) {
-  disseminator_.Confirm(base::SteadyMillis(), asked_at, epoch);
+void ClusterNode::ConfirmEndpoints(base::Millis requested_at, uint64_t epoch) {
+  disseminator_.ConfirmListUnchanged(base::SteadyMillis(), requested_at, epoch);
   CarryOutEffects();
 }
 
@@ -160,7 +160,7 @@
 void ClusterNode::RejectConfiguration() { disseminator_.RejectConfiguration(); }
 
 bool ClusterNode::AdoptOwnReading(discovery::Reading reading) {
-  bool adopted = disseminator_.AdoptOwnReading(reading.asked_at, std::move(reading.servers));
+  bool adopted = disseminator_.AdoptOwnReading(reading.requested_at, std::move(reading.servers));
   CarryOutEffects();
   return adopted;
 }
@@ -385,7 +385,7 @@
     SendSync(to, transport::Kind::kSyncRequest, request, request.reliable);
   }
   for (const auto& reply : effects->sync_replies) {
-    SendSync(reply.to, transport::Kind::kSyncReply, reply.reply, reply.follows);
+    SendSync(reply.to, transport::Kind::kSyncReply, reply.reply, reply.over_connection);
   }
 }
 
@@ -396,7 +396,7 @@
   }
   if (effects.endpoints_adopted) {
     const discovery::EndpointSnapshot& endpoints = disseminator_.endpoints();
-    const auto& from = effects.endpoints_from;
+    const auto& from = effects.endpoints_sender;
     base::Debug("endpoints.adopted",
                 {{"epoch", endpoints.epoch},
                  {"sequence", endpoints.sequence},
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -70,10 +70,10 @@
   // roll-outs are requested from `from`.
   void OnRolloutVersion(const base::Address& from, uint64_t version);
   // Publishes a list that this node read from the platform as the catalog reader. Returns false if
-  // this node holds a later reader's list, or one that was requested later than `asked_at`.
-  bool Publish(base::Millis asked_at, discovery::EndpointSnapshot endpoints);
-  // The catalog reader of `epoch` requested the list at `asked_at` and found it unchanged.
-  void ConfirmEndpoints(base::Millis asked_at, uint64_t epoch);
+  // this node holds a later reader's list, or one that was requested later than `requested_at`.
+  bool Publish(base::Millis requested_at, discovery::EndpointSnapshot endpoints);
+  // The catalog reader of `epoch` requested the list at `requested_at` and found it unchanged.
+  void ConfirmEndpoints(base::Millis requested_at, uint64_t epoch);
   // A majority confirmed that the log's state on this node was the newest committed at `as_of`.
   void ConfirmLogCurrent(base::Millis as_of);
   // On the catalog reader: the list that it published is the newest one now.
--- a/src/controller/catalog_poller.cc
+++ b/src/controller/catalog_poller.cc
@@ -121,7 +121,7 @@
       base::Warn("catalog.read_failed", reading.error());
     } else if (!context_->node->disseminator().has_endpoints()) {
       base::Info("catalog.first_reading", {{"servers", reading->servers.size()}});
-      context_->node->Publish(reading->asked_at, {0, 1, std::move(reading->servers)});
+      context_->node->Publish(reading->requested_at, {0, 1, std::move(reading->servers)});
     }
     next_read_at_ = 0;
   });
@@ -144,16 +144,16 @@
   }
   last_success_at_ = base::SteadyMillis();
   if (!IsReader() || epoch_ != context_->state.catalog_reader.epoch) return;
-  if (sequence_ > 0 && discovery::SameServers(servers_, reading->servers)) {
-    context_->node->ConfirmEndpoints(reading->asked_at, epoch_);
+  if (sequence_ > 0 && discovery::IsUnchanged(servers_, reading->servers)) {
+    context_->node->ConfirmEndpoints(reading->requested_at, epoch_);
     return;
   }
   discovery::EndpointSnapshot endpoints{epoch_, sequence_ + 1, std::move(reading->servers)};
-  if (!context_->node->Publish(reading->asked_at, endpoints)) {
+  if (!context_->node->Publish(reading->requested_at, endpoints)) {
     // This node holds a later reader's list, or one that was requested after this one.
     bool superseded = context_->node->disseminator().endpoints().epoch > epoch_;
     base::Info(superseded ? "catalog.superseded" : "catalog.reading_outdated",
-               {{"epoch", epoch_}, {"age_ms", last_success_at_ - reading->asked_at}});
+               {{"epoch", epoch_}, {"age_ms", last_success_at_ - reading->requested_at}});
     return;
   }
   ++sequence_;
--- a/src/controller/confirmation_service.cc
+++ b/src/controller/confirmation_service.cc
@@ -6,7 +6,7 @@
 }  // namespace
 
 void ConfirmationService::OnConfirm(const base::Address& from,
-                                    const dissemination::Confirm& confirm) {
+                                    const dissemination::ConfirmRequest& confirm) {
   if (context_->HasCommittedInTerm() && pending_.size() < kMaxPendingConfirms) {
     uint64_t token = context_->NextToken();
     pending_[token] = {from, confirm.nonce};
--- a/src/controller/confirmation_service.h
+++ b/src/controller/confirmation_service.h
@@ -17,7 +17,7 @@
   explicit ConfirmationService(Context* context) : context_(context) {}
 
   // REQUIRES: the replica is running.
-  void OnConfirm(const base::Address& from, const dissemination::Confirm& confirm);
+  void OnConfirm(const base::Address& from, const dissemination::ConfirmRequest& confirm);
   // A read of the log ended; ignores tokens of other parts.
   void OnReadFinished(uint64_t token, bool confirmed);
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -509,7 +509,7 @@
       if (auto member = transport::Decode<consensus::Member>(payload)) OnJoin(from, *member);
       break;
     case transport::Kind::kConfirm:
-      if (auto confirm = transport::Decode<dissemination::Confirm>(payload)) {
+      if (auto confirm = transport::Decode<dissemination::ConfirmRequest>(payload)) {
         confirmations_.OnConfirm(from, *confirm);
       }
       break;
--- a/src/discovery/endpoints.cc
+++ b/src/discovery/endpoints.cc
@@ -78,7 +78,7 @@
     server.revision = text_of("revision");
     server.capacity = std::max(1, number_of("capacity", 1));
     server.draining = text_of("status") != "accepting";
-    server.warmup_left_ms = number_of("warmup-left-ms", 0);
+    server.slow_start_left_ms = number_of("warmup-left-ms", 0);
     if (!base::ParseAddress(server.address)) {
       return base::Failure(base::ErrorCode::kProtocolError, "catalog", server.id,
                            "address of the server is not an IPv4 address with a port");
@@ -90,13 +90,13 @@
   return page;
 }
 
-bool SameServers(const std::vector<Server>& older, const std::vector<Server>& newer) {
+bool IsUnchanged(const std::vector<Server>& older, const std::vector<Server>& newer) {
   return std::equal(older.begin(), older.end(), newer.begin(), newer.end(),
-                    [](const Server& x, const Server& y) { return x.Same(y); });
+                    [](const Server& x, const Server& y) { return x.IsUnchanged(y); });
 }
 
-std::vector<std::string> Differences(const std::vector<Server>& older,
-                                     const std::vector<Server>& newer) {
+std::vector<std::string> ChangedServerIds(const std::vector<Server>& older,
+                                          const std::vector<Server>& newer) {
   std::vector<std::string> ids;
   auto a = older.begin();
   auto b = newer.begin();
@@ -106,7 +106,7 @@
     } else if (a == older.end() || b->id < a->id) {
       ids.push_back((b++)->id);
     } else {
-      if (!a->Same(*b)) ids.push_back(a->id);
+      if (!a->IsUnchanged(*b)) ids.push_back(a->id);
       ++a, ++b;
     }
   }
@@ -149,7 +149,7 @@
 
 std::vector<Server> EndpointListReader::Finish(base::Millis now) {
   active_ = false;
-  for (Server& server : servers_) server.Anchor(now);
+  for (Server& server : servers_) server.SetSlowStartEnd(now);
   return std::move(servers_);
 }
 
--- a/src/discovery/endpoints.h
+++ b/src/discovery/endpoints.h
@@ -21,22 +21,25 @@
   std::string revision;
   int32_t capacity = 1;
   bool draining = false;
-  int32_t warmup_left_ms = 0;  // left of its slow start when this was read or sent
-  base::Millis warm_at = 0;    // end of its slow start on this process's clock; not sent
+  int32_t slow_start_left_ms = 0;     // left of its slow start when this was read or sent
+  base::Millis slow_start_until = 0;  // end of its slow start on this process's clock; not sent
 
-  // Sets `warm_at` from `warmup_left_ms`, which was just read or received.
-  void Anchor(base::Millis now) { warm_at = warmup_left_ms > 0 ? now + warmup_left_ms : 0; }
+  // Sets `slow_start_until` from `slow_start_left_ms`, which was just read or received.
+  void SetSlowStartEnd(base::Millis now) {
+    slow_start_until = slow_start_left_ms > 0 ? now + slow_start_left_ms : 0;
+  }
   // Whether the newer entry `o` shows no change. A slow start that merely progresses is no change;
   // one that ends later than before, by more than the slack, is.
-  bool Same(const Server& o) const {
+  bool IsUnchanged(const Server& o) const {
     return id == o.id && service == o.service && address == o.address && zone == o.zone &&
            revision == o.revision && capacity == o.capacity && draining == o.draining &&
-           (o.warmup_left_ms == 0 || o.warm_at <= warm_at + kSlowStartSlackMs);
+           (o.slow_start_left_ms == 0 ||
+            o.slow_start_until <= slow_start_until + kSlowStartSlackMs);
   }
   template <class A>
   void serialize(A& a) {
     a(transport::Short(id), transport::Short(service), transport::Short(address),
-      transport::Short(zone), transport::Short(revision), capacity, draining, warmup_left_ms);
+      transport::Short(zone), transport::Short(revision), capacity, draining, slow_start_left_ms);
   }
 
   // Reading and sending a list shift the computed end of a slow start; this much is ignored.
@@ -50,7 +53,7 @@
   uint64_t sequence = 0;
   std::vector<Server> servers;  // sorted by id
 
-  bool NewerThan(uint64_t e, uint64_t s) const { return epoch != e ? epoch > e : sequence > s; }
+  bool IsNewerThan(uint64_t e, uint64_t s) const { return epoch != e ? epoch > e : sequence > s; }
 };
 
 // One page of the platform's server list.
@@ -63,10 +66,10 @@
 base::Result<Page> ParsePage(std::string_view text);
 
 // Whether the newer of two readings shows no change.
-bool SameServers(const std::vector<Server>& older, const std::vector<Server>& newer);
+bool IsUnchanged(const std::vector<Server>& older, const std::vector<Server>& newer);
 // The ids that differ between two readings, both sorted by id.
-std::vector<std::string> Differences(const std::vector<Server>& older,
-                                     const std::vector<Server>& newer);
+std::vector<std::string> ChangedServerIds(const std::vector<Server>& older,
+                                          const std::vector<Server>& newer);
 
 // Reads the server list page by page. The caller makes the HTTP calls. If any page can't be read,
 // the whole reading fails: a partial list would look as if servers were gone.
--- a/src/discovery/platform_client.cc
+++ b/src/discovery/platform_client.cc
@@ -8,7 +8,7 @@
 void PlatformClient::Read(Done done) {
   if (list_reader_.active()) return;
   done_ = std::move(done);
-  asked_at_ = base::SteadyMillis();
+  requested_at_ = base::SteadyMillis();
   Call(list_reader_.Start());
 }
 
@@ -52,7 +52,7 @@
                       }
                       if (next->empty()) {
                         Done done = std::move(done_);
-                        done(Reading{list_reader_.Finish(base::SteadyMillis()), asked_at_});
+                        done(Reading{list_reader_.Finish(base::SteadyMillis()), requested_at_});
                         return;
                       }
                       // Deferred: the connection can't be used from inside its own callback.
--- a/src/discovery/platform_client.h
+++ b/src/discovery/platform_client.h
@@ -14,7 +14,7 @@
 // the last answer.
 struct Reading {
   std::vector<Server> servers;
-  base::Millis asked_at = 0;  // when the first page was requested
+  base::Millis requested_at = 0;  // when the first page was requested
 };
 
 // Reads the platform's server list over HTTP, one reading at a time.
@@ -40,7 +40,7 @@
   Done done_;
   std::unique_ptr<http::HttpConnection> connection_;
   base::Timer timer_;
-  base::Millis asked_at_ = 0;  // when the reading under way began
+  base::Millis requested_at_ = 0;  // when the reading under way began
   uint64_t calls_ = 0;
   uint64_t current_call_ = 0;  // outcomes of other calls are ignored
 };
--- a/src/dissemination/confirm.cc
+++ b/src/dissemination/confirm.cc
@@ -7,7 +7,7 @@
 constexpr size_t kMaxPendingRequests = 32;
 }
 
-Confirm Confirmation::Ask(base::Millis now) {
+ConfirmRequest Confirmation::NewRequest(base::Millis now) {
   if (requests_.size() >= kMaxPendingRequests) requests_.pop_front();
   requests_.push_back({next_nonce_++, now});
   return {requests_.back().nonce};
@@ -23,17 +23,19 @@
     return base::Address{reply.leader_ip, reply.leader_port};
   }
   // Replies may arrive out of order: an older one must not lower what a newer one named.
-  wanted_.revision = std::max(wanted_.revision, reply.versions.revision);
-  wanted_.zone_drains = std::max(wanted_.zone_drains, reply.versions.zone_drains);
-  wanted_.rollouts = std::max(wanted_.rollouts, reply.versions.rollouts);
-  known_at_ = std::max(known_at_, request->made_at);
+  newest_confirmed_.revision = std::max(newest_confirmed_.revision, reply.versions.revision);
+  newest_confirmed_.zone_drains =
+      std::max(newest_confirmed_.zone_drains, reply.versions.zone_drains);
+  newest_confirmed_.rollouts = std::max(newest_confirmed_.rollouts, reply.versions.rollouts);
+  confirmed_at_ = std::max(confirmed_at_, request->made_at);
   return std::nullopt;
 }
 
-bool Confirmation::Holds(base::Millis now, const Versions& own) const {
-  return known_at_ >= 0 && now - known_at_ <= patience_ && wanted_.revision > 0 &&
-         own.revision >= wanted_.revision && own.zone_drains >= wanted_.zone_drains &&
-         own.rollouts >= wanted_.rollouts;
+bool Confirmation::IsCurrent(base::Millis now, const Versions& own) const {
+  return confirmed_at_ >= 0 && now - confirmed_at_ <= patience_ && newest_confirmed_.revision > 0 &&
+         own.revision >= newest_confirmed_.revision &&
+         own.zone_drains >= newest_confirmed_.zone_drains &&
+         own.rollouts >= newest_confirmed_.rollouts;
 }
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/confirm.h
+++ b/src/dissemination/confirm.h
@@ -13,7 +13,7 @@
 namespace elderkeel::dissemination {
 
 // A starting proxy's request to a controller for the newest committed versions.
-struct Confirm {
+struct ConfirmRequest {
   uint64_t nonce = 0;
   template <class A>
   void serialize(A& a) {
@@ -21,7 +21,7 @@
   }
 };
 
-// A controller's answer to `Confirm`.
+// A controller's answer to `ConfirmRequest`.
 struct ConfirmReply {
   uint64_t nonce = 0;  // of the request
   // Whether a majority confirmed the leader after the request arrived. If false, the request is to
@@ -50,17 +50,17 @@
       : patience_(patience), next_nonce_(seed) {}
 
   // Returns a new request to send.
-  Confirm Ask(base::Millis now);
+  ConfirmRequest NewRequest(base::Millis now);
   // Returns the leader's address if the request is to be repeated there: the replying controller
   // did not confirm and named a leader. Ignores unknown nonces and replies after `patience`.
   std::optional<base::Address> OnReply(base::Millis now, const ConfirmReply& reply);
   // Whether `own` is at least as new as a confirmed reply that is still valid at `now`. Once true,
   // no further request is needed.
-  bool Holds(base::Millis now, const Versions& own) const;
+  bool IsCurrent(base::Millis now, const Versions& own) const;
   // When the newest request with a confirmed reply was made; -1 if there is none.
-  base::Millis known_at() const { return known_at_; }
+  base::Millis confirmed_at() const { return confirmed_at_; }
   // The newest versions that confirmed replies named.
-  const Versions& wanted() const { return wanted_; }
+  const Versions& newest_confirmed() const { return newest_confirmed_; }
 
  private:
   struct PendingRequest {
@@ -70,8 +70,8 @@
   base::Millis patience_;
   uint64_t next_nonce_;
   std::deque<PendingRequest> requests_;  // the newest ones, oldest first
-  Versions wanted_;
-  base::Millis known_at_ = -1;
+  Versions newest_confirmed_;
+  base::Millis confirmed_at_ = -1;
 };
 
 }  // namespace elderkeel::dissemination
--- a/src/dissemination/disseminator.cc
+++ b/src/dissemination/disseminator.cc
@@ -71,7 +71,7 @@
 void Disseminator::Tick(base::Millis now) {
   RequestSync(now);
   if (now < digest_at_) return;
-  digest_at_ = now + options_.digest_every;
+  digest_at_ = now + options_.digest_interval;
   std::vector<const membership::Node*> in_zone, all = membership_->ReachableOthers();
   for (const membership::Node* node : all) {
     if (node->zone == membership_->self().zone) in_zone.push_back(node);
@@ -124,7 +124,7 @@
   ask(&endpoints_schedule_, KnownAt(endpoints_freshness_), reader_);
   for (const auto& [to, reliable] : targets) {
     out_.sync_requests.push_back(
-        {to, {now, OwnVersions(), OwnEndpointVersion(), exact_, reliable}});
+        {to, {now, OwnVersions(), OwnEndpointVersion(), unmodified_, reliable}});
   }
 }
 
@@ -151,7 +151,7 @@
 // since their age is measured from the request: an unsolicited message may have been in transit for
 // an unknown time, and would make the list look younger than it is.
 void Disseminator::NoteReadAt(const EndpointVersion& endpoints, base::Millis read_at) {
-  if (!exact_) return;
+  if (!unmodified_) return;
   bool same = endpoints.epoch == endpoints_.epoch && endpoints.sequence == endpoints_.sequence;
   if (same && has_endpoints()) read_at_ = std::max(read_at_, read_at);
 }
@@ -194,12 +194,12 @@
   bool other = lacks_other && MayFetch(now, &fetch_other_, 0);
   if (!config && !endpoints && !other) return;
   // The maximum version excludes the state that is not requested now: no peer has anything newer.
-  PullRequest pull{INT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, exact_};
+  PullRequest pull{INT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, UINT64_MAX, unmodified_};
   if (config) pull.revision = own.revision;
   if (endpoints) {
     pull.epoch = endpoints_.epoch;
     pull.sequence = endpoints_.sequence;
-    pull.asked_at = now;
+    pull.requested_at = now;
   }
   if (other) {
     pull.zone_drains = own.zone_drains;
@@ -209,7 +209,7 @@
 }
 
 bool Disseminator::SendMissing(base::Millis now, const base::Address& to, const PeerState& peer,
-                               bool exact, int64_t asked_at) {
+                               bool unmodified, int64_t requested_at) {
   bool all = true;
   // The roll-outs go before the list: a node that has servers must also have the versions in force,
   // which determine the servers that it may send requests to.
@@ -217,8 +217,8 @@
   if (peer.versions.revision < OwnVersions().revision) {
     all &= SendConfiguration(now, to, peer.versions.revision, false);
   }
-  if (has_endpoints() && endpoints_.NewerThan(peer.endpoints.epoch, peer.endpoints.sequence)) {
-    all &= SendEndpoints(now, to, {peer.endpoints, exact, false, asked_at});
+  if (has_endpoints() && endpoints_.IsNewerThan(peer.endpoints.epoch, peer.endpoints.sequence)) {
+    all &= SendEndpoints(now, to, {peer.endpoints, unmodified, false, requested_at});
   }
   if (peer.versions.zone_drains < drained_zones_.version())
     out_.zone_drains.push_back({to, {drained_zones_}});
@@ -245,10 +245,10 @@
                                  const SyncRequest& request) {
   PeerState peer{request.versions, request.endpoints, request.endpoints.epoch > 0};
   size_t queued = out_.updates();
-  SendMissing(now, from, peer, request.exact, request.asked_at);
+  SendMissing(now, from, peer, request.unmodified, request.requested_at);
   bool sent = out_.updates() != queued;
   SyncReply reply;
-  reply.asked_at = request.asked_at;
+  reply.requested_at = request.requested_at;
   reply.versions = OwnVersions();
   reply.age_ms = Narrow(log_.age(now));
   reply.endpoints = OwnEndpointVersion();
@@ -264,26 +264,26 @@
                                const SyncReply& reply) {
   document_bytes_ = reply.document_bytes;
   PeerState peer{reply.versions, reply.endpoints, reply.platform_age_ms >= 0,
-                 reply.platform_age_ms >= 0 ? reply.asked_at - reply.platform_age_ms : -1};
+                 reply.platform_age_ms >= 0 ? reply.requested_at - reply.platform_age_ms : -1};
   if (!IsBehind(peer)) {
     behind_since_ = -1;
   } else if (MayRequestFrom(now, from, reply, peer)) {
     RequestMissing(now, from, peer);
   }
-  if (reply.asked_at > now || now - reply.asked_at > kReplyTimeoutMs) return;
+  if (reply.requested_at > now || now - reply.requested_at > kReplyTimeoutMs) return;
   if (reply.age_ms >= 0) {
-    log_.Claim(reply.asked_at - reply.age_ms, reply.versions, OwnVersions());
+    log_.Claim(reply.requested_at - reply.age_ms, reply.versions, OwnVersions());
     log_schedule_.OnAnswer(now, from, KnownAt(log_));
   }
   // A peer that names an earlier reader than this node's has not yet learned that the reader was
   // replaced; its claim must not count.
   if (reply.endpoints_age_ms >= 0 && reply.endpoints.epoch >= endpoints_.epoch) {
-    endpoints_freshness_.Claim(reply.asked_at - reply.endpoints_age_ms, reply.endpoints,
+    endpoints_freshness_.Claim(reply.requested_at - reply.endpoints_age_ms, reply.endpoints,
                                VerifiableEndpointVersion());
     endpoints_schedule_.OnAnswer(now, from, KnownAt(endpoints_freshness_));
   }
   if (reply.platform_age_ms >= 0) {
-    NoteReadAt(reply.endpoints, reply.asked_at - reply.platform_age_ms);
+    NoteReadAt(reply.endpoints, reply.requested_at - reply.platform_age_ms);
   }
 }
 
@@ -305,11 +305,13 @@
                                  const PullRequest& pull) {
   if (rollouts_.version() > pull.rollouts) out_.rollouts.push_back({from, {rollouts_}});
   if (OwnVersions().revision > pull.revision) SendConfiguration(now, from, pull.revision, true);
-  bool only_copy_is_exact = exact_ && !pull.exact && pull.epoch == endpoints_.epoch &&
-                            pull.sequence == endpoints_.sequence;
-  if (has_endpoints() &&
-      (endpoints_.NewerThan(pull.epoch, pull.sequence) || only_copy_is_exact || pull.epoch == 0)) {
-    SendEndpoints(now, from, {{pull.epoch, pull.sequence}, pull.exact, true, pull.asked_at});
+  bool only_copy_is_unmodified = unmodified_ && !pull.unmodified &&
+                                 pull.epoch == endpoints_.epoch &&
+                                 pull.sequence == endpoints_.sequence;
+  if (has_endpoints() && (endpoints_.IsNewerThan(pull.epoch, pull.sequence) ||
+                          only_copy_is_unmodified || pull.epoch == 0)) {
+    SendEndpoints(now, from,
+                  {{pull.epoch, pull.sequence}, pull.unmodified, true, pull.requested_at});
   }
   if (drained_zones_.version() > pull.zone_drains)
     out_.zone_drains.push_back({from, {drained_zones_}});
--- a/src/dissemination/disseminator.h
+++ b/src/dissemination/disseminator.h
@@ -45,7 +45,7 @@
   enum class Topic : uint8_t { kConfiguration, kEndpoints, kZoneDrain, kRollouts };
   struct Options {
     uint64_t seed = 1;
-    base::Millis digest_every = 400;
+    base::Millis digest_interval = 400;
     int cross_zone_one_in = 8;  // one in this many digest exchanges may cross zones, on average
     // State that is known to be younger than this is not requested.
     base::Millis max_age = 900;
@@ -62,17 +62,17 @@
     std::vector<std::pair<base::Address, ZoneDrainUpdate>> zone_drains;
     std::vector<std::pair<base::Address, RolloutUpdate>> rollouts;
     // A reply to a synchronization request. It is sent after all other messages to the same peer,
-    // and over a connection if `follows` is true.
+    // and over a connection if `over_connection` is true.
     struct Reply {
       base::Address to;
       SyncReply reply;
-      bool follows = false;
+      bool over_connection = false;
     };
     std::vector<Reply> sync_replies;
     bool configuration_adopted = false;
     bool endpoints_adopted = false;
     // The sender of the adopted endpoints; none if this node read them from the platform.
-    std::optional<base::Address> endpoints_from;
+    std::optional<base::Address> endpoints_sender;
     bool zone_drains_adopted = false;
     bool rollouts_adopted = false;
     // The number of messages that carry state.
@@ -118,18 +118,18 @@
   void Commit(const zone_drain::DrainedZones& drained_zones);
   void Commit(const rollout::Rollouts& rollouts);
   // Adopts and forwards a list that this node read from the platform as the catalog reader, by a
-  // request made at `asked_at`. A list of epoch 0 belongs to no reader and is sent in this zone
+  // request made at `requested_at`. A list of epoch 0 belongs to no reader and is sent in this zone
   // only. Returns false without adopting it if this node already has the list of a later reader,
   // which happens until this one learns that it was replaced, or a list that was read after this
   // one.
-  bool Publish(base::Millis now, base::Millis asked_at, discovery::EndpointSnapshot endpoints);
-  // As the catalog reader of `epoch`, this node read the platform by a request made at `asked_at`
-  // and found the list unchanged.
-  void Confirm(base::Millis now, base::Millis asked_at, uint64_t epoch);
+  bool Publish(base::Millis now, base::Millis requested_at, discovery::EndpointSnapshot endpoints);
+  // As the catalog reader of `epoch`, this node read the platform by a request made at
+  // `requested_at` and found the list unchanged.
+  void ConfirmListUnchanged(base::Millis now, base::Millis requested_at, uint64_t epoch);
   // Adopts a list that this node read from the platform for its own use, because updates of the
   // list no longer arrive. The list that was requested later counts as newer: returns false if that
   // is the one that this node already has.
-  bool AdoptOwnReading(base::Millis asked_at, std::vector<discovery::Server> servers);
+  bool AdoptOwnReading(base::Millis requested_at, std::vector<discovery::Server> servers);
 
   // A majority has confirmed that nothing beyond this node's state was committed at `as_of`. Called
   // by the leader and by a starting proxy.
@@ -190,9 +190,9 @@
   // The list that a peer has, and whether it requested a newer one.
   struct PeerEndpoints {
     EndpointVersion has;
-    bool exact = false;      // it has an unmodified copy of version `has`
-    bool requested = false;  // if true, the update is sent even if it is large
-    int64_t asked_at = EndpointUpdate::kUnsolicited;
+    bool unmodified = false;  // it has an unmodified copy of version `has`
+    bool requested = false;   // if true, the update is sent even if it is large
+    int64_t requested_at = EndpointUpdate::kUnsolicited;
   };
 
   // The moment as of which state counts as known when deciding whether to ask peers.
@@ -208,7 +208,7 @@
   }
   // Whether this node uses its own reading of the platform in place of the reader's list. It
   // carries that list's version.
-  bool HasOwnReading() const { return has_endpoints() && !exact_ && endpoints_.epoch > 0; }
+  bool HasOwnReading() const { return has_endpoints() && !unmodified_ && endpoints_.epoch > 0; }
   // The age of the list as reported to peers; -1 for an own reading, since peers can't request it.
   base::Millis SharedReadAge(base::Millis now) const {
     return HasOwnReading() ? -1 : endpoints_read_age(now);
@@ -255,8 +255,8 @@
   // ago; if not, records that it is sent now.
   bool RecentlySent(base::Millis now, const base::Address& to, uint64_t update_id);
   // Sends all small state that the peer lacks. Returns false if some of it is too large.
-  bool SendMissing(base::Millis now, const base::Address& to, const PeerState& peer, bool exact,
-                   int64_t asked_at);
+  bool SendMissing(base::Millis now, const base::Address& to, const PeerState& peer,
+                   bool unmodified, int64_t requested_at);
   // Requests from `from` the state that is newer in `peer` than on this node, each kind subject to
   // its back-off.
   void RequestMissing(base::Millis now, const base::Address& from, const PeerState& peer);
@@ -268,7 +268,7 @@
                       const PeerState& peer);
   // Adopts `endpoints`. Records the change in the history if both lists are unmodified copies;
   // otherwise clears the history.
-  void Replace(discovery::EndpointSnapshot endpoints, bool exact);
+  void Replace(discovery::EndpointSnapshot endpoints, bool unmodified);
   // Called when state of the log has become newer: resets the back-off `fetch` of the requests for
   // it, and counts the claims that this node's versions now cover.
   void LogAdvanced(Fetch* fetch);
@@ -292,7 +292,7 @@
   bool document_rejected_ = false;
   PatchHistory patches_;
   discovery::EndpointSnapshot endpoints_;
-  bool exact_ = false;        // endpoints_ is an unmodified copy of the reader's list
+  bool unmodified_ = false;   // endpoints_ is an unmodified copy of the reader's list
   std::deque<Step> history_;  // the latest changes that led to endpoints_
   zone_drain::DrainedZones drained_zones_;
   rollout::Rollouts rollouts_;
@@ -303,7 +303,7 @@
   // the request that returned the list when this node adopted it.
   base::Millis read_at_ = -1;
   base::Millis read_before_ = -1;
-  EndpointVersion succeeds_;  // `EndpointUpdate::succeeds` of endpoints_
+  EndpointVersion predecessor_;  // `EndpointUpdate::predecessor` of endpoints_
   // The list last received in reply to a request and not adopted; it is not requested again just
   // because its reader is a later one.
   EndpointVersion declined_;
--- a/src/dissemination/disseminator_endpoints.cc
+++ b/src/dissemination/disseminator_endpoints.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 size_t Disseminator::FirstStepFrom(const PeerEndpoints& peer) const {
-  if (!peer.exact || !exact_) return history_.size();
+  if (!peer.unmodified || !unmodified_) return history_.size();
   for (size_t i = history_.size(); i-- > 0;) {
     const Step& step = history_[i];
     if (step.epoch == peer.has.epoch && step.sequence == peer.has.sequence) return i;
@@ -38,12 +38,13 @@
       if (at != endpoints_.servers.end() && at->id == id) {
         update->servers.push_back(*at);
       } else {
-        update->gone.push_back(id);
+        update->removed.push_back(id);
       }
     }
   }
   for (discovery::Server& server : update->servers) {
-    server.warmup_left_ms = static_cast<int32_t>(std::max<base::Millis>(0, server.warm_at - now));
+    server.slow_start_left_ms =
+        static_cast<int32_t>(std::max<base::Millis>(0, server.slow_start_until - now));
   }
 }
 
@@ -58,12 +59,12 @@
   EndpointUpdate update;
   update.epoch = endpoints_.epoch;
   update.sequence = endpoints_.sequence;
-  update.exact = exact_;
+  update.unmodified = unmodified_;
   update.age_ms = static_cast<int32_t>(std::min<base::Millis>(endpoints_read_age(now), INT32_MAX));
-  update.asked_at = peer.asked_at == 0 ? EndpointUpdate::kUnsolicited : peer.asked_at;
-  update.succeeds = succeeds_;
+  update.requested_at = peer.requested_at == 0 ? EndpointUpdate::kUnsolicited : peer.requested_at;
+  update.predecessor = predecessor_;
   FillServers(now, first, &update);
-  if (update.servers.size() + update.gone.size() > kMaxUnsolicitedServers) {
+  if (update.servers.size() + update.removed.size() > kMaxUnsolicitedServers) {
     if (!peer.requested) return false;
     if (RecentlySent(now, to, endpoints_.epoch << 32 | endpoints_.sequence << 1 | 1)) return true;
   }
@@ -71,10 +72,10 @@
   return true;
 }
 
-void Disseminator::Replace(discovery::EndpointSnapshot endpoints, bool exact) {
-  if (exact && exact_ && has_endpoints()) {
+void Disseminator::Replace(discovery::EndpointSnapshot endpoints, bool unmodified) {
+  if (unmodified && unmodified_ && has_endpoints()) {
     history_.push_back({endpoints_.epoch, endpoints_.sequence,
-                        discovery::Differences(endpoints_.servers, endpoints.servers)});
+                        discovery::ChangedServerIds(endpoints_.servers, endpoints.servers)});
     size_t changed = 0;
     for (const Step& step : history_) changed += step.changed_ids.size();
     while (!history_.empty() &&
@@ -86,21 +87,21 @@
     history_.clear();
   }
   endpoints_ = std::move(endpoints);
-  exact_ = exact;
+  unmodified_ = unmodified;
   has_endpoints_ = true;
   fetch_endpoints_ = Fetch();
   out_.endpoints_adopted = true;
   endpoints_freshness_.Advance(VerifiableEndpointVersion());
 }
 
-bool Disseminator::Publish(base::Millis now, base::Millis asked_at,
+bool Disseminator::Publish(base::Millis now, base::Millis requested_at,
                            discovery::EndpointSnapshot endpoints) {
   EndpointVersion version{endpoints.epoch, endpoints.sequence};
-  if (!IsNewerList(version, asked_at)) return false;
+  if (!IsNewerList(version, requested_at)) return false;
   bool by_reader = endpoints.epoch > 0;
-  if (version.epoch != endpoints_.epoch) succeeds_ = OwnEndpointVersion();
+  if (version.epoch != endpoints_.epoch) predecessor_ = OwnEndpointVersion();
   Replace(std::move(endpoints), by_reader);
-  read_at_ = read_before_ = asked_at;
+  read_at_ = read_before_ = requested_at;
   Forward(now, Topic::kEndpoints, nullptr);
   if (by_reader) return true;
   for (const membership::Node* node : membership_->ReachableOthers()) {
@@ -111,9 +112,10 @@
   return true;
 }
 
-void Disseminator::Confirm(base::Millis now, base::Millis asked_at, uint64_t epoch) {
+void Disseminator::ConfirmListUnchanged(base::Millis now, base::Millis requested_at,
+                                        uint64_t epoch) {
   if (epoch != endpoints_.epoch) return;
-  read_at_ = std::max(read_at_, asked_at);
+  read_at_ = std::max(read_at_, requested_at);
   // One node of each other zone is sent the newest version: otherwise an update that was lost on
   // the way there would be missing until a digest exchange happens to cross zones.
   for (const membership::Node* node : ForwardTargets(true, 0)) {
@@ -121,14 +123,15 @@
   }
 }
 
-bool Disseminator::AdoptOwnReading(base::Millis asked_at, std::vector<discovery::Server> servers) {
-  if (has_endpoints_ && asked_at <= std::max(read_at_, read_before_)) return false;
-  bool same = has_endpoints_ && discovery::SameServers(endpoints_.servers, servers);
+bool Disseminator::AdoptOwnReading(base::Millis requested_at,
+                                   std::vector<discovery::Server> servers) {
+  if (has_endpoints_ && requested_at <= std::max(read_at_, read_before_)) return false;
+  bool same = has_endpoints_ && discovery::IsUnchanged(endpoints_.servers, servers);
   if (!same) {
     Replace({endpoints_.epoch, endpoints_.sequence, std::move(servers)}, false);
-    read_before_ = asked_at;
+    read_before_ = requested_at;
   }
-  read_at_ = asked_at;
+  read_at_ = requested_at;
   return true;
 }
 
@@ -143,21 +146,22 @@
 }
 
 bool Disseminator::BuildsOnOwnList(const EndpointUpdate& update) const {
-  return !update.complete && has_endpoints_ && exact_ && update.base_epoch == endpoints_.epoch &&
-         update.base_sequence == endpoints_.sequence;
+  return !update.complete && has_endpoints_ && unmodified_ &&
+         update.base_epoch == endpoints_.epoch && update.base_sequence == endpoints_.sequence;
 }
 
 bool Disseminator::SucceedsOwnList(const EndpointUpdate& update) const {
-  return exact_ && update.epoch > endpoints_.epoch && update.succeeds.epoch == endpoints_.epoch &&
-         update.succeeds.sequence >= endpoints_.sequence;
+  return unmodified_ && update.epoch > endpoints_.epoch &&
+         update.predecessor.epoch == endpoints_.epoch &&
+         update.predecessor.sequence >= endpoints_.sequence;
 }
 
 base::Millis Disseminator::EarliestReading(base::Millis now, const EndpointUpdate& update) const {
   base::Millis age = std::max<int32_t>(0, update.age_ms);
-  bool requested = update.asked_at > 0 && update.asked_at <= now;
-  if (requested) return update.asked_at - age;
+  bool requested = update.requested_at > 0 && update.requested_at <= now;
+  if (requested) return update.requested_at - age;
   // The sender runs a program version that does not report the request's time.
-  if (update.asked_at == 0) return now - age;
+  if (update.requested_at == 0) return now - age;
   // An unsolicited update may have been in transit since this process started.
   return started_at_ - age;
 }
@@ -173,7 +177,7 @@
   if (IsSuccessor(update)) return true;
   EndpointVersion version{update.epoch, update.sequence};
   // Program versions that do not report the request's time order readers by their epochs alone.
-  if (update.asked_at == 0 && !HasOwnReading() && OwnEndpointVersion().IsOlderThan(version)) {
+  if (update.requested_at == 0 && !HasOwnReading() && OwnEndpointVersion().IsOlderThan(version)) {
     return true;
   }
   return IsNewerList(version, EarliestReading(now, update));
@@ -182,7 +186,7 @@
 std::vector<discovery::Server> Disseminator::Merge(base::Millis now,
                                                    const EndpointUpdate& update) const {
   auto anchored = [now](discovery::Server server) {
-    server.Anchor(now);
+    server.SetSlowStartEnd(now);
     return server;
   };
   std::vector<discovery::Server> servers;
@@ -192,7 +196,7 @@
   }
   std::map<std::string, discovery::Server> changed;
   for (const discovery::Server& server : update.servers) changed[server.id] = anchored(server);
-  std::set<std::string> gone(update.gone.begin(), update.gone.end());
+  std::set<std::string> gone(update.removed.begin(), update.removed.end());
   for (const discovery::Server& server : endpoints_.servers) {
     if (gone.count(server.id)) continue;
     changed.emplace(server.id, server);  // does not overwrite a changed server
@@ -206,7 +210,7 @@
   EndpointVersion version{update.epoch, update.sequence};
   bool usable = update.complete || BuildsOnOwnList(update);
   if (!usable || !IsNewerUpdate(now, update)) {
-    if (usable && update.asked_at > 0) {
+    if (usable && update.requested_at > 0) {
       declined_ = version;
       return;
     }
@@ -219,11 +223,11 @@
   }
   base::Millis read_at = EarliestReading(now, update);
   if (IsSuccessor(update)) read_at = std::max(read_at, read_at_);
-  succeeds_ = update.succeeds;
-  Replace({update.epoch, update.sequence, Merge(now, update)}, update.exact);
+  predecessor_ = update.predecessor;
+  Replace({update.epoch, update.sequence, Merge(now, update)}, update.unmodified);
   read_at_ = read_at;
   read_before_ = now;
-  out_.endpoints_from = from;
+  out_.endpoints_sender = from;
   Forward(now, Topic::kEndpoints, &from);
 }
 
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -40,16 +40,16 @@
   uint64_t sequence = 0;
   uint64_t zone_drains = 0;
   uint64_t rollouts = 0;
-  bool exact = false;    // the sender's list is an unmodified copy of (epoch, sequence)
-  int64_t asked_at = 0;  // sender's steady clock, milliseconds; returned in the update
+  bool unmodified = false;   // the sender's list is an unmodified copy of (epoch, sequence)
+  int64_t requested_at = 0;  // sender's steady clock, milliseconds; returned in the update
   template <class A>
   void serialize(A& a) {
-    a(revision, epoch, sequence, zone_drains, rollouts, exact);
+    a(revision, epoch, sequence, zone_drains, rollouts, unmodified);
   }
-  bool has_later_fields() const { return asked_at != 0; }
+  bool has_later_fields() const { return requested_at != 0; }
   template <class A>
   void SerializeLaterFields(A& a) {
-    a(asked_at);
+    a(requested_at);
   }
 };
 
@@ -67,29 +67,31 @@
 
 // All endpoints, or the changes to them since (base_epoch, base_sequence).
 struct EndpointUpdate {
-  static constexpr int64_t kUnsolicited = -1;  // `asked_at` of an update that answers no request
+  static constexpr int64_t kUnsolicited =
+      -1;  // `requested_at` of an update that answers no request
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   bool complete = true;
-  bool exact = true;  // an unmodified copy of the reader's list, so that changes may be based on it
+  bool unmodified =
+      true;  // an unmodified copy of the reader's list, so that changes may be based on it
   uint64_t base_epoch = 0;
   uint64_t base_sequence = 0;
   int32_t age_ms = 0;  // upper bound of the time from the read of the platform to the sending
   std::vector<discovery::Server> servers;  // all of them, or the new and changed ones
-  std::vector<std::string> gone;           // identifiers of removed servers
+  std::vector<std::string> removed;        // identifiers of removed servers
   // When the receiver requested this, on the receiver's clock; `kUnsolicited` if it did not; 0 from
   // a program version that does not send this field.
-  int64_t asked_at = 0;
+  int64_t requested_at = 0;
   // The list that the reader held when it first published under this epoch.
-  EndpointVersion succeeds;
+  EndpointVersion predecessor;
   template <class A>
   void serialize(A& a) {
-    a(epoch, sequence, complete, exact, base_epoch, base_sequence, age_ms, servers, gone);
+    a(epoch, sequence, complete, unmodified, base_epoch, base_sequence, age_ms, servers, removed);
   }
-  bool has_later_fields() const { return asked_at != 0; }
+  bool has_later_fields() const { return requested_at != 0; }
   template <class A>
   void SerializeLaterFields(A& a) {
-    a(asked_at, succeeds);
+    a(requested_at, predecessor);
   }
 };
 
--- a/src/dissemination/sync.h
+++ b/src/dissemination/sync.h
@@ -12,21 +12,21 @@
 
 // Asks a peer for the age and versions of its state, and for newer state if that is small.
 struct SyncRequest {
-  int64_t asked_at = 0;  // sender's steady clock, milliseconds; returned in the reply
+  int64_t requested_at = 0;  // sender's steady clock, milliseconds; returned in the reply
   Versions versions;
   EndpointVersion endpoints;
-  bool exact = false;     // the sender's list is an unmodified copy of `endpoints`
-  bool reliable = false;  // sent over a connection; the answer uses one too
+  bool unmodified = false;  // the sender's list is an unmodified copy of `endpoints`
+  bool reliable = false;    // sent over a connection; the answer uses one too
   template <class A>
   void serialize(A& a) {
-    a(asked_at, versions, endpoints, exact, reliable);
+    a(requested_at, versions, endpoints, unmodified, reliable);
   }
 };
 
 // Answers a `SyncRequest`. Small state that the requester lacked is sent before it, and then both
 // go over the same connection.
 struct SyncReply {
-  int64_t asked_at = 0;
+  int64_t requested_at = 0;
   Versions versions;
   int32_t age_ms = -1;  // since `versions` were known to be the newest; -1 for never
   EndpointVersion endpoints;
@@ -36,7 +36,7 @@
   uint32_t document_bytes = 0;    // of the complete configuration, at most
   template <class A>
   void serialize(A& a) {
-    a(asked_at, versions, age_ms, endpoints, endpoints_age_ms, platform_age_ms, endpoints_bytes,
+    a(requested_at, versions, age_ms, endpoints, endpoints_age_ms, platform_age_ms, endpoints_bytes,
       document_bytes);
   }
 };
--- a/src/forwarding/load_balancer.cc
+++ b/src/forwarding/load_balancer.cc
@@ -56,7 +56,7 @@
     state.draining = entry.draining;
     // The list may be older than the end that the server's probe answer stated; the later end is
     // kept.
-    SetSlowStart(now, &state, entry.warm_at);
+    SetSlowStart(now, &state, entry.slow_start_until);
   }
   for (uint32_t i = 0; i < servers_.size(); ++i) {
     if (!seen[i] && servers_[i].listed) {
--- a/src/proxy/fallback_reader.cc
+++ b/src/proxy/fallback_reader.cc
@@ -44,7 +44,7 @@
       return;
     }
     size_t servers = reading->servers.size();
-    base::Millis age = base::SteadyMillis() - reading->asked_at;
+    base::Millis age = base::SteadyMillis() - reading->requested_at;
     bool adopted = node_->AdoptOwnReading(std::move(*reading));
     base::Info(adopted ? "catalog.read_by_proxy" : "catalog.reading_outdated",
                {{"servers", servers}, {"age_ms", age}});
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -48,9 +48,9 @@
 }
 
 void StartupConfirmation::UpdateServing(base::Millis now) {
-  if (!lifecycle_->confirmed() && confirmation_.Holds(now, OwnVersions())) {
+  if (!lifecycle_->confirmed() && confirmation_.IsCurrent(now, OwnVersions())) {
     lifecycle_->SetConfirmed();
-    node_->ConfirmLogCurrent(confirmation_.known_at());
+    node_->ConfirmLogCurrent(confirmation_.confirmed_at());
     base::Info("configuration.confirmed", {{"revision", node_->disseminator().revision()}});
   }
   if (router_->HasRequiredState()) lifecycle_->SetServable(now);
@@ -66,7 +66,7 @@
   const base::Address& to = controllers[next_controller_++ % controllers.size()];
   if (now >= next_confirm_at_) {
     next_confirm_at_ = now + kConfirmIntervalMs;
-    node_->mesh().Send(to, transport::Kind::kConfirm, confirmation_.Ask(now));
+    node_->mesh().Send(to, transport::Kind::kConfirm, confirmation_.NewRequest(now));
   }
   // Missing state is requested by digest: the node asks only the first peer that reports to have it
   // for the state itself, which is large and must not be sent by several peers at once.
@@ -75,7 +75,7 @@
 
 bool StartupConfirmation::LacksState() const {
   dissemination::Versions own = OwnVersions();
-  const dissemination::Versions& wanted = confirmation_.wanted();
+  const dissemination::Versions& wanted = confirmation_.newest_confirmed();
   return own.revision < std::max<int64_t>(1, wanted.revision) ||
          own.zone_drains < wanted.zone_drains || own.rollouts < wanted.rollouts ||
          !node_->disseminator().has_endpoints() ||
@@ -84,7 +84,8 @@
 
 void StartupConfirmation::OnReply(base::Millis now, const dissemination::ConfirmReply& reply) {
   if (auto leader = confirmation_.OnReply(now, reply)) {
-    node_->mesh().Send(*leader, transport::Kind::kConfirm, dissemination::Confirm{reply.nonce});
+    node_->mesh().Send(*leader, transport::Kind::kConfirm,
+                       dissemination::ConfirmRequest{reply.nonce});
   }
   UpdateServing(now);
 }
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -117,7 +117,7 @@
   server.revision = "v1";
   server.capacity = 3;
   server.draining = true;
-  server.warmup_left_ms = 1500;
+  server.slow_start_left_ms = 1500;
   return server;
 }
 
@@ -238,12 +238,12 @@
   endpoints.epoch = 2;
   endpoints.sequence = 3;
   endpoints.complete = false;
-  endpoints.exact = true;
+  endpoints.unmodified = true;
   endpoints.base_epoch = 2;
   endpoints.base_sequence = 1;
   endpoints.age_ms = 40;
   endpoints.servers = {MakeServer("i-1"), MakeServer("i-2")};
-  endpoints.gone = {"i-3"};
+  endpoints.removed = {"i-3"};
   golden.AddEncoded("endpoint-update", endpoints);
   dissemination::ZoneDrainUpdate drains;
   drains.drained_zones.Apply({"z2", true});
@@ -252,7 +252,7 @@
   rollouts.rollouts.Apply(MakeFoundStep());
   rollouts.rollouts.Apply(MakeOrderStep());
   golden.AddEncoded("rollout-update", rollouts);
-  golden.AddEncoded("confirm", dissemination::Confirm{5});
+  golden.AddEncoded("confirm", dissemination::ConfirmRequest{5});
   golden.AddEncoded("confirm-reply",
                     dissemination::ConfirmReply{5, true, {1, 2, 3}, "10.0.0.1", 7200});
   golden.AddEncoded("sync-request",
@@ -346,8 +346,8 @@
   update.sequence = 6;
   update.servers = {MakeServer("i-1")};
   dissemination::EndpointUpdate answer = update;
-  answer.asked_at = 1000;
-  answer.succeeds = {4, 9};
+  answer.requested_at = 1000;
+  answer.predecessor = {4, 9};
   CheckLaterFields(&golden, "endpoints", update, answer);
 }
 
--- a/tests/dissemination/list_order_test.cc
+++ b/tests/dissemination/list_order_test.cc
@@ -145,29 +145,30 @@
     if (node.reading || now_ < node.next_reading_at) return;
     if (proxy ? !faults_ || random_.Below(300) != 0 : node.epoch == 0) return;
     node.reading = true;
-    Millis asked_at = now_;
+    Millis requested_at = now_;
     int content = content_;
     Schedule(Draw(faults_ ? options_.slowest_reading : kStepMs),
-             [this, i, asked_at, content, epoch = node.epoch] {
-               WhenAwake(i, [this, i, asked_at, content, epoch] {
-                 FinishReading(i, asked_at, content, epoch);
+             [this, i, requested_at, content, epoch = node.epoch] {
+               WhenAwake(i, [this, i, requested_at, content, epoch] {
+                 FinishReading(i, requested_at, content, epoch);
                });
              });
   }
 
-  void FinishReading(size_t i, Millis asked_at, int content, uint64_t epoch) {
+  void FinishReading(size_t i, Millis requested_at, int content, uint64_t epoch) {
     Node& node = nodes_[i];
     node.reading = false;
-    node.next_reading_at = asked_at + kPollMs;
+    node.next_reading_at = requested_at + kPollMs;
     discovery::Server server;
     server.id = std::to_string(content);
     if (i >= kReaders) {
-      node.disseminator->AdoptOwnReading(asked_at, {server});
+      node.disseminator->AdoptOwnReading(requested_at, {server});
     } else if (node.epoch != epoch) {
       return;
     } else if (node.published == content) {
-      node.disseminator->Confirm(now_, asked_at, epoch);
-    } else if (node.disseminator->Publish(now_, asked_at, {epoch, node.sequence + 1, {server}})) {
+      node.disseminator->ConfirmListUnchanged(now_, requested_at, epoch);
+    } else if (node.disseminator->Publish(now_, requested_at,
+                                          {epoch, node.sequence + 1, {server}})) {
       ++node.sequence;
       node.published = content;
     }
--- a/tests/dissemination/own_reading_test.cc
+++ b/tests/dissemination/own_reading_test.cc
@@ -51,9 +51,9 @@
     digest.endpoints_read_age_ms = age;
     return digest;
   }
-  static SyncReply ReplyOf(uint64_t sequence, Millis asked_at, int32_t age) {
+  static SyncReply ReplyOf(uint64_t sequence, Millis requested_at, int32_t age) {
     SyncReply reply;
-    reply.asked_at = asked_at;
+    reply.requested_at = requested_at;
     reply.endpoints = {5, sequence};
     reply.endpoints_age_ms = age;
     reply.platform_age_ms = age;
@@ -87,7 +87,7 @@
   node_.OnDigest(9000, kPeer, DigestOf(3, 500));  // read at 8500
   Disseminator::Effects effects = node_.TakeEffects();
   ASSERT_EQ(effects.pulls.size(), 1u);
-  EXPECT_FALSE(effects.pulls[0].second.exact);
+  EXPECT_FALSE(effects.pulls[0].second.unmodified);
   EXPECT_EQ(node_.endpoints_read_age(9000), 2000);  // only changes when the list arrives
   node_.OnEndpointUpdate(9100, kPeer, Update(3, false, 600));
   EXPECT_FALSE(ShowsDraining());
@@ -144,7 +144,7 @@
 TEST_F(OwnReadingTest, AgeOfAPublishedListCountsFromItsRequest) {
   ASSERT_TRUE(node_.Publish(9000, 7500, {5, 4, List(true)}));
   EXPECT_EQ(node_.endpoints_read_age(9000), 1500);
-  node_.Confirm(9500, 9100, 5);
+  node_.ConfirmListUnchanged(9500, 9100, 5);
   EXPECT_EQ(node_.endpoints_read_age(9500), 400);
 }
 
@@ -173,7 +173,7 @@
   Millis asked = base::SteadyMillis();
   Millis reading_at = -1;
   client.Read([&](base::Result<discovery::Reading> reading) {
-    if (reading) reading_at = reading->asked_at;
+    if (reading) reading_at = reading->requested_at;
     loop.Stop();
   });
   loop.Run();
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -75,7 +75,7 @@
     }
   }
   // Requests the drain of one more zone. No drain is reverted in these tests.
-  void OrderDrain() {
+  void RequestDrain() {
     drains_.push_back({"drained-" + std::to_string(drains_.size()), -1});
     if (!world_->DrainZone(drains_.back().first, true)) drains_.pop_back();
   }
@@ -188,7 +188,7 @@
       world.Start(victim);
     }
     world.Change();
-    if (change % 5 == 1) staleness.OrderDrain();
+    if (change % 5 == 1) staleness.RequestDrain();
     if (change % 9 == 3) staleness.ChangeList();
     staleness.Run(kBetweenChanges, true);
   }
--- a/tests/dissemination/sync_test.cc
+++ b/tests/dissemination/sync_test.cc
@@ -162,7 +162,7 @@
   EXPECT_EQ(disseminator.log_age(30), 10);
   disseminator.RejectConfiguration();
   SyncReply reply;
-  reply.asked_at = 40;
+  reply.requested_at = 40;
   reply.age_ms = 0;
   reply.versions = {7, 0, 0};
   disseminator.TakeEffects();
@@ -210,7 +210,7 @@
   struct Case {
     int64_t has;
     size_t sent;
-    bool follows;
+    bool over_connection;
   } cases[] = {{4, 0, false}, {3, 1, true}, {1, 3, true}, {0, 0, false}};
   for (const Case& c : cases) {
     SyncRequest request;
@@ -219,7 +219,7 @@
     Disseminator::Effects effects = disseminator.TakeEffects();
     EXPECT_EQ(effects.configuration_updates.size(), c.sent) << c.has;
     ASSERT_EQ(effects.sync_replies.size(), 1u);
-    EXPECT_EQ(effects.sync_replies[0].follows, c.follows) << c.has;
+    EXPECT_EQ(effects.sync_replies[0].over_connection, c.over_connection) << c.has;
     EXPECT_EQ(effects.sync_replies[0].reply.versions.revision, 4);
   }
 }
--- a/tests/forwarding/slow_start_test.cc
+++ b/tests/forwarding/slow_start_test.cc
@@ -37,7 +37,7 @@
     discovery::Server in_slow_start{"cold", "s", "10.0.0.1:80", "here", "v1", 2, false, 0, 0};
     auto start = [&](size_t i, base::Millis now, base::Millis slow_start_until) {
       proxies[i] = std::make_unique<LoadBalancer>(options, &names, &regions, random.Next());
-      in_slow_start.warm_at = slow_start_until;
+      in_slow_start.slow_start_until = slow_start_until;
       proxies[i]->SetSlowStartRate(names.Intern("s"), kPerS);
       proxies[i]->Adopt(now, MakeSnapshot({in_slow_start}));
       proxies[i]->SetZoneProxies(now, {all[i], all, {}});
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -62,7 +62,7 @@
   for (const Case& c : cases) {
     Confirmation confirmation(1000);
     std::vector<uint64_t> nonces;
-    for (Millis at : c.asked) nonces.push_back(confirmation.Ask(at).nonce);
+    for (Millis at : c.asked) nonces.push_back(confirmation.NewRequest(at).nonce);
     for (const Reply& r : c.replies) {
       ConfirmReply reply;
       reply.nonce = r.question < 0 ? 999 : nonces[static_cast<size_t>(r.question)];
@@ -70,7 +70,7 @@
       reply.versions = r.versions;
       EXPECT_FALSE(confirmation.OnReply(r.at, reply)) << c.name;
     }
-    EXPECT_EQ(confirmation.Holds(c.at, c.held), c.holds) << c.name;
+    EXPECT_EQ(confirmation.IsCurrent(c.at, c.held), c.holds) << c.name;
   }
 }
 
@@ -79,12 +79,12 @@
 TEST(Confirmation, RedirectsTheQuestionToTheLeaderThatAReplyNames) {
   Confirmation confirmation(7);
   ConfirmReply reply;
-  reply.nonce = confirmation.Ask(0).nonce;
+  reply.nonce = confirmation.NewRequest(0).nonce;
   EXPECT_FALSE(confirmation.OnReply(10, reply));  // no leader is named
   reply.leader_ip = "10.0.0.3";
   reply.leader_port = 7200;
   EXPECT_EQ(confirmation.OnReply(20, reply)->ip, "10.0.0.3");
-  EXPECT_FALSE(confirmation.Holds(20, {9, 9, 9}));
+  EXPECT_FALSE(confirmation.IsCurrent(20, {9, 9, 9}));
   EXPECT_FALSE(confirmation.OnReply(5000, reply));  // the question has expired
 }
 
--- a/tests/simulation/simulation.cc
+++ b/tests/simulation/simulation.cc
@@ -99,7 +99,7 @@
   for (auto& [to, m] : effects.digests) Send(i, to, m);
   for (auto& [to, m] : effects.pulls) Send(i, to, m);
   for (auto& [to, m] : effects.sync_requests) Send(i, to, m);
-  for (auto& reply : effects.sync_replies) Send(i, reply.to, reply.reply, !reply.follows);
+  for (auto& reply : effects.sync_replies) Send(i, reply.to, reply.reply, !reply.over_connection);
   for (auto& [to, m] : effects.configuration_updates) Send(i, to, m);
   for (auto& [to, m] : effects.endpoint_updates) Send(i, to, m);
   for (auto& [to, m] : effects.zone_drains) Send(i, to, m);
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -240,7 +240,7 @@
       membership::PartDigests, membership::MembershipSummary, dissemination::Digest,
       dissemination::PullRequest, dissemination::ConfigurationUpdate, dissemination::EndpointUpdate,
       dissemination::ZoneDrainUpdate, singleton::Resignation, dissemination::RolloutUpdate,
-      rollout::ProxyReport, rollout::LeaseRenewal, rollout::Vote, dissemination::Confirm,
+      rollout::ProxyReport, rollout::LeaseRenewal, rollout::Vote, dissemination::ConfirmRequest,
       dissemination::ConfirmReply, dissemination::SyncRequest, dissemination::SyncReply>;
   struct Packet {
     Millis at;
@@ -273,7 +273,7 @@
   // A proxy asks a controller every 100 ms to confirm its versions, until they are confirmed.
   void AskConfirmation(size_t i);
 
-  void OnConfirm(size_t i, const Address& from, const dissemination::Confirm& confirm);
+  void OnConfirm(size_t i, const Address& from, const dissemination::ConfirmRequest& confirm);
 
   void AnswerConfirm(size_t i, uint64_t token, bool confirmed);
 
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -12,7 +12,7 @@
                                n.disseminator->drained_zones().version(),
                                n.disseminator->rollouts().version()};
   if (n.confirmed_at >= 0) return;
-  if (n.confirmation->Holds(now, held)) {
+  if (n.confirmation->IsCurrent(now, held)) {
     n.confirmed_at = now;
     // The question is at most a second old, so the confirmed state includes every change that was
     // acknowledged before that.
@@ -24,10 +24,10 @@
   }
   if (now % 100 != 0) return;
   const Address& to = nodes_[n.asked++ % static_cast<size_t>(options_.controllers)]->address;
-  Send(i, to, n.confirmation->Ask(now));
+  Send(i, to, n.confirmation->NewRequest(now));
 }
 
-void World::OnConfirm(size_t i, const Address& from, const dissemination::Confirm& confirm) {
+void World::OnConfirm(size_t i, const Address& from, const dissemination::ConfirmRequest& confirm) {
   Node& n = *nodes_[i];
   uint64_t token = ++last_id_;
   n.pending_confirms[token] = {from, confirm.nonce};
@@ -163,7 +163,7 @@
   server.id = "list-" + std::to_string(list_version_);
   if (n.sequence && n.disseminator->endpoints().servers.size() == 1 &&
       n.disseminator->endpoints().servers[0].id == server.id) {
-    n.disseminator->Confirm(now, now, n.reader_epoch);
+    n.disseminator->ConfirmListUnchanged(now, now, n.reader_epoch);
   } else {
     n.disseminator->Publish(now, now, {n.reader_epoch, ++n.sequence, {server}});
   }
--- a/tests/simulation/simulation_network.cc
+++ b/tests/simulation/simulation_network.cc
@@ -76,11 +76,11 @@
   }
   if (auto* m = std::get_if<dissemination::ConfirmReply>(&body); m && !n.controller) {
     if (auto leader = n.confirmation->OnReply(now, *m)) {
-      Send(i, *leader, dissemination::Confirm{m->nonce});
+      Send(i, *leader, dissemination::ConfirmRequest{m->nonce});
     }
   }
   if (!n.controller) return;
-  if (auto* m = std::get_if<dissemination::Confirm>(&body)) OnConfirm(i, from, *m);
+  if (auto* m = std::get_if<dissemination::ConfirmRequest>(&body)) OnConfirm(i, from, *m);
   if (auto* m = std::get_if<rollout::ProxyReport>(&body)) {
     bool reporting = n.raft->HasCommittedInTerm() ||
                      (n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200);
