--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -29,10 +29,10 @@
   self.program = program;
   self.zone = settings.zone;
   self.boot_id = base::RandomSeed();
-  self.front = program == Program::kProxy ? settings.front.port : 0;
+  self.client_port = program == Program::kProxy ? settings.front.port : 0;
   self.durable = program == Program::kController && !settings.data_dir.empty();
   options.regions = settings.zones;
-  options.heartbeat = settings.heartbeat_ms;
+  options.heartbeat_interval = settings.heartbeat_ms;
   options.seed = base::RandomSeed();
   return options;
 }
@@ -81,7 +81,7 @@
 }
 
 void ClusterNode::WatchSettings(const std::string& path,
-                                lifecycle::SettingsWatcher::Changed changed) {
+                                lifecycle::SettingsWatcher::OnChange changed) {
   settings_watcher_ = std::make_unique<lifecycle::SettingsWatcher>(
       loop_, path, [changed = std::move(changed)](const base::Settings& settings) {
         base::SetLogLevel(base::ParseLogLevel(settings.log_level, base::LogLevel::kInfo));
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -51,7 +51,7 @@
   base::Status Start();
   // Watches the settings file at `path`: calls `changed` with the new settings whenever the file
   // changes to valid ones. Sets the log level first.
-  void WatchSettings(const std::string& path, lifecycle::SettingsWatcher::Changed changed);
+  void WatchSettings(const std::string& path, lifecycle::SettingsWatcher::OnChange changed);
   // Announces to the other nodes that this process is stopping.
   void Leave();
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -164,7 +164,7 @@
   if (settings.directory.port == 0) return {};
   directory::Directory::Options options;
   auto max_ttl_s = std::max<int64_t>(1, static_cast<int64_t>(settings.ttl_max_s));
-  options.ttl_most_s = max_ttl_s;
+  options.other_region_ttl_s = max_ttl_s;
   options.ttl_s = std::min(options.ttl_s, max_ttl_s);
   directory_ = std::make_unique<directory::Directory>(options, &context_.node->membership(),
                                                       base::RandomSeed(), base::SteadyMillis());
@@ -577,10 +577,10 @@
   bool departed = !context_.replica->running() || context_.IsExcludedFromLog() ||
                   context_.replica->raft().may_stop();
   rejecting_ = departed || waited >= schedule.last_sixth;
-  if (waited >= schedule.give_up_at) control_server_->AnswerAll(Unavailable(kShuttingDown));
+  if (waited >= schedule.fail_unanswered_at) control_server_->AnswerAll(Unavailable(kShuttingDown));
   bool answered =
       control_server_->busy() == 0 && (!directory_server_ || directory_server_->busy() == 0);
-  bool may_stop = (departed || waited >= schedule.give_up_at) && answered;
+  bool may_stop = (departed || waited >= schedule.fail_unanswered_at) && answered;
   if (!may_stop && waited < schedule.exit_at) {
     stop_timer_.Start(loop_, std::min(kTickIntervalMs, schedule.exit_at - waited),
                       [this, since] { StopWhenDeparted(since); });
--- a/src/directory/directory.cc
+++ b/src/directory/directory.cc
@@ -101,7 +101,7 @@
     size_t known = 0;  // all of these
   } areas[3];
   for (const auto& [id, node] : members_->nodes()) {
-    if (node.program != membership::Program::kProxy || node.front == 0) continue;
+    if (node.program != membership::Program::kProxy || node.client_port == 0) continue;
     if (node.state == membership::State::kLeft) continue;
     Area& area = areas[node.zone == resolution.zone              ? 0
                        : members_->RegionOf(node.zone) == region ? 1
@@ -177,13 +177,13 @@
   w.Key("address-list");
   w.StartArray();
   for (const membership::Node* node : choice.nodes) {
-    w.String(base::Address{node->ip, node->front}.ToString().c_str());
+    w.String(base::Address{node->ip, node->client_port}.ToString().c_str());
   }
   w.EndArray();
   w.Key("ttl-s");
   // A client whose region is lost had to wait until the calls to that region's directories timed
   // out. A longer time to live saves it from waiting again at each renewal.
-  w.Int64(choice.in_other_region ? options_.ttl_most_s : options_.ttl_s);
+  w.Int64(choice.in_other_region ? options_.other_region_ttl_s : options_.ttl_s);
   w.EndObject();
   http::Message answer;
   answer.status = 200;
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -12,7 +12,7 @@
 
 namespace elderkeel::directory {
 
-constexpr int64_t kTtlS = 1;  // default time to live of an answer
+constexpr int64_t kDefaultTtlS = 1;  // default time to live of an answer
 
 // The query of a client's call: the host that it wants to reach, and where the client is located.
 struct Resolution {
@@ -33,8 +33,9 @@
  public:
   struct Options {
     size_t max_addresses = 64;  // in an answer
-    int64_t ttl_s = kTtlS;
-    int64_t ttl_most_s = kTtlS;  // of an answer that sends a client to another region
+    int64_t ttl_s = kDefaultTtlS;
+    int64_t other_region_ttl_s =
+        kDefaultTtlS;  // of an answer that sends a client to another region
     // For this long after the start, requests are answered 503 if no usable proxy is known, since
     // the membership may not list the usable ones yet. Later, other proxies are named instead.
     base::Millis startup_wait = 1000;
--- a/src/forwarding/load_sharing.cc
+++ b/src/forwarding/load_sharing.cc
@@ -9,7 +9,7 @@
 
 uint32_t LoadSharing::KeyOf(uint32_t service) {
   for (auto i = static_cast<uint32_t>(keys_.size()); i <= service; ++i) {
-    keys_.push_back(load::Key(services_->Name(i)));
+    keys_.push_back(load::NameKey(services_->Name(i)));
   }
   return keys_[service];
 }
@@ -30,9 +30,9 @@
   std::vector<load::ZoneCapacity> capacities;
   capacities.reserve(zones.size());
   for (const auto& [zone, slots] : zones) {
-    uint32_t key = load::Key(balancer_->ZoneName(zone));
+    uint32_t key = load::NameKey(balancer_->ZoneName(zone));
     capacities.push_back(
-        {slots, tracker_.Of(now, key, KeyOf(service), balancer_->proxies_in_zone())});
+        {slots, tracker_.AttemptsInFlight(now, key, KeyOf(service), balancer_->proxies_in_zone())});
   }
   std::vector<double> fractions = load::SplitByCapacity(capacities, 0, kHomeZoneShare);
   for (size_t i = 0; i < fractions.size(); ++i) {
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -69,7 +69,7 @@
     base::Millis elapsed = now - left_at_;
     bool noticed = elapsed >= schedule_.notice_until;
     if ((noticed && busy == 0) || elapsed >= schedule_.exit_at) return Phase::kStopped;
-    if (elapsed >= schedule_.give_up_at) return Phase::kAnswering;
+    if (elapsed >= schedule_.fail_unanswered_at) return Phase::kAnswering;
     if (elapsed >= schedule_.accept_until) return Phase::kRejecting;
     return noticed ? Phase::kDraining : Phase::kNotReady;
   }
@@ -82,8 +82,8 @@
   // REQUIRES: leaving()
   base::Millis UntilNextPhase(base::Millis now, base::Millis max_wait) const {
     base::Millis elapsed = now - left_at_;
-    for (base::Millis begin : {schedule_.notice_until, schedule_.accept_until, schedule_.give_up_at,
-                               schedule_.exit_at}) {
+    for (base::Millis begin : {schedule_.notice_until, schedule_.accept_until,
+                               schedule_.fail_unanswered_at, schedule_.exit_at}) {
       if (begin > elapsed) max_wait = std::min(max_wait, begin - elapsed);
     }
     return max_wait;
--- a/src/lifecycle/settings_watcher.cc
+++ b/src/lifecycle/settings_watcher.cc
@@ -10,7 +10,7 @@
 constexpr base::Millis kCheckIntervalMs = 2000;
 }  // namespace
 
-SettingsWatcher::SettingsWatcher(base::Loop* loop, std::string path, Changed changed)
+SettingsWatcher::SettingsWatcher(base::Loop* loop, std::string path, OnChange changed)
     : path_(std::move(path)), changed_(std::move(changed)) {
   if (auto text = base::ReadFile(path_)) text_ = *text;
   loop->OnSignal(SIGHUP, [this] { Check(Cause::kSignal); });
--- a/src/lifecycle/settings_watcher.h
+++ b/src/lifecycle/settings_watcher.h
@@ -14,16 +14,16 @@
 class SettingsWatcher {
  public:
   // Called with the new settings after each valid change of the file.
-  using Changed = std::function<void(const base::Settings&)>;
+  using OnChange = std::function<void(const base::Settings&)>;
 
-  SettingsWatcher(base::Loop* loop, std::string path, Changed changed);
+  SettingsWatcher(base::Loop* loop, std::string path, OnChange changed);
 
  private:
   enum class Cause : uint8_t { kSignal, kTimer };
   void Check(Cause cause);
 
   std::string path_;
-  Changed changed_;
+  OnChange changed_;
   std::string text_;  // contents of the file when it was last read
   base::Timer timer_;
 };
--- a/src/lifecycle/shutdown_schedule.h
+++ b/src/lifecycle/shutdown_schedule.h
@@ -12,7 +12,7 @@
 // server is still processing it in the last sixth of the grace time. So requests are accepted only
 // while they may still be failed, and none is failed before the last sixth.
 //
-// Invariant, for any grace time: accept_until < last_sixth < give_up_at < exit_at < grace.
+// Invariant, for any grace time: accept_until < last_sixth < fail_unanswered_at < exit_at < grace.
 struct ShutdownSchedule {
   // How long after SIGTERM a request may be sent and still be failed by the shutdown.
   static constexpr base::Millis kLastCuttableRequestMs = 3000;
@@ -25,14 +25,14 @@
         accept_until(std::min(kLastCuttableRequestMs, grace / 2) * 11 / 12),
         last_sixth(grace - grace / 6),
         // Half of the last sixth is for answers from servers, half for the process's own.
-        give_up_at(grace - grace / 12),
+        fail_unanswered_at(grace - grace / 12),
         exit_at(grace - grace / 60) {}
 
   base::Millis notice_until;  // until then the process stays even if idle: clients may still come
   base::Millis accept_until;  // later requests are rejected
   base::Millis last_sixth;    // start of the last sixth of the grace time
-  base::Millis give_up_at;    // requests whose answer has not begun are failed
-  base::Millis exit_at;       // the process ends, even with requests in flight
+  base::Millis fail_unanswered_at;  // requests whose answer has not begun are failed
+  base::Millis exit_at;             // the process ends, even with requests in flight
 };
 
 }  // namespace elderkeel::lifecycle
--- a/src/load/load_tracker.cc
+++ b/src/load/load_tracker.cc
@@ -13,7 +13,7 @@
 constexpr size_t kMaxReportEntries = 256;       // zones, and services of each zone
 }  // namespace
 
-uint32_t Key(const std::string& name) { return static_cast<uint32_t>(base::Hash(name)); }
+uint32_t NameKey(const std::string& name) { return static_cast<uint32_t>(base::Hash(name)); }
 
 void LoadTracker::Count(base::Millis now, uint32_t service, int change) {
   OwnLoad& load = own_loads_[service];
@@ -102,8 +102,8 @@
   }
 }
 
-double LoadTracker::Of(base::Millis now, uint32_t zone, uint32_t service,
-                       size_t own_proxies) const {
+double LoadTracker::AttemptsInFlight(base::Millis now, uint32_t zone, uint32_t service,
+                                     size_t own_proxies) const {
   if (zone == zone_) {
     auto at = own_means_.find(service);
     return at == own_means_.end() ? 0 : at->second * static_cast<double>(own_proxies);
--- a/src/load/load_tracker.h
+++ b/src/load/load_tracker.h
@@ -14,10 +14,10 @@
 // The load that the clients of one zone put on each service: attempts in flight for each proxy of
 // the zone, averaged over its proxies.
 struct ZoneLoad {
-  uint32_t zone = 0;                              // Key() of the zone's name
+  uint32_t zone = 0;                              // NameKey() of the zone's name
   uint32_t age_ms = 0;                            // since the zone's own proxies reported it
   uint16_t proxies = 0;                           // in the zone
-  std::vector<std::pair<uint32_t, float>> means;  // Key() of the service's name, and its mean
+  std::vector<std::pair<uint32_t, float>> means;  // NameKey() of the service's name, and its mean
   template <class A>
   void serialize(A& a) {
     a(zone, age_ms, proxies, means);
@@ -28,7 +28,7 @@
 using LoadReport = std::vector<ZoneLoad>;
 
 // A hash of the name of a zone or service, which stands for the name in load reports.
-uint32_t Key(const std::string& name);
+uint32_t NameKey(const std::string& name);
 
 // Estimates the load of each zone by gossip averaging, since no proxy sees what the other proxies
 // of its zone send to the same servers. Each proxy keeps an estimate of its zone's mean load for
@@ -39,7 +39,7 @@
 // machine.
 class LoadTracker {
  public:
-  explicit LoadTracker(const std::string& zone) : zone_(Key(zone)) {}
+  explicit LoadTracker(const std::string& zone) : zone_(NameKey(zone)) {}
 
   // An attempt for the service was sent to a server, or has ended.
   void Begin(base::Millis now, uint32_t service) { Count(now, service, 1); }
@@ -57,7 +57,8 @@
   // Returns the attempts in flight for the service from all proxies of the zone, or a negative
   // value if there is no recent report of the zone. `own_proxies`: the number of proxies in this
   // zone.
-  double Of(base::Millis now, uint32_t zone, uint32_t service, size_t own_proxies) const;
+  double AttemptsInFlight(base::Millis now, uint32_t zone, uint32_t service,
+                          size_t own_proxies) const;
 
  private:
   // This proxy's own load on one service.
@@ -79,9 +80,10 @@
   uint32_t zone_;
   base::Millis tick_at_ = 0;
   bool has_ticked_ = false;                // own_means_ includes this proxy's own load
-  std::map<uint32_t, OwnLoad> own_loads_;  // by Key() of the service
-  std::map<uint32_t, double> own_means_;   // estimated mean of this zone, by Key() of the service
-  std::map<uint32_t, ZoneReport> other_zones_;  // by Key() of the zone
+  std::map<uint32_t, OwnLoad> own_loads_;  // by NameKey() of the service
+  std::map<uint32_t, double>
+      own_means_;  // estimated mean of this zone, by NameKey() of the service
+  std::map<uint32_t, ZoneReport> other_zones_;  // by NameKey() of the zone
 };
 
 // The capacity of one zone's servers for one service, and the load from the zone's clients.
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -46,7 +46,7 @@
 }
 
 void Membership::SendHeartbeats(base::Millis now) {
-  next_heartbeat_at_ = now + options_.heartbeat;
+  next_heartbeat_at_ = now + options_.heartbeat_interval;
   ++heartbeat_count_;
   if (table_.TakeRingChanged()) UpdateMonitors(now);
   Heartbeat heartbeat{self_.id, self_.boot_id, self_.incarnation, Digest()};
@@ -92,7 +92,8 @@
 
 void Membership::SuspectUnresponsiveNodes(base::Millis now) {
   for (const auto& [id, last] : last_heartbeat_at_) {
-    base::Millis timeout = options_.heartbeat * options_.missed_heartbeats * monitored_.at(id);
+    base::Millis timeout =
+        options_.heartbeat_interval * options_.missed_heartbeats * monitored_.at(id);
     if (now - last <= timeout) continue;
     Node node = *table_.Find(id);
     if (IsSuspectedBySelf(node)) continue;
@@ -112,7 +113,8 @@
   for (auto suspicion = suspected_at_.begin(); suspicion != suspected_at_.end();) {
     Node node = *table_.Find(suspicion->first);
     bool active = node.state == State::kSuspect && IsSuspectedBySelf(node);
-    bool expired = now - suspicion->second > options_.heartbeat * options_.missed_heartbeats;
+    bool expired =
+        now - suspicion->second > options_.heartbeat_interval * options_.missed_heartbeats;
     if (active && expired) {
       node.state = State::kDead;
       StoreAndAnnounce(node);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -30,7 +30,7 @@
 void Membership::Tick(base::Millis now) {
   base::Millis gap = now - now_;
   now_ = now;
-  if (gap > options_.heartbeat * 2) {
+  if (gap > options_.heartbeat_interval * 2) {
     // This process was suspended. Heartbeats that it missed meanwhile must not make it suspect
     // others, so the timeouts start again.
     for (auto& [id, last] : last_heartbeat_at_) last = now;
@@ -166,7 +166,7 @@
   // large in a large cluster.
   size_t turn = next_seed_++;
   size_t own_controllers = self_.program == Program::kController ? 1 : 0;
-  bool no_controller = CountAlive(Program::kController) == own_controllers;
+  bool no_controller = CountReachable(Program::kController) == own_controllers;
   if (!alone && !unknown.empty()) {
     SendUpdate(unknown[turn % unknown.size()], MembershipUpdate{{self_}, {}});
   } else if (alone || no_controller) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -41,7 +41,7 @@
  public:
   struct Options {
     Node self;
-    base::Millis heartbeat = 250;  // interval
+    base::Millis heartbeat_interval = 250;
     int missed_heartbeats = 5;  // intervals without a heartbeat until a monitor suspects the node
     // Region by zone. All zones that are not listed form one region of their own.
     std::map<std::string, std::string> regions;
@@ -94,7 +94,7 @@
   // suspected if none is alive. Nodes of this process's zone are nearer than all others.
   std::optional<base::Address> NearestDurable(bool include_suspected) const;
   // The number of nodes that are alive or suspected, this process included.
-  size_t CountAlive(Program program) const { return table_.CountReachable(program); }
+  size_t CountReachable(Program program) const { return table_.CountReachable(program); }
   // The number of nodes that have not left, dead ones included: a node that was declared dead may
   // be on the other side of a partition and still run.
   size_t CountNotLeft(Program program) const { return table_.CountNotLeft(program); }
--- a/src/membership/node.h
+++ b/src/membership/node.h
@@ -33,7 +33,7 @@
   uint32_t incarnation = 0;
   State state = State::kAlive;
   std::vector<uint64_t> suspecters;  // ids of the monitors that suspect it, sorted
-  uint16_t front = 0;                // the port on which a proxy accepts clients
+  uint16_t client_port = 0;          // the port on which a proxy accepts clients
   bool ready = false;                // whether clients may be sent to this proxy
   bool durable = false;              // whether this is a controller with a disk
 
@@ -45,7 +45,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, transport::Short(ip), port, program, transport::Short(zone), boot_id, incarnation,
-            state, suspecters, front, ready, durable);
+            state, suspecters, client_port, ready, durable);
   }
 };
 
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -21,7 +21,7 @@
   lifecycle::Lifecycle::Options options;
   options.grace = settings.GraceMs();
   if (settings.entry == "directory") {
-    options.notice = directory::kTtlS * 1000 * kDirectoryCacheFactor;
+    options.notice = directory::kDefaultTtlS * 1000 * kDirectoryCacheFactor;
   }
   return options;
 }
@@ -158,7 +158,7 @@
 // among the proxies of its zone.
 void Proxy::OnNodesChanged() {
   const membership::Membership& membership = node_->membership();
-  router_->SetProxyCounts(membership.CountAlive(membership::Program::kProxy),
+  router_->SetProxyCounts(membership.CountReachable(membership::Program::kProxy),
                           membership.CountNotLeft(membership::Program::kProxy));
   size_t rank = 0, proxies = 0;
   forwarding::ZoneProxies zone_proxies;
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -203,7 +203,7 @@
   node.incarnation = 3;
   node.state = membership::State::kSuspect;
   node.suspecters = {6, 7};
-  node.front = 8381;
+  node.client_port = 8381;
   node.ready = true;
   node.durable = true;
   golden.AddEncoded("node", node);
@@ -230,7 +230,7 @@
   digest.endpoints_read_age_ms = 6;
   digest.answer = true;
   digest.reliable = true;
-  digest.load = {{load::Key("zone-1"), 10, 3, {{load::Key("service"), 1.5f}}}};
+  digest.load = {{load::NameKey("zone-1"), 10, 3, {{load::NameKey("service"), 1.5f}}}};
   golden.AddEncoded("digest", digest);
   golden.AddEncoded("pull-request", dissemination::PullRequest{1, 2, 3, 4, 5, true});
   golden.AddEncoded("configuration-update", dissemination::ConfigurationUpdate{7, 5, "body"});
--- a/tests/directory/directory_test.cc
+++ b/tests/directory/directory_test.cc
@@ -13,7 +13,7 @@
       : members_(MembershipOptions(), {}, 0), directory_(DirectoryOptions(), &members_, 1, 0) {}
   static Directory::Options DirectoryOptions() {
     Directory::Options options;
-    options.ttl_most_s = 5;
+    options.other_region_ttl_s = 5;
     return options;
   }
   static membership::Membership::Options MembershipOptions() {
@@ -30,7 +30,7 @@
     node.id = 100 + static_cast<uint64_t>(n);
     node.ip = "10.0.0." + std::to_string(n);
     node.port = 7201;
-    node.front = 8080;
+    node.client_port = 8080;
     node.zone = zone;
     node.boot_id = 5;
     node.incarnation = ++incarnation_;
--- a/tests/lifecycle/lifecycle_test.cc
+++ b/tests/lifecycle/lifecycle_test.cc
@@ -89,9 +89,9 @@
       EXPECT_LT(0, schedule.accept_until) << grace;
       EXPECT_LT(schedule.accept_until, schedule.last_sixth) << grace;
       // Time for answers that servers sent before the last sixth, and for writing the last answers.
-      EXPECT_GE(schedule.give_up_at - schedule.last_sixth, grace / 13) << grace;
-      EXPECT_GE(grace - schedule.give_up_at, grace / 13) << grace;
-      EXPECT_LT(schedule.give_up_at, schedule.exit_at) << grace;
+      EXPECT_GE(schedule.fail_unanswered_at - schedule.last_sixth, grace / 13) << grace;
+      EXPECT_GE(grace - schedule.fail_unanswered_at, grace / 13) << grace;
+      EXPECT_LT(schedule.fail_unanswered_at, schedule.exit_at) << grace;
       EXPECT_LT(schedule.exit_at, grace) << grace;
     }
   }
--- a/tests/load/load_tracker_test.cc
+++ b/tests/load/load_tracker_test.cc
@@ -71,7 +71,7 @@
 TEST(LoadTracker, EveryProxyEstimatesTheLoadOfEveryZone) {
   constexpr size_t kZones = 5, kProxies = 40;
   base::Random random(7);
-  uint32_t service = Key("orders");
+  uint32_t service = NameKey("orders");
   struct Node {
     std::unique_ptr<LoadTracker> load;
     int in_flight = 0;
@@ -109,7 +109,7 @@
   auto check = [&](const char* when) {
     for (size_t i = 0; i < nodes.size(); ++i) {
       for (size_t zone = 0; zone < kZones; ++zone) {
-        double seen = nodes[i].load->Of(now, Key(name(zone)), service, kProxies);
+        double seen = nodes[i].load->AttemptsInFlight(now, NameKey(name(zone)), service, kProxies);
         EXPECT_NEAR(seen, truth[zone], truth[zone] * 0.3 + 2)
             << when << ": " << i << " of " << zone;
       }
@@ -127,13 +127,13 @@
   run(8000);
   check("after the change");
   // The load of a zone without recent reports is unknown.
-  EXPECT_LT(nodes[0].load->Of(now + 6000, Key(name(1)), service, kProxies), 0);
+  EXPECT_LT(nodes[0].load->AttemptsInFlight(now + 6000, NameKey(name(1)), service, kProxies), 0);
 }
 
 // The load that a dead proxy reported remains in the estimates of its peers, and must decay.
 TEST(LoadTracker, TheLoadOfADeadProxyDecays) {
   LoadTracker busy("here"), idle("here");
-  uint32_t service = Key("orders");
+  uint32_t service = NameKey("orders");
   base::Millis now = 1000;
   for (int i = 0; i < 10; ++i) busy.Begin(now, service);
   for (int i = 0; i < 60; ++i, now += 400) {
@@ -143,19 +143,20 @@
     idle.MergeReport(now, there);
     busy.MergeReport(now, back);
   }
-  EXPECT_NEAR(idle.Of(now, Key("here"), service, 2), 10, 1.5);
+  EXPECT_NEAR(idle.AttemptsInFlight(now, NameKey("here"), service, 2), 10, 1.5);
   for (int i = 0; i < 60; ++i, now += 400) idle.Tick(now);
-  EXPECT_LT(idle.Of(now, Key("here"), service, 1), 0.1);
+  EXPECT_LT(idle.AttemptsInFlight(now, NameKey("here"), service, 1), 0.1);
 }
 
 TEST(LoadTracker, IgnoresNegativeLoadsAndOversizedReports) {
   LoadTracker load("here");
-  LoadReport report{{Key("there"), 0, 10, {{1, -5.0f}}}, {Key("here"), 0, 10, {{1, -5.0f}}}};
+  LoadReport report{{NameKey("there"), 0, 10, {{1, -5.0f}}},
+                    {NameKey("here"), 0, 10, {{1, -5.0f}}}};
   load.MergeReport(1000, report);
-  EXPECT_EQ(load.Of(1000, Key("there"), 1, 10), 0);
-  EXPECT_EQ(load.Of(1000, Key("here"), 1, 10), 0);
+  EXPECT_EQ(load.AttemptsInFlight(1000, NameKey("there"), 1, 10), 0);
+  EXPECT_EQ(load.AttemptsInFlight(1000, NameKey("here"), 1, 10), 0);
   load.MergeReport(1000, LoadReport(1000, ZoneLoad{5, 0, 10, {{1, 9.0f}}}));
-  EXPECT_LT(load.Of(1000, 5, 1, 10), 0);
+  EXPECT_LT(load.AttemptsInFlight(1000, 5, 1, 10), 0);
 }
 
 }  // namespace
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -97,7 +97,7 @@
 }
 
 // A node that was declared dead may run on the other side of a partition. Limits that all nodes
-// share are split by CountNotLeft(), which must include it; CountAlive() must not.
+// share are split by CountNotLeft(), which must include it; CountReachable() must not.
 TEST(MembershipTest, CountsDeadNodesAsNotLeftButNotAsAlive) {
   Membership m(OptionsOf(Member(0, 2), 1), {}, 0);
   MembershipUpdate update;
@@ -107,7 +107,7 @@
     update.nodes.back().state = states[i];
   }
   m.OnMembershipUpdate(0, base::Address(), update);
-  EXPECT_EQ(m.CountAlive(Program::kProxy), 3u);
+  EXPECT_EQ(m.CountReachable(Program::kProxy), 3u);
   EXPECT_EQ(m.CountNotLeft(Program::kProxy), 5u);
 }
 
