--- a/src/cluster/cluster_node.cc
+++ b/src/cluster/cluster_node.cc
@@ -67,9 +67,8 @@
       settings_(settings),
       callbacks_(std::move(callbacks)),
       mesh_(loop, {settings.ip, PortOf(settings, program)},
-            [this](const base::Address& from, transport::Kind kind, std::string_view payload) {
-              OnMessage(from, kind, payload);
-            }),
+            [this](const base::Address& from, transport::MessageKind kind,
+                   std::string_view payload) { OnMessage(from, kind, payload); }),
       membership_(MembershipOptions(settings, program), SeedNodes(settings, program),
                   base::SteadyMillis()),
       disseminator_(DisseminatorOptions(settings, program), &membership_, base::SteadyMillis()) {}
@@ -213,7 +212,7 @@
                          "the message can't be decoded; the peer may run an incompatible version"});
 }
 
-void ClusterNode::OnMessage(const base::Address& from, transport::Kind kind,
+void ClusterNode::OnMessage(const base::Address& from, transport::MessageKind kind,
                             std::string_view payload) {
   base::Millis now = base::SteadyMillis();
   bool handled = OnMembershipMessage(now, from, kind, payload) ||
@@ -223,23 +222,23 @@
 }
 
 bool ClusterNode::OnMembershipMessage(base::Millis now, const base::Address& from,
-                                      transport::Kind kind, std::string_view payload) {
+                                      transport::MessageKind kind, std::string_view payload) {
   switch (kind) {
-    case transport::Kind::kHeartbeat:
+    case transport::MessageKind::kHeartbeat:
       DecodeAndHandle<membership::Heartbeat>(
           from, payload, [&](const auto& message) { membership_.OnHeartbeat(now, from, message); });
       return true;
-    case transport::Kind::kMembershipUpdate:
+    case transport::MessageKind::kMembershipUpdate:
       DecodeAndHandle<membership::MembershipUpdate>(from, payload, [&](const auto& message) {
         membership_.OnMembershipUpdate(now, from, message);
       });
       return true;
-    case transport::Kind::kPartDigests:
+    case transport::MessageKind::kPartDigests:
       DecodeAndHandle<membership::PartDigests>(from, payload, [&](const auto& message) {
         membership_.OnPartDigests(now, from, message);
       });
       return true;
-    case transport::Kind::kSummary:
+    case transport::MessageKind::kSummary:
       DecodeAndHandle<membership::MembershipSummary>(
           from, payload, [&](const auto& message) { membership_.OnSummary(now, from, message); });
       return true;
@@ -249,43 +248,43 @@
 }
 
 bool ClusterNode::OnDisseminationMessage(base::Millis now, const base::Address& from,
-                                         transport::Kind kind, std::string_view payload) {
+                                         transport::MessageKind kind, std::string_view payload) {
   switch (kind) {
-    case transport::Kind::kDigest:
+    case transport::MessageKind::kDigest:
       DecodeAndHandle<Digest>(from, payload,
                               [&](const auto& message) { OnDigest(now, from, message); });
       return true;
-    case transport::Kind::kPullRequest:
+    case transport::MessageKind::kPullRequest:
       DecodeAndHandle<dissemination::PullRequest>(from, payload, [&](const auto& message) {
         disseminator_.OnPullRequest(now, from, message);
       });
       return true;
-    case transport::Kind::kSyncRequest:
+    case transport::MessageKind::kSyncRequest:
       DecodeAndHandle<dissemination::SyncRequest>(from, payload, [&](const auto& message) {
         disseminator_.OnSyncRequest(now, from, message);
       });
       return true;
-    case transport::Kind::kSyncReply:
+    case transport::MessageKind::kSyncReply:
       DecodeAndHandle<dissemination::SyncReply>(from, payload, [&](const auto& message) {
         disseminator_.OnSyncReply(now, from, message);
       });
       return true;
-    case transport::Kind::kConfigurationUpdate:
+    case transport::MessageKind::kConfigurationUpdate:
       DecodeAndHandle<dissemination::ConfigurationUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnConfigurationUpdate(now, from, message);
       });
       return true;
-    case transport::Kind::kEndpointUpdate:
+    case transport::MessageKind::kEndpointUpdate:
       DecodeAndHandle<dissemination::EndpointUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnEndpointUpdate(now, from, message);
       });
       return true;
-    case transport::Kind::kZoneDrainUpdate:
+    case transport::MessageKind::kZoneDrainUpdate:
       DecodeAndHandle<dissemination::ZoneDrainUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnZoneDrainUpdate(now, from, message);
       });
       return true;
-    case transport::Kind::kRolloutUpdate:
+    case transport::MessageKind::kRolloutUpdate:
       DecodeAndHandle<dissemination::RolloutUpdate>(from, payload, [&](const auto& message) {
         disseminator_.OnRolloutUpdate(now, from, message);
       });
@@ -307,7 +306,7 @@
 
 // --- sending ---
 
-void ClusterNode::SendDatagramOrStream(const base::Address& to, transport::Kind kind,
+void ClusterNode::SendDatagramOrStream(const base::Address& to, transport::MessageKind kind,
                                        const std::string& bytes) {
   bool sent =
       bytes.size() <= kMaxDatagramBytes && mesh_.SendDatagram(to, kind, std::string_view(bytes));
@@ -315,14 +314,14 @@
 }
 
 template <class Message>
-void ClusterNode::SendUpdate(const base::Address& to, transport::Kind kind,
+void ClusterNode::SendUpdate(const base::Address& to, transport::MessageKind kind,
                              const Message& message) {
   if (!mesh_.Send(to, kind, message)) disseminator_.OnSendFailed(to);
 }
 
 template <class Message>
-void ClusterNode::SendSync(const base::Address& to, transport::Kind kind, const Message& message,
-                           bool reliable) {
+void ClusterNode::SendSync(const base::Address& to, transport::MessageKind kind,
+                           const Message& message, bool reliable) {
   if (reliable || !mesh_.SendDatagram(to, kind, message)) mesh_.Send(to, kind, message);
 }
 
@@ -333,7 +332,7 @@
     digest.load = std::move(reply_report_.second);
     reply_report_ = {};
   }
-  SendSync(to, transport::Kind::kDigest, digest, digest.reliable);
+  SendSync(to, transport::MessageKind::kDigest, digest, digest.reliable);
 }
 
 void ClusterNode::SendMembershipUpdate(const base::Address& to,
@@ -345,47 +344,48 @@
                          [&self](const membership::Node& node) { return node.id == self.id; });
   std::string bytes = transport::Encode(update);
   if (own && self.incarnation > 1) {
-    mesh_.Send(to, transport::Kind::kMembershipUpdate, std::string_view(bytes));
+    mesh_.Send(to, transport::MessageKind::kMembershipUpdate, std::string_view(bytes));
   } else {
-    SendDatagramOrStream(to, transport::Kind::kMembershipUpdate, bytes);
+    SendDatagramOrStream(to, transport::MessageKind::kMembershipUpdate, bytes);
   }
 }
 
 void ClusterNode::SendMembership(const Membership::Effects& effects) {
   for (const auto& [to, heartbeat] : effects.heartbeats) {
-    mesh_.SendDatagram(to, transport::Kind::kHeartbeat, heartbeat);
+    mesh_.SendDatagram(to, transport::MessageKind::kHeartbeat, heartbeat);
   }
   for (const auto& [to, update] : effects.updates) SendMembershipUpdate(to, update);
   for (const auto& [to, digests] : effects.part_digests) {
-    mesh_.SendDatagram(to, transport::Kind::kPartDigests, digests);
+    mesh_.SendDatagram(to, transport::MessageKind::kPartDigests, digests);
   }
   for (const auto& [to, summary] : effects.summaries) {
-    SendDatagramOrStream(to, transport::Kind::kSummary, transport::Encode(summary));
+    SendDatagramOrStream(to, transport::MessageKind::kSummary, transport::Encode(summary));
   }
 }
 
 void ClusterNode::SendUpdates(Disseminator::Effects* effects) {
   for (auto& [to, digest] : effects->digests) SendDigest(to, std::move(digest));
-  for (const auto& [to, pull] : effects->pulls) mesh_.Send(to, transport::Kind::kPullRequest, pull);
+  for (const auto& [to, pull] : effects->pulls)
+    mesh_.Send(to, transport::MessageKind::kPullRequest, pull);
   // Roll-outs go before endpoints: a node that has the servers without the roll-outs could send
   // requests to versions that may not receive them.
   for (const auto& [to, update] : effects->rollouts) {
-    SendUpdate(to, transport::Kind::kRolloutUpdate, update);
+    SendUpdate(to, transport::MessageKind::kRolloutUpdate, update);
   }
   for (const auto& [to, update] : effects->configuration_updates) {
-    SendUpdate(to, transport::Kind::kConfigurationUpdate, update);
+    SendUpdate(to, transport::MessageKind::kConfigurationUpdate, update);
   }
   for (const auto& [to, update] : effects->endpoint_updates) {
-    SendUpdate(to, transport::Kind::kEndpointUpdate, update);
+    SendUpdate(to, transport::MessageKind::kEndpointUpdate, update);
   }
   for (const auto& [to, update] : effects->zone_drains) {
-    SendUpdate(to, transport::Kind::kZoneDrainUpdate, update);
+    SendUpdate(to, transport::MessageKind::kZoneDrainUpdate, update);
   }
   for (const auto& [to, request] : effects->sync_requests) {
-    SendSync(to, transport::Kind::kSyncRequest, request, request.reliable);
+    SendSync(to, transport::MessageKind::kSyncRequest, request, request.reliable);
   }
   for (const auto& reply : effects->sync_replies) {
-    SendSync(reply.to, transport::Kind::kSyncReply, reply.reply, reply.over_connection);
+    SendSync(reply.to, transport::MessageKind::kSyncReply, reply.reply, reply.over_connection);
   }
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -38,7 +38,7 @@
     // A peer's digest carried this load report.
     std::function<void(const load::LoadReport&)> load_report_received;
     // A message that neither the membership nor the disseminator handles.
-    std::function<void(const base::Address&, transport::Kind, std::string_view)> message;
+    std::function<void(const base::Address&, transport::MessageKind, std::string_view)> message;
   };
 
   // `settings` outlives this object.
@@ -94,18 +94,18 @@
   void SetReady(bool ready);
   // Sends an encoded message: as a datagram if it fits into one, which needs no connection to a
   // node that may have failed, otherwise over a connection.
-  void SendDatagramOrStream(const base::Address& to, transport::Kind kind,
+  void SendDatagramOrStream(const base::Address& to, transport::MessageKind kind,
                             const std::string& bytes);
   // The controllers to contact, in order: the reachable ones with a disk, then those without,
   // within each those of this node's zone first; then the seeds that are not among them.
   std::vector<base::Address> ControllersToContact() const;
 
  private:
-  void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
-  bool OnMembershipMessage(base::Millis now, const base::Address& from, transport::Kind kind,
+  void OnMessage(const base::Address& from, transport::MessageKind kind, std::string_view payload);
+  bool OnMembershipMessage(base::Millis now, const base::Address& from, transport::MessageKind kind,
                            std::string_view payload);
-  bool OnDisseminationMessage(base::Millis now, const base::Address& from, transport::Kind kind,
-                              std::string_view payload);
+  bool OnDisseminationMessage(base::Millis now, const base::Address& from,
+                              transport::MessageKind kind, std::string_view payload);
   // Decodes a message and passes it to `handler`; logs and drops one that can't be decoded.
   template <class Message, class Handler>
   void DecodeAndHandle(const base::Address& from, std::string_view payload, Handler handler);
@@ -123,9 +123,9 @@
   void ReportAdopted(const dissemination::Disseminator::Effects& effects);
   void SendDigest(const base::Address& to, dissemination::Digest digest);
   template <class Message>
-  void SendUpdate(const base::Address& to, transport::Kind kind, const Message& message);
+  void SendUpdate(const base::Address& to, transport::MessageKind kind, const Message& message);
   template <class Message>
-  void SendSync(const base::Address& to, transport::Kind kind, const Message& message,
+  void SendSync(const base::Address& to, transport::MessageKind kind, const Message& message,
                 bool reliable);
 
   base::Loop* loop_;
--- a/src/configuration/configuration_state.h
+++ b/src/configuration/configuration_state.h
@@ -16,10 +16,10 @@
 namespace elderkeel::configuration {
 
 // The maximum size of a change and of the resulting document, in bytes. An accepted document is
-// sent to every controller and proxy in one frame, so half of transport::kMaxFrame stays free for
-// what the messages add to it.
+// sent to every controller and proxy in one frame, so half of transport::kMaxFrameBytes stays free
+// for what the messages add to it.
 constexpr size_t kMaxDocumentBytes = 4u << 20;
-static_assert(kMaxDocumentBytes <= transport::kMaxFrame / 2);
+static_assert(kMaxDocumentBytes <= transport::kMaxFrameBytes / 2);
 
 // The accepted configuration and the changes that led to it, as a deterministic state machine on
 // top of the replicated log: the same entries produce the same state on every controller. Each
--- a/src/configuration/routing_table.cc
+++ b/src/configuration/routing_table.cc
@@ -40,8 +40,8 @@
   limits.header_bytes =
       static_cast<size_t>(IntegerOr(json, "max-header-bytes", kDefaultHeaderBytes));
   limits.body_bytes = static_cast<size_t>(IntegerOr(json, "max-body-bytes", kDefaultBodyBytes));
-  limits.header_ms = IntegerOr(json, "header-timeout-ms", limits.header_ms);
-  limits.idle_ms = IntegerOr(json, "idle-timeout-ms", limits.idle_ms);
+  limits.header_timeout_ms = IntegerOr(json, "header-timeout-ms", limits.header_timeout_ms);
+  limits.idle_timeout_ms = IntegerOr(json, "idle-timeout-ms", limits.idle_timeout_ms);
   return limits;
 }
 
--- a/src/controller/catalog_poller.cc
+++ b/src/controller/catalog_poller.cc
@@ -80,7 +80,7 @@
   if (context_->IsLeader()) {
     OnResignation(now, resignation);
   } else if (auto leader = context_->replica->raft().leader()) {
-    context_->node->mesh().Send(leader->address(), transport::Kind::kResign, resignation);
+    context_->node->mesh().Send(leader->address(), transport::MessageKind::kResign, resignation);
   }
 }
 
--- a/src/controller/confirmation_service.cc
+++ b/src/controller/confirmation_service.cc
@@ -30,7 +30,7 @@
     reply.leader_ip = neighbor->ip;
     reply.leader_port = neighbor->port;
   }
-  context_->node->mesh().Send(from, transport::Kind::kConfirmReply, reply);
+  context_->node->mesh().Send(from, transport::MessageKind::kConfirmReply, reply);
 }
 
 void ConfirmationService::OnReadFinished(uint64_t token, bool confirmed) {
@@ -44,7 +44,7 @@
     reply.versions = {state.configuration.revision(), state.drained_zones.version(),
                       state.rollouts.version()};
   }
-  context_->node->mesh().Send(found->second.from, transport::Kind::kConfirmReply, reply);
+  context_->node->mesh().Send(found->second.from, transport::MessageKind::kConfirmReply, reply);
   pending_.erase(found);
 }
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -100,7 +100,7 @@
 
 void Controller::MakeNode() {
   cluster::ClusterNode::Callbacks callbacks;
-  callbacks.message = [this](const base::Address& from, transport::Kind kind,
+  callbacks.message = [this](const base::Address& from, transport::MessageKind kind,
                              std::string_view payload) { OnMessage(from, kind, payload); };
   callbacks.node_changed = [this](const membership::Node& node) {
     if (context_.replica) context_.replica->SetZone(node.ip, node.zone);
@@ -114,7 +114,7 @@
 void Controller::MakeReplica() {
   consensus::Replica::Callbacks callbacks;
   callbacks.send = [this](const base::Address& to, const consensus::Message& message) {
-    context_.node->mesh().Send(to, transport::Kind::kConsensus, message);
+    context_.node->mesh().Send(to, transport::MessageKind::kConsensus, message);
   };
   callbacks.apply = [this](const consensus::Entry& entry) { OnApplied(entry); };
   callbacks.all_applied = [this] { PublishState(); };
@@ -134,7 +134,7 @@
 
 void Controller::MakeOperatorApi() {
   auto answer = [this](uint64_t ticket, const http::Message& message) {
-    control_server_->Answer(ticket, message);
+    control_server_->Respond(ticket, message);
   };
   const ControlState& state = context_.state;
   operator_api_ = std::make_unique<configuration::OperatorApi>(
@@ -151,12 +151,13 @@
     limits.body_bytes = kMaxControlBodyBytes;
     return limits;
   };
-  options.notice_sleep = true;
+  options.detect_suspension = true;
   options.max_connections = kMaxControlConnections;
   control_server_ = std::make_unique<http::HttpServer>(
       loop_, options,
       [this](Ticket ticket, http::Message&& request) { OnRequest(ticket, std::move(request)); });
-  control_server_->OnGone([this](Ticket ticket) { operator_api_->OnCallerDisconnected(ticket); });
+  control_server_->OnClientClosed(
+      [this](Ticket ticket) { operator_api_->OnCallerDisconnected(ticket); });
 }
 
 base::Status Controller::StartDirectory() {
@@ -173,7 +174,7 @@
   server_options.max_connections = static_cast<size_t>(settings.max_fds / 4);
   directory_server_ = std::make_unique<http::HttpServer>(
       loop_, server_options, [this](Ticket ticket, http::Message&& request) {
-        directory_server_->Answer(ticket, directory_->Answer(base::SteadyMillis(), request));
+        directory_server_->Respond(ticket, directory_->Answer(base::SteadyMillis(), request));
       });
   return directory_server_->Listen(settings.directory);
 }
@@ -367,7 +368,7 @@
   if (context_.IsInContactWithLeader(now)) return;
   next_join_at_ = now + kJoinIntervalMs;
   for (const base::Address& address : context_.node->ControllersToContact()) {
-    context_.node->mesh().Send(address, transport::Kind::kJoin, context_.replica->self());
+    context_.node->mesh().Send(address, transport::MessageKind::kJoin, context_.replica->self());
   }
 }
 
@@ -381,7 +382,7 @@
   }
   auto leader = context_.replica->raft().leader();
   if (leader && leader->address() != from && leader->address() != member.address()) {
-    context_.node->mesh().Send(leader->address(), transport::Kind::kJoin, member);
+    context_.node->mesh().Send(leader->address(), transport::MessageKind::kJoin, member);
   }
 }
 
@@ -389,7 +390,7 @@
 
 void Controller::OnRequest(Ticket ticket, http::Message&& request) {
   if (rejecting_) {
-    control_server_->Answer(ticket, Unavailable(kShuttingDown));
+    control_server_->Respond(ticket, Unavailable(kShuttingDown));
     return;
   }
   std::string_view path = request.Path();
@@ -402,7 +403,7 @@
   } else if (path == "/elderkeel/diagnose" || path == "/elderkeel/failures") {
     OnDiagnosisRequest(ticket, request);
   } else {
-    control_server_->Answer(ticket, http::OwnAnswer(404, "no such path"));
+    control_server_->Respond(ticket, http::OwnAnswer(404, "no such path"));
   }
 }
 
@@ -410,7 +411,7 @@
   if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
     RedirectToDurable(ticket, request.target);
   } else if (!context_.replica->running()) {
-    control_server_->Answer(
+    control_server_->Respond(
         ticket,
         http::OwnAnswer(
             503, "this controller is still starting: its replica of the log is not running"));
@@ -424,19 +425,19 @@
       "this controller takes no part in the log: it has no disk, or its store is not open";
   auto durable = context_.node->membership().NearestDurable(false);
   if (!durable) {
-    control_server_->Answer(ticket, Unavailable(reason));
+    control_server_->Respond(ticket, Unavailable(reason));
     return;
   }
   // All controllers use the same control port.
   base::Address control{durable->ip, context_.settings.control.port};
-  control_server_->Answer(ticket, Redirect(reason, control.ToString(), target));
+  control_server_->Respond(ticket, Redirect(reason, control.ToString(), target));
 }
 
 // Only the leader holds the votes. Another controller redirects to it or, if it has no contact with
 // a leader, answers from its own copy of the log's state.
 void Controller::OnRolloutReportRequest(Ticket ticket, const http::Message& request) {
   if (request.method != "GET") {
-    control_server_->Answer(ticket, http::OwnAnswer(405, "GET only"));
+    control_server_->Respond(ticket, http::OwnAnswer(405, "GET only"));
     return;
   }
   if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
@@ -445,7 +446,7 @@
   }
   auto leader = context_.replica->running() ? leader_control_address() : std::nullopt;
   if (!is_leader() && leader) {
-    control_server_->Answer(
+    control_server_->Respond(
         ticket, Redirect("this controller is not the leader: see the Location header", *leader,
                          request.target));
     return;
@@ -463,12 +464,12 @@
                        "no leader with a quorum is known, and this controller's log has no "
                        "roll-out of this service");
   }
-  control_server_->Answer(ticket, answer);
+  control_server_->Respond(ticket, answer);
 }
 
 void Controller::OnStatusRequest(Ticket ticket, const http::Message& request) {
   if (request.method != "GET") {
-    control_server_->Answer(ticket, http::OwnAnswer(405, "GET only"));
+    control_server_->Respond(ticket, http::OwnAnswer(405, "GET only"));
     return;
   }
   diagnosis::Question question;
@@ -484,15 +485,15 @@
   if (question) {
     diagnosis_->Ask(ticket, *question);
   } else {
-    control_server_->Answer(ticket, http::OwnAnswer(400, question.error().reason));
+    control_server_->Respond(ticket, http::OwnAnswer(400, question.error().reason));
   }
 }
 
 // --- messages and time ---
 
-void Controller::OnMessage(const base::Address& from, transport::Kind kind,
+void Controller::OnMessage(const base::Address& from, transport::MessageKind kind,
                            std::string_view payload) {
-  if (kind == transport::Kind::kQueryReply) {
+  if (kind == transport::MessageKind::kQueryReply) {
     if (auto reply = transport::Decode<diagnosis::Reply>(payload))
       diagnosis_->OnReply(from, *reply);
     return;
@@ -500,30 +501,30 @@
   if (!context_.replica->running()) return;
   base::Millis now = base::SteadyMillis();
   switch (kind) {
-    case transport::Kind::kConsensus:
+    case transport::MessageKind::kConsensus:
       if (auto message = transport::Decode<consensus::Message>(payload)) {
         context_.replica->Receive(*message, from);
       }
       break;
-    case transport::Kind::kJoin:
+    case transport::MessageKind::kJoin:
       if (auto member = transport::Decode<consensus::Member>(payload)) OnJoin(from, *member);
       break;
-    case transport::Kind::kConfirm:
+    case transport::MessageKind::kConfirm:
       if (auto confirm = transport::Decode<dissemination::ConfirmRequest>(payload)) {
         confirmations_.OnConfirm(from, *confirm);
       }
       break;
-    case transport::Kind::kResign:
+    case transport::MessageKind::kResign:
       if (auto resignation = transport::Decode<singleton::Resignation>(payload)) {
         catalog_poller_.OnResignation(now, *resignation);
       }
       break;
-    case transport::Kind::kProxyReport:
+    case transport::MessageKind::kProxyReport:
       if (auto report = transport::Decode<rollout::ProxyReport>(payload)) {
         rollouts_->OnProxyReport(from, *report);
       }
       break;
-    case transport::Kind::kVote:
+    case transport::MessageKind::kVote:
       if (auto vote = transport::Decode<rollout::Vote>(payload)) rollouts_->OnVote(now, *vote);
       break;
     default:
@@ -555,14 +556,14 @@
   bool is_reader = catalog_poller_.IsReader();
   if (is_reader) catalog_poller_.Resign(now, "this controller is shutting down");
   context_.stopping = true;
-  if (directory_server_) directory_server_->SetLeaving(true);
+  if (directory_server_) directory_server_->SetDraining(true);
   stop_timer_.Start(loop_, is_reader && is_leader() ? kRoleHandOverMs : 0, [this, now] {
     if (context_.replica->running()) {
       context_.replica->Leave();
       context_.replica->TransferLeadership();
     }
     context_.node->Leave();
-    control_server_->SetLeaving(true);
+    control_server_->SetDraining(true);
     base::Millis wait = std::min(kLeadershipHandOverMs, context_.settings.GraceMs() / 2);
     stop_timer_.Start(loop_, wait, [this, now] { StopWhenDeparted(now); });
   });
@@ -577,7 +578,8 @@
   bool departed = !context_.replica->running() || context_.IsExcludedFromLog() ||
                   context_.replica->raft().may_stop();
   rejecting_ = departed || waited >= schedule.last_sixth;
-  if (waited >= schedule.fail_unanswered_at) control_server_->AnswerAll(Unavailable(kShuttingDown));
+  if (waited >= schedule.fail_unanswered_at)
+    control_server_->RespondToAll(Unavailable(kShuttingDown));
   bool answered =
       control_server_->busy() == 0 && (!directory_server_ || directory_server_->busy() == 0);
   bool may_stop = (departed || waited >= schedule.fail_unanswered_at) && answered;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -76,7 +76,7 @@
   void OnDiagnosisRequest(Ticket ticket, const http::Message& request);
   void RedirectToDurable(Ticket ticket, const std::string& target);
 
-  void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
+  void OnMessage(const base::Address& from, transport::MessageKind kind, std::string_view payload);
   void Tick();
   void StopWhenDeparted(base::Millis since);
 
--- a/src/controller/diagnosis_service.cc
+++ b/src/controller/diagnosis_service.cc
@@ -58,7 +58,8 @@
     for (const std::string& target : pending->inquiry.Next(now)) {
       auto address = base::ParseAddress(target);
       if (!address) continue;
-      context_->node->mesh().Send(*address, transport::Kind::kQuery, pending->inquiry.query());
+      context_->node->mesh().Send(*address, transport::MessageKind::kQuery,
+                                  pending->inquiry.query());
     }
     ++pending;
   }
--- a/src/controller/rollout_manager.cc
+++ b/src/controller/rollout_manager.cc
@@ -108,7 +108,7 @@
   if (!observed || !report.wants_renewal || !context_->IsInContactWithLeader(now)) return;
   rollout::LeaseRenewal renewal{report.number, context_->state.rollouts.version(),
                                 report.reported_at};
-  context_->node->mesh().SendDatagram(from, transport::Kind::kLeaseRenewal, renewal);
+  context_->node->mesh().SendDatagram(from, transport::MessageKind::kLeaseRenewal, renewal);
 }
 
 void RolloutManager::SendVotes(base::Millis now) {
@@ -123,7 +123,7 @@
     if (context_->IsLeader()) {
       coordinator_.OnVote(now, vote);
     } else if (auto leader = context_->replica->raft().leader()) {
-      context_->node->mesh().Send(leader->address(), transport::Kind::kVote, vote);
+      context_->node->mesh().Send(leader->address(), transport::MessageKind::kVote, vote);
     }
   }
 }
--- a/src/diagnosis/console.cc
+++ b/src/diagnosis/console.cc
@@ -29,11 +29,11 @@
                loop.Stop();
              });
   loop.Run();
-  if (result.ending != http::HttpConnection::Ending::kAnswer) {
+  if (result.ending != http::HttpConnection::Result::kResponse) {
     return base::Failure(base::ErrorCode::kUnavailable, "call", control.ToString(), result.reason);
   }
-  if (const std::string* location = result.answer.Find("Location");
-      result.answer.status == 307 && location && hops > 0) {
+  if (const std::string* location = result.response.Find("Location");
+      result.response.status == 307 && location && hops > 0) {
     // http://ADDRESS/TARGET
     size_t begin = location->find("://"), end = location->find('/', begin + 3);
     if (begin != std::string::npos && end != std::string::npos) {
@@ -41,13 +41,13 @@
       if (next) return Get(*next, target, hops - 1);
     }
   }
-  if (result.answer.status != 200) {
+  if (result.response.status != 200) {
     return base::Failure(
-        result.answer.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
+        result.response.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
         "call", control.ToString(),
-        "status " + std::to_string(result.answer.status) + " " + result.answer.body);
+        "status " + std::to_string(result.response.status) + " " + result.response.body);
   }
-  return result.answer.body;
+  return result.response.body;
 }
 
 std::string Text(const rapidjson::Value& o, const char* key, const char* otherwise = "unknown") {
--- a/src/discovery/endpoints.h
+++ b/src/discovery/endpoints.h
@@ -38,8 +38,9 @@
   }
   template <class A>
   void serialize(A& a) {
-    a(transport::Short(id), transport::Short(service), transport::Short(address),
-      transport::Short(zone), transport::Short(revision), capacity, draining, slow_start_left_ms);
+    a(transport::ShortString(id), transport::ShortString(service), transport::ShortString(address),
+      transport::ShortString(zone), transport::ShortString(revision), capacity, draining,
+      slow_start_left_ms);
   }
 
   // Reading and sending a list shift the computed end of a slow start; this much is ignored.
--- a/src/discovery/platform_client.cc
+++ b/src/discovery/platform_client.cc
@@ -40,12 +40,13 @@
                     false, [this, fail, call](http::HttpConnection::Outcome&& outcome) {
                       if (call != current_call_) return;
                       timer_.Cancel();
-                      if (outcome.ending != http::HttpConnection::Ending::kAnswer) {
+                      if (outcome.ending != http::HttpConnection::Result::kResponse) {
                         fail(base::Error{base::ErrorCode::kUnavailable, "catalog.read",
                                          address_.ToString(), outcome.reason});
                         return;
                       }
-                      auto next = list_reader_.AddPage(outcome.answer.status, outcome.answer.body);
+                      auto next =
+                          list_reader_.AddPage(outcome.response.status, outcome.response.body);
                       if (!next) {
                         fail(next.error());
                         return;
--- a/src/forwarding/attempts.cc
+++ b/src/forwarding/attempts.cc
@@ -117,7 +117,7 @@
   Ticket ticket = pending->ticket;
   uint64_t id = attempt.id;
   connection->Expect(kAttemptIdHeader, pending->attempt_id);
-  connection->OnStray([this, ticket] {
+  connection->OnUnmatchedResponse([this, ticket] {
     // The server answered an earlier request first. Its answer to this one may still follow, but an
     // idempotent request is hedged without waiting for it.
     PendingRequest* waiting = Find(ticket);
@@ -125,7 +125,7 @@
     waiting->hedge_at = base::SteadyMillis();
     ArmTimer(waiting);
   });
-  connection->OnLarge([this, ticket, id](const Message& so_far, int64_t length) {
+  connection->OnOversizedBody([this, ticket, id](const Message& so_far, int64_t length) {
     return StreamAnswer(ticket, id, so_far, length);
   });
   if (base::IsLogged(base::LogLevel::kDebug)) {
@@ -170,7 +170,7 @@
   PendingRequest* pending = Find(ticket);
   if (!pending || !IsSuccess(so_far.status)) return nullptr;
   if (!FindAnswerFault(so_far, pending->attempt_id).empty()) return nullptr;
-  if (!server_.BeginAnswer(ticket, so_far, length)) return nullptr;
+  if (!server_.BeginResponse(ticket, so_far, length)) return nullptr;
   pending->streaming_attempt = attempt;
   pending->hedge_at = 0;
   AbandonAttempts(pending, attempt);
@@ -189,14 +189,14 @@
 
 RequestRouter::AttemptResult RequestRouter::ClassifyOutcome(const PendingRequest& pending,
                                                             const Outcome& outcome) {
-  using Ending = http::HttpConnection::Ending;
-  if (outcome.ending == Ending::kNotSent) {
+  using Result = http::HttpConnection::Result;
+  if (outcome.ending == Result::kNotSent) {
     return {AttemptOutcome::kNotSent, Signal::kUnreachable, Step::kConnect, outcome.reason};
   }
-  if (outcome.ending == Ending::kBroken) {
+  if (outcome.ending == Result::kBroken) {
     return {AttemptOutcome::kMaybeExecuted, Signal::kInvalidAnswer, Step::kAnswer, outcome.reason};
   }
-  const Message& answer = outcome.answer;
+  const Message& answer = outcome.response;
   if (IsMarkedNotExecuted(answer)) {
     Signal signal = answer.status == 421 ? Signal::kWrongServer : Signal::kOverloaded;
     std::string reason = "rejected by the server with " + std::to_string(answer.status);
@@ -252,7 +252,7 @@
   Attempt attempt = TakeAttempt(pending, position);
   pending->last_server = attempt.server;
   AttemptResult result = ClassifyOutcome(*pending, outcome);
-  int status = outcome.answer.status;
+  int status = outcome.response.status;
   const ServerState& state = balancer_.at(attempt.server);
   // Only attempts at the primary version count for the route's mean. Except at the start of a
   // promotion, that version gets most of the requests.
@@ -277,10 +277,10 @@
       mean_ms += kMeanLatencyWeight * (latency_ms - mean_ms);
     }
     bool success = IsSuccess(status);
-    Finish(pending, outcome.answer,
+    Finish(pending, outcome.response,
            {Step::kAnswer, success ? "" : "the server returned a non-2xx status"}, !success);
   } else {
-    if (run) OnServerFailure(pending, outcome.answer, &result);
+    if (run) OnServerFailure(pending, outcome.response, &result);
     pending->last_step = result.step;
     pending->last_reason = result.reason;
     if (pending->attempt_log.MayAttempt() && pending->attempt_log.pending() == 0) {
@@ -308,7 +308,7 @@
   Record(*pending, complete ? status : 0, {Step::kAnswer, complete ? "" : result.reason},
          !complete);
   if (complete) {
-    server_.EndAnswer(pending->ticket);
+    server_.EndResponse(pending->ticket);
   } else {
     server_.Reset(pending->ticket);
   }
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -76,7 +76,7 @@
     Discard(server, std::move(connection));
     return;
   }
-  connection->OnLost(
+  connection->OnIdleClosed(
       [this, server, lost = connection.get()] { OnIdleConnectionLost(server, lost); });
   PoolOf(server).idle.push_back(std::move(connection));
 }
--- a/src/forwarding/health_prober.cc
+++ b/src/forwarding/health_prober.cc
@@ -36,10 +36,10 @@
 }
 
 void HealthProber::OnOutcome(uint32_t server, const http::HttpConnection::Outcome& outcome) {
-  const http::Message& answer = outcome.answer;
+  const http::Message& answer = outcome.response;
   const std::string* id = answer.Find(kServerIdHeader);
-  bool healthy = outcome.ending == http::HttpConnection::Ending::kAnswer && answer.status == 200 &&
-                 id && *id == balancer_->at(server).id;
+  bool healthy = outcome.ending == http::HttpConnection::Result::kResponse &&
+                 answer.status == 200 && id && *id == balancer_->at(server).id;
   base::Millis now = base::SteadyMillis();
   if (const std::string* left = answer.Find(kWarmupHeader); healthy && left) {
     balancer_->ExtendSlowStart(now, server, std::max<int64_t>(0, http::ParseDecimal(*left)));
--- a/src/forwarding/request_completion.cc
+++ b/src/forwarding/request_completion.cc
@@ -34,7 +34,7 @@
 void RequestRouter::Finish(PendingRequest* pending, const Message& answer, const Cause& cause,
                            bool failed) {
   Record(*pending, answer.status, cause, failed);
-  server_.Answer(pending->ticket, answer);
+  server_.Respond(pending->ticket, answer);
   Erase(pending);
 }
 
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -50,7 +50,7 @@
   options.limits = std::move(limits);
   options.pipeline = kMaxPipelinedRequests;
   options.may_run_out_of_order = std::move(may_run_out_of_order);
-  options.notice_sleep = true;
+  options.detect_suspension = true;
   // Half of the file descriptors; the rest is for servers and other nodes.
   options.max_connections =
       static_cast<size_t>(std::max<int64_t>(kMinClientConnections, settings.max_fds / 2));
@@ -86,9 +86,9 @@
               [this](Ticket ticket, Message&& request) { OnRequest(ticket, std::move(request)); }),
       connections_(loop, &settings, &balancer_),
       prober_(loop, &balancer_, recorder, [this](uint32_t service) { PumpQueue(service); }) {
-  server_.OnGone([this](Ticket ticket) { OnClientDisconnected(ticket); });
-  server_.OnDrained([this](Ticket ticket) { PauseAttempts(ticket, false); });
-  server_.OnRefused([this](int status, const char* reason) {
+  server_.OnClientClosed([this](Ticket ticket) { OnClientDisconnected(ticket); });
+  server_.OnOutputFlushed([this](Ticket ticket) { PauseAttempts(ticket, false); });
+  server_.OnRejected([this](int status, const char* reason) {
     telemetry::RequestRecord record;
     record.status = static_cast<uint16_t>(status);
     record.step = Step::kAdmission;
@@ -239,7 +239,7 @@
   record.step = Step::kAdmission;
   record.revision = revision();
   recorder_->Request(record, true);
-  server_.Answer(ticket, answer, rejection.status == 400);
+  server_.Respond(ticket, answer, rejection.status == 400);
 }
 
 void RequestRouter::OnRequest(Ticket ticket, Message&& request) {
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -106,7 +106,7 @@
   void BeginShutdown(base::Millis accept_until) {
     accept_until_ = accept_until;
     balancer_.SetLeaving(base::SteadyMillis());
-    server_.SetLeaving(true);
+    server_.SetDraining(true);
   }
   // Closes idle client connections.
   void CloseIdle() { server_.CloseIdle(); }
--- a/src/http/http.cc
+++ b/src/http/http.cc
@@ -140,7 +140,7 @@
 MessageReader::Progress MessageReader::Fail(int status, const char* reason) {
   error_status_ = status;
   error_reason_ = reason;
-  return Progress::kBad;
+  return Progress::kInvalid;
 }
 
 int MessageReader::OnField(http_parser* p, const char* data, size_t n) {
@@ -263,7 +263,7 @@
   } else if (!self_delimited_) {
     return Fail(502, "response without Content-Length or chunks");
   }
-  return Progress::kMore;
+  return Progress::kNeedMore;
 }
 
 MessageReader::Progress MessageReader::ReadHead(evbuffer* in, const Limits& limits) {
@@ -275,10 +275,10 @@
     }
   }
   size_t available = evbuffer_get_length(in);
-  if (available == 0) return Progress::kMore;
+  if (available == 0) return Progress::kNeedMore;
   char first;
   if (!started_ && available == 1 && evbuffer_copyout(in, &first, 1) == 1 && first == '\r') {
-    return Progress::kMore;  // may be the first half of an empty line
+    return Progress::kNeedMore;  // may be the first half of an empty line
   }
   started_ = true;
   evbuffer_ptr end = evbuffer_search(in, "\r\n\r\n", 4, nullptr);
@@ -288,7 +288,7 @@
     // sends bare line feeds may never send the CRLF CRLF that ends a head.
     if (evbuffer_search(in, "\n\n", 2, nullptr).pos >= 0)
       return Fail(400, "line that ends without CR");
-    return Progress::kMore;
+    return Progress::kNeedMore;
   }
   size_t size = static_cast<size_t>(end.pos) + 4;
   if (size > limits.header_bytes) return Fail(431, "head too large");
@@ -308,15 +308,16 @@
 }
 
 MessageReader::Progress MessageReader::Read(evbuffer* in, const Limits& limits) {
-  if (error_status_) return Progress::kBad;
+  if (error_status_) return Progress::kInvalid;
   for (;;) {
     if (!head_done_) {
       Progress progress = ReadHead(in, limits);
-      if (progress == Progress::kBad || !head_done_) return progress;
+      if (progress == Progress::kInvalid || !head_done_) return progress;
     }
     while (!complete_) {
       evbuffer_iovec span;
-      if (evbuffer_peek(in, -1, nullptr, &span, 1) < 1 || span.iov_len == 0) return Progress::kMore;
+      if (evbuffer_peek(in, -1, nullptr, &span, 1) < 1 || span.iov_len == 0)
+        return Progress::kNeedMore;
       size_t parsed = http_parser_execute(&parser_, &Callbacks(),
                                           static_cast<const char*>(span.iov_base), span.iov_len);
       http_errno error = HTTP_PARSER_ERRNO(&parser_);
@@ -329,7 +330,7 @@
       Reset(head_request_);
       continue;
     }
-    return Progress::kDone;
+    return Progress::kComplete;
   }
 }
 
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -47,8 +47,8 @@
 struct Limits {
   size_t header_bytes = 16384;  // request or status line and headers together
   size_t body_bytes = 64u << 20;
-  int64_t header_ms = 3000;  // from the first byte of a head until the head is complete
-  int64_t idle_ms = 15000;   // between two parts of a body, and between two requests
+  int64_t header_timeout_ms = 3000;  // from the first byte of a head until the head is complete
+  int64_t idle_timeout_ms = 15000;   // between two parts of a body, and between two requests
 };
 
 // Parses one HTTP message at a time from a buffer. http-parser checks the grammar; this class also
@@ -59,9 +59,9 @@
 class MessageReader {
  public:
   enum class Progress {
-    kMore,  // the message is incomplete
-    kDone,  // the message is complete; Take() returns it
-    kBad,   // the message is invalid or exceeds a limit; see error_status() and error_reason()
+    kNeedMore,  // the message is incomplete
+    kComplete,  // the message is complete; Take() returns it
+    kInvalid,   // the message is invalid or exceeds a limit; see error_status() and error_reason()
   };
 
   explicit MessageReader(http_parser_type type);
@@ -71,7 +71,7 @@
   // Prepares for the next message. `head_request`: the next message is the response to a HEAD
   // request and has no body.
   void Reset(bool head_request = false);
-  // Consumes bytes of `in`. After kBad every call returns kBad until Reset().
+  // Consumes bytes of `in`. After kInvalid every call returns kInvalid until Reset().
   Progress Read(evbuffer* in, const Limits& limits);
 
   // Whether the first byte of the message was read.
@@ -92,11 +92,11 @@
   const Message& message() const { return message_; }
   // Passes the rest of the body to `sink` as it arrives instead of appending it to the message.
   void StreamTo(std::function<void(std::string_view)> sink) { sink_ = std::move(sink); }
-  // Moves the message out. REQUIRES: Read() returned kDone.
+  // Moves the message out. REQUIRES: Read() returned kComplete.
   Message Take() { return std::move(message_); }
 
  private:
-  // Records the error and returns kBad.
+  // Records the error and returns kInvalid.
   Progress Fail(int status, const char* reason);
   Progress ReadHead(evbuffer* in, const Limits& limits);
   // Checks what http-parser does not: message length, Host and the status.
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -29,7 +29,7 @@
       this);
   connect_timer_.Start(loop, connect_ms, [this] {
     Close();
-    Finish(Ending::kNotSent, "connect timed out");
+    Finish(Result::kNotSent, "connect timed out");
   });
 }
 
@@ -52,7 +52,7 @@
   head_request_ = head_request;
   reader_.Reset(head_request);
   if (closed_) {
-    connect_timer_.Start(loop_, 0, [this] { Finish(Ending::kNotSent, "connect refused"); });
+    connect_timer_.Start(loop_, 0, [this] { Finish(Result::kNotSent, "connect refused"); });
     return;
   }
   bufferevent_write(socket_.get(), bytes.data(), bytes.size());
@@ -99,7 +99,7 @@
   Limits limits = limits_;
   if (large_) limits.body_bytes = SIZE_MAX;  // checked below, where the rest can be streamed
   MessageReader::Progress progress = reader_.Read(in, limits);
-  if (progress == MessageReader::Progress::kMore) {
+  if (progress == MessageReader::Progress::kNeedMore) {
     if (!large_ || streaming_ || !reader_.head_done()) return;
     int64_t length = reader_.content_length();
     size_t buffered = limits_.body_bytes;
@@ -107,16 +107,16 @@
     BodySink sink = large_(reader_.message(), length);
     if (!sink) {
       Close();
-      Finish(Ending::kBroken, "response body too large");
+      Finish(Result::kBroken, "response body too large");
       return;
     }
     streaming_ = true;
     reader_.StreamTo(std::move(sink));
     return;
   }
-  if (progress == MessageReader::Progress::kBad) {
+  if (progress == MessageReader::Progress::kInvalid) {
     Close();
-    Finish(Ending::kBroken, reader_.error_reason());
+    Finish(Result::kBroken, reader_.error_reason());
     return;
   }
   // A response that arrives before the kernel has taken the whole request may answer another one,
@@ -124,12 +124,12 @@
   bool early = evbuffer_get_length(bufferevent_get_output(socket_.get())) > 0;
   bool trailing = evbuffer_get_length(in) > 0;
   Outcome outcome;
-  outcome.answer = reader_.Take();
-  Match match = MatchResponse(outcome.answer);
+  outcome.response = reader_.Take();
+  Match match = MatchResponse(outcome.response);
   if (match != Match::kThisRequest) {
-    if (match == Match::kUnknown || streaming_ || received_stray_ || !outcome.answer.keep_alive) {
+    if (match == Match::kUnknown || streaming_ || received_stray_ || !outcome.response.keep_alive) {
       Close();
-      Finish(Ending::kBroken, "answer to another request");
+      Finish(Result::kBroken, "answer to another request");
       return;
     }
     received_stray_ = true;
@@ -142,12 +142,12 @@
     return;
   }
   used_ = true;
-  outcome.ending = any_sent_ ? Ending::kAnswer : Ending::kBroken;
+  outcome.ending = any_sent_ ? Result::kResponse : Result::kBroken;
   if (!any_sent_) outcome.reason = "response received before the request was sent";
-  if (early || trailing || received_stray_ || !outcome.answer.keep_alive) Close();
+  if (early || trailing || received_stray_ || !outcome.response.keep_alive) Close();
   Pause(false);  // the sink may have paused reading at the last bytes of the body
   idle_since_ = base::SteadyMillis();
-  if (const std::string* keep_alive = outcome.answer.Find("Keep-Alive")) {
+  if (const std::string* keep_alive = outcome.response.Find("Keep-Alive")) {
     size_t position = keep_alive->find("timeout=");
     if (position != std::string::npos) {
       size_t end = keep_alive->find_first_not_of("0123456789", position + 8);
@@ -172,7 +172,7 @@
     bool was_connected = self->connected_;
     self->Close();
     if (self->busy()) {
-      self->Finish(self->any_sent_ ? Ending::kBroken : Ending::kNotSent,
+      self->Finish(self->any_sent_ ? Result::kBroken : Result::kNotSent,
                    !was_connected           ? "connect refused"
                    : (what & BEV_EVENT_EOF) ? "connection closed before the response was complete"
                                             : "connection reset");
@@ -182,7 +182,7 @@
   }
 }
 
-void HttpConnection::Finish(Ending ending, std::string reason) {
+void HttpConnection::Finish(Result ending, std::string reason) {
   if (!done_) {
     if (lost_) lost_();
     return;
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -14,15 +14,15 @@
 // connections and checks Usable() before it sends the next request on one.
 class HttpConnection {
  public:
-  enum class Ending {
-    kAnswer,   // a complete, self-delimited response
-    kNotSent,  // failed before the kernel took any byte of the request
-    kBroken,   // failed after that: the server may have received the request
+  enum class Result {
+    kResponse,  // a complete, self-delimited response
+    kNotSent,   // failed before the kernel took any byte of the request
+    kBroken,    // failed after that: the server may have received the request
   };
   struct Outcome {
-    Ending ending = Ending::kBroken;
-    Message answer;      // the response, where `ending` is kAnswer
-    std::string reason;  // of the failure, where `ending` is not kAnswer
+    Result ending = Result::kBroken;
+    Message response;    // the response, where `ending` is kResponse
+    std::string reason;  // of the failure, where `ending` is not kResponse
   };
   using Done = std::function<void(Outcome&&)>;
 
@@ -52,16 +52,16 @@
   // request ends with kBroken.
   using BodySink = std::function<void(std::string_view)>;
   using Large = std::function<BodySink(const Message& response, int64_t length)>;
-  void OnLarge(Large large) { large_ = std::move(large); }
+  void OnOversizedBody(Large large) { large_ = std::move(large); }
   // `stray` is called when a response to another request was discarded and its successor has not
   // arrived yet. It indicates that the server responds late.
-  void OnStray(std::function<void()> stray) { stray_ = std::move(stray); }
+  void OnUnmatchedResponse(std::function<void()> stray) { stray_ = std::move(stray); }
   // Stops or resumes reading, for a receiver of the body that is slower than the server. Reading
   // resumes at the end of the response in any case.
   void Pause(bool pause);
   // `lost` is called when the connection closes while idle, or receives bytes that answer no
   // request.
-  void OnLost(std::function<void()> lost) { lost_ = std::move(lost); }
+  void OnIdleClosed(std::function<void()> lost) { lost_ = std::move(lost); }
 
   // Whether a request is in flight.
   bool busy() const { return done_ != nullptr; }
@@ -78,8 +78,8 @@
   const base::Address& address() const { return address_; }
 
  private:
-  // Ends the request in flight with a failure; if there is none, calls OnLost()'s callback.
-  void Finish(Ending ending, std::string reason);
+  // Ends the request in flight with a failure; if there is none, calls OnIdleClosed()'s callback.
+  void Finish(Result ending, std::string reason);
   void Close();
   // Which request a response answers, by the header given to Expect().
   enum class Match { kThisRequest, kOtherRequest, kUnknown };
@@ -117,7 +117,7 @@
  public:
   HttpCall(base::Loop* loop, const base::Address& address, base::Millis timeout_ms,
            const Limits& limits);
-  // Calls `done` once, on a timeout with Ending::kBroken. REQUIRES: not called before.
+  // Calls `done` once, on a timeout with Result::kBroken. REQUIRES: not called before.
   void Start(std::string bytes, HttpConnection::Done done);
 
  private:
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -59,7 +59,7 @@
 
 HttpServer::HttpServer(base::Loop* loop, Options options, Handler handler)
     : loop_(loop), options_(std::move(options)), handler_(std::move(handler)) {
-  if (!options_.notice_sleep) return;
+  if (!options_.detect_suspension) return;
   last_tick_at_ = base::SteadyMillis();
   suspension_timer_.Repeat(loop_, kSuspensionCheckMs, [this] {
     base::Millis now = base::SteadyMillis();
@@ -71,7 +71,7 @@
 // Whether the client has closed the connection although its request may have arrived during a
 // suspension of this process. Without this check a request would run whose client has given up.
 bool HttpServer::ClientLeftDuringSuspension(const Connection* c) const {
-  if (!options_.notice_sleep) return false;
+  if (!options_.detect_suspension) return false;
   base::Millis now = base::SteadyMillis();
   if (now - last_tick_at_ <= kSuspensionMs && now >= suspected_until_) return false;
   char byte;
@@ -90,7 +90,7 @@
     close(fd);
     return;
   }
-  transport::TuneSocket(fd, 10000);
+  transport::ConfigureSocket(fd, 10000);
   auto connection = std::make_unique<Connection>(this);
   Connection* c = connection.get();
   c->id = next_id_++;
@@ -125,14 +125,14 @@
       c->timer.Cancel();
       break;
     case Timeout::kIdle:
-      c->timer.Start(loop_, limits.idle_ms, [this, c] { Drop(c); });
+      c->timer.Start(loop_, limits.idle_timeout_ms, [this, c] { Drop(c); });
       break;
     case Timeout::kHeader:
-      c->timer.Start(loop_, limits.header_ms,
+      c->timer.Start(loop_, limits.header_timeout_ms,
                      [this, c] { Reject(c, 408, "request head not received in time"); });
       break;
     case Timeout::kBody:
-      c->timer.Start(loop_, limits.idle_ms,
+      c->timer.Start(loop_, limits.idle_timeout_ms,
                      [this, c] { Reject(c, 408, "request body not received in time"); });
       break;
   }
@@ -183,7 +183,7 @@
   size_t size = c->reader.body_size();
   buffered_body_bytes_ += size - c->counted_bytes;
   c->counted_bytes = size;
-  if (progress == MessageReader::Progress::kBad) {
+  if (progress == MessageReader::Progress::kInvalid) {
     Reject(c, c->reader.error_status(), c->reader.error_reason());
     return false;
   }
@@ -191,7 +191,7 @@
     Reject(c, 503, "no memory for the request body");
     return false;
   }
-  if (progress == MessageReader::Progress::kMore) {
+  if (progress == MessageReader::Progress::kNeedMore) {
     // While earlier requests are unanswered, the client would take 100 Continue for the response to
     // one of those.
     if (c->reader.wants_continue() && !c->sent_continue && c->pending.empty()) {
@@ -237,7 +237,7 @@
 // Responds to a request that is not passed to the handler, after the earlier requests of its
 // connection, and then closes the connection.
 void HttpServer::Reject(Connection* c, int status, const char* reason) {
-  if (refused_) refused_(status, reason);
+  if (rejected_) rejected_(status, reason);
   c->timer.Cancel();
   c->timeout = Connection::Timeout::kNone;
   c->no_more_requests = true;
@@ -281,7 +281,7 @@
     if (entry.response) {
       entry.close |= !entry.keep_alive || (draining_ && IsLast(*c, entry));
       WriteResponse(out, *entry.response, entry.close, entry.head_request,
-                    options_.limits().idle_ms / 1000 - 1);
+                    options_.limits().idle_timeout_ms / 1000 - 1);
     } else if (entry.stream != PendingResponse::Stream::kEnded) {
       break;
     }
@@ -320,7 +320,7 @@
   }
 }
 
-bool HttpServer::Answer(Ticket ticket, const Message& response, bool close) {
+bool HttpServer::Respond(Ticket ticket, const Message& response, bool close) {
   Connection* c = nullptr;
   PendingResponse* entry = Find(ticket, &c);
   if (!entry || entry->response) return false;
@@ -330,7 +330,7 @@
   return true;
 }
 
-void HttpServer::AnswerAll(const Message& response) {
+void HttpServer::RespondToAll(const Message& response) {
   std::vector<Ticket> unanswered;
   for (const auto& [ticket, connection] : unanswered_) {
     Connection* c = nullptr;
@@ -338,10 +338,10 @@
     if (!entry->response && entry->stream == PendingResponse::Stream::kNone)
       unanswered.push_back(ticket);
   }
-  for (Ticket ticket : unanswered) Answer(ticket, response);
+  for (Ticket ticket : unanswered) Respond(ticket, response);
 }
 
-bool HttpServer::BeginAnswer(Ticket ticket, const Message& head, int64_t length) {
+bool HttpServer::BeginResponse(Ticket ticket, const Message& head, int64_t length) {
   Connection* c = nullptr;
   PendingResponse* entry = Find(ticket, &c);
   if (!entry) return false;
@@ -365,7 +365,7 @@
   return true;
 }
 
-void HttpServer::EndAnswer(Ticket ticket) {
+void HttpServer::EndResponse(Ticket ticket) {
   Connection* c = nullptr;
   PendingResponse* entry = Find(ticket, &c);
   if (!entry) return;
@@ -397,8 +397,8 @@
   if (c->closing && !c->lingering) {
     server->Linger(c);
   } else if (!c->pending.empty() && c->pending.front().stream == PendingResponse::Stream::kOpen &&
-             server->drained_) {
-    server->drained_(c->pending.front().ticket);
+             server->output_flushed_) {
+    server->output_flushed_(c->pending.front().ticket);
   }
 }
 
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -21,7 +21,7 @@
     std::function<Limits()> limits;  // called for each message, so that changes apply at once
     // After this process was suspended (frozen, or without processor time), drops the requests that
     // arrived meanwhile if their clients have closed the connection.
-    bool notice_sleep = false;
+    bool detect_suspension = false;
     size_t max_connections = 1000;
     // At most this many requests of one connection are in flight. A request is passed to the
     // handler while earlier ones are unanswered only if `may_run_out_of_order` returns true for it.
@@ -36,7 +36,7 @@
   // or an earlier response on it carried Connection: close.
   using GoneHandler = std::function<void(Ticket)>;
   // Called when a request is rejected without the handler, for example because it is malformed.
-  using RefusedHandler = std::function<void(int status, const char* reason)>;
+  using RejectedHandler = std::function<void(int status, const char* reason)>;
 
   HttpServer(base::Loop* loop, Options options, Handler handler);
   ~HttpServer();
@@ -44,32 +44,34 @@
   // Returns an error if the address can't be bound.
   base::Status Listen(const base::Address& address);
   void StopListening() { listener_.Close(); }
-  void OnGone(GoneHandler gone) { gone_ = std::move(gone); }
-  void OnRefused(RefusedHandler refused) { refused_ = std::move(refused); }
+  void OnClientClosed(GoneHandler gone) { gone_ = std::move(gone); }
+  void OnRejected(RejectedHandler rejected) { rejected_ = std::move(rejected); }
 
   // Sends a complete response. `close` closes the connection after it. Returns false if the request
   // was answered already or its client has closed the connection.
-  bool Answer(Ticket ticket, const Message& response, bool close = false);
+  bool Respond(Ticket ticket, const Message& response, bool close = false);
   // Sends this response to every request that has none yet. Streamed responses that have begun are
   // not affected.
-  void AnswerAll(const Message& response);
+  void RespondToAll(const Message& response);
   // Streams a response that is too large to buffer: the head, the body in parts, the end. `length`
   // is the Content-Length; < 0 selects chunked transfer coding. The first two return false if the
   // client has closed the connection.
-  bool BeginAnswer(Ticket ticket, const Message& head, int64_t length);
+  bool BeginResponse(Ticket ticket, const Message& head, int64_t length);
   bool WriteBody(Ticket ticket, std::string_view bytes);
-  void EndAnswer(Ticket ticket);
+  void EndResponse(Ticket ticket);
   // Returns the bytes of a streamed response that the kernel has not taken yet. While the response
   // is first on its connection, bytes of earlier responses count too.
   size_t Unsent(Ticket ticket) const;
   // `drained` is called when the kernel has taken all bytes of a streamed response written so far.
-  void OnDrained(std::function<void(Ticket)> drained) { drained_ = std::move(drained); }
+  void OnOutputFlushed(std::function<void(Ticket)> flushed) {
+    output_flushed_ = std::move(flushed);
+  }
   // Resets the connection of a streamed response that can't be completed. A regular close could
   // look like the end of the response to the client.
   void Reset(Ticket ticket);
   // While this process shuts down, the last response that is due on a connection carries
   // Connection: close.
-  void SetLeaving(bool draining) { draining_ = draining; }
+  void SetDraining(bool draining) { draining_ = draining; }
   // Closes the connections that have neither a request nor response bytes in flight.
   void CloseIdle();
   // Returns the number of connections with a request in flight or partly read, with unsent response
@@ -118,8 +120,8 @@
   Options options_;
   Handler handler_;
   GoneHandler gone_;
-  std::function<void(Ticket)> drained_;
-  RefusedHandler refused_;
+  std::function<void(Ticket)> output_flushed_;
+  RejectedHandler rejected_;
   transport::Listener listener_;
   std::unordered_map<uint64_t, std::unique_ptr<Connection>> connections_;
   std::unordered_map<Ticket, Connection*> unanswered_;
--- a/src/membership/node.h
+++ b/src/membership/node.h
@@ -44,8 +44,8 @@
   uint32_t ViewDigest() const;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, transport::Short(ip), port, program, transport::Short(zone), boot_id, incarnation,
-            state, suspecters, client_port, ready, durable);
+    archive(id, transport::ShortString(ip), port, program, transport::ShortString(zone), boot_id,
+            incarnation, state, suspecters, client_port, ready, durable);
   }
 };
 
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -99,7 +99,7 @@
     router_->MergeLoadReport(report);
   };
   callbacks.node_changed = [this](const membership::Node&) { nodes_changed_ = true; };
-  callbacks.message = [this](const base::Address& from, transport::Kind kind,
+  callbacks.message = [this](const base::Address& from, transport::MessageKind kind,
                              std::string_view payload) { OnMessage(from, kind, payload); };
   node_ = std::make_unique<cluster::ClusterNode>(loop_, settings_, membership::Program::kProxy,
                                                  std::move(callbacks));
@@ -115,7 +115,7 @@
   options.max_connections = kMaxReadinessConnections;
   readiness_server_ = std::make_unique<http::HttpServer>(
       loop_, options, [this](http::HttpServer::Ticket ticket, http::Message&& request) {
-        readiness_server_->Answer(ticket, AnswerReadiness(request));
+        readiness_server_->Respond(ticket, AnswerReadiness(request));
       });
   return readiness_server_->Listen(settings_.readiness);
 }
@@ -178,18 +178,19 @@
   router_->SetZoneProxies(zone_proxies);
 }
 
-void Proxy::OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload) {
+void Proxy::OnMessage(const base::Address& from, transport::MessageKind kind,
+                      std::string_view payload) {
   switch (kind) {
-    case transport::Kind::kQuery:
+    case transport::MessageKind::kQuery:
       if (auto query = transport::Decode<diagnosis::Query>(payload)) OnQuery(from, *query);
       break;
-    case transport::Kind::kLeaseRenewal:
+    case transport::MessageKind::kLeaseRenewal:
       if (auto renewal = transport::Decode<rollout::LeaseRenewal>(payload)) {
         router_->OnLeaseRenewal(*renewal);
         node_->OnRolloutVersion(from, renewal->version);
       }
       break;
-    case transport::Kind::kConfirmReply:
+    case transport::MessageKind::kConfirmReply:
       if (auto reply = transport::Decode<dissemination::ConfirmReply>(payload)) {
         confirmation_->OnReply(base::SteadyMillis(), *reply);
       }
@@ -218,7 +219,7 @@
 
 void Proxy::OnQuery(const base::Address& from, const diagnosis::Query& query) {
   if (query.about == diagnosis::Question::About::kNode) {
-    node_->mesh().Send(from, transport::Kind::kQueryReply, DescribeState(query.nonce));
+    node_->mesh().Send(from, transport::MessageKind::kQueryReply, DescribeState(query.nonce));
     return;
   }
   // The records are taken and searched on the exporter's thread. The reply is posted to the event
@@ -239,7 +240,7 @@
     reply.node = settings_.node_name;
     reply.wall_us = (base::WallNanos() - base::SteadyNanos()) / 1000;
     loop_->Post([this, from, reply = std::move(reply)] {
-      node_->mesh().Send(from, transport::Kind::kQueryReply, reply);
+      node_->mesh().Send(from, transport::MessageKind::kQueryReply, reply);
     });
   });
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -42,7 +42,7 @@
 
   void ApplyConfiguration();
   void OnNodesChanged();
-  void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
+  void OnMessage(const base::Address& from, transport::MessageKind kind, std::string_view payload);
   void OnQuery(const base::Address& from, const diagnosis::Query& query);
   diagnosis::Reply DescribeState(uint64_t nonce) const;
   http::Message AnswerReadiness(const http::Message& request) const;
--- a/src/proxy/rollout_reporter.cc
+++ b/src/proxy/rollout_reporter.cc
@@ -29,7 +29,8 @@
     for (uint64_t observer : observers) {
       auto node = membership.nodes().find(observer);
       if (node == membership.nodes().end()) continue;
-      node_->SendDatagramOrStream(node->second.address(), transport::Kind::kProxyReport, bytes);
+      node_->SendDatagramOrStream(node->second.address(), transport::MessageKind::kProxyReport,
+                                  bytes);
     }
   }
 }
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -66,7 +66,7 @@
   const base::Address& to = controllers[next_controller_++ % controllers.size()];
   if (now >= next_confirm_at_) {
     next_confirm_at_ = now + kConfirmIntervalMs;
-    node_->mesh().Send(to, transport::Kind::kConfirm, confirmation_.NewRequest(now));
+    node_->mesh().Send(to, transport::MessageKind::kConfirm, confirmation_.NewRequest(now));
   }
   // Missing state is requested by digest: the node asks only the first peer that reports to have it
   // for the state itself, which is large and must not be sent by several peers at once.
@@ -84,7 +84,7 @@
 
 void StartupConfirmation::OnReply(base::Millis now, const dissemination::ConfirmReply& reply) {
   if (auto leader = confirmation_.OnReply(now, reply)) {
-    node_->mesh().Send(*leader, transport::Kind::kConfirm,
+    node_->mesh().Send(*leader, transport::MessageKind::kConfirm,
                        dissemination::ConfirmRequest{reply.nonce});
   }
   UpdateServing(now);
--- a/src/transport/frame.h
+++ b/src/transport/frame.h
@@ -18,7 +18,7 @@
 
 // The type of a message between elderkeel processes, one byte in frames and datagrams. The values
 // are part of the wire format.
-enum class Kind : uint8_t {
+enum class MessageKind : uint8_t {
   kConsensus = 1,
   kJoin,
   kMembershipUpdate,
@@ -44,7 +44,7 @@
 };
 
 // Largest payload of a frame, in bytes.
-constexpr size_t kMaxFrame = 8u << 20;
+constexpr size_t kMaxFrameBytes = 8u << 20;
 
 namespace internal {
 // A stream buffer that appends to a string, so that Encode() needs no copy.
@@ -78,10 +78,10 @@
 
 // Serializes a string with a length prefix of two bytes. cereal's own prefix has eight, more than
 // most names in a record. Text beyond 65535 bytes is cut off.
-class Short {
+class ShortString {
  public:
-  explicit Short(std::string& text) : text_(&text) {}
-  explicit Short(const std::string& text) : text_(const_cast<std::string*>(&text)) {}
+  explicit ShortString(std::string& text) : text_(&text) {}
+  explicit ShortString(const std::string& text) : text_(const_cast<std::string*>(&text)) {}
   template <class A>
   void save(A& a) const {
     uint16_t size = static_cast<uint16_t>(std::min<size_t>(text_->size(), UINT16_MAX));
--- a/src/transport/mesh.cc
+++ b/src/transport/mesh.cc
@@ -34,7 +34,7 @@
 uint32_t ReadUint32(const unsigned char* bytes) {
   return bytes[0] | bytes[1] << 8 | bytes[2] << 16 | static_cast<uint32_t>(bytes[3]) << 24;
 }
-uint32_t Checksum(Kind kind, std::string_view payload) {
+uint32_t Checksum(MessageKind kind, std::string_view payload) {
   return static_cast<uint32_t>(base::Hash(payload, static_cast<uint64_t>(kind)));
 }
 
@@ -109,7 +109,7 @@
       if (n < 0) return;
       continue;
     }
-    Kind kind = static_cast<Kind>(bytes[4]);
+    MessageKind kind = static_cast<MessageKind>(bytes[4]);
     std::string_view payload(bytes + kDatagramHeaderBytes,
                              static_cast<size_t>(n) - kDatagramHeaderBytes);
     if (ReadUint32(reinterpret_cast<unsigned char*>(bytes)) != Checksum(kind, payload)) continue;
@@ -119,7 +119,7 @@
   }
 }
 
-bool Mesh::SendDatagram(const base::Address& to, Kind kind, std::string_view payload) {
+bool Mesh::SendDatagram(const base::Address& to, MessageKind kind, std::string_view payload) {
   if (payload.size() + kDatagramHeaderBytes > kMaxDatagramBytes || udp_ < 0) return false;
   std::string bytes;
   bytes.reserve(payload.size() + kDatagramHeaderBytes);
@@ -175,7 +175,7 @@
 }
 
 // Logs at most once per kDropLogIntervalMs, with the number of drops that were not logged since.
-bool Mesh::ReportDropped(const base::Address& to, Kind kind, size_t bytes, const char* why) {
+bool Mesh::ReportDropped(const base::Address& to, MessageKind kind, size_t bytes, const char* why) {
   base::Millis now = base::SteadyMillis();
   if (drop_logged_at_ != 0 && now - drop_logged_at_ < kDropLogIntervalMs) {
     ++unlogged_drops_;
@@ -191,8 +191,8 @@
   return false;
 }
 
-bool Mesh::Send(const base::Address& to, Kind kind, std::string_view payload) {
-  if (payload.size() > kMaxFrame)
+bool Mesh::Send(const base::Address& to, MessageKind kind, std::string_view payload) {
+  if (payload.size() > kMaxFrameBytes)
     return ReportDropped(to, kind, payload.size(), "larger than the frame limit");
   Link* link = OpenLink(to);
   if (!link) return false;
@@ -214,7 +214,7 @@
     close(fd);
     return;
   }
-  TuneSocket(fd, kUserTimeoutMs);
+  ConfigureSocket(fd, kUserTimeoutMs);
   // An accepted connection sends nothing, so no unacknowledged byte reveals that the peer's host is
   // lost; keep-alive probes do.
   int one = 1, idle_s = 5, interval_s = 2, probes = 2;
@@ -260,12 +260,12 @@
         static_cast<ssize_t>(kFrameHeaderBytes))
       return true;
     size_t size = ReadUint32(header);
-    if (size > kMaxFrame) return false;
+    if (size > kMaxFrameBytes) return false;
     if (evbuffer_get_length(buffer) < kFrameHeaderBytes + size) return true;
     evbuffer_drain(buffer, kFrameHeaderBytes);
     std::string payload(size, '\0');
     evbuffer_remove(buffer, payload.data(), size);
-    Kind kind = static_cast<Kind>(header[8]);
+    MessageKind kind = static_cast<MessageKind>(header[8]);
     if (ReadUint32(header + 4) != Checksum(kind, payload)) {
       base::Warn("frame.damaged", {{"peer", incoming->from.ToString()}});
       return false;
--- a/src/transport/mesh.h
+++ b/src/transport/mesh.h
@@ -21,7 +21,7 @@
  public:
   // Called for each message received. `payload` is valid only during the call.
   using Handler =
-      std::function<void(const base::Address& from, Kind kind, std::string_view payload)>;
+      std::function<void(const base::Address& from, MessageKind kind, std::string_view payload)>;
 
   // `self`: the address to listen on, by which peers identify this process.
   Mesh(base::Loop* loop, const base::Address& self, Handler handler);
@@ -31,18 +31,18 @@
   base::Status Listen();
   // Queues a frame on the link to `to` and connects if necessary. Returns false if the frame was
   // dropped: no connection can be started, the peer does not read and its queue is full, or the
-  // payload exceeds kMaxFrame; the last two are logged as frame.dropped. True does not mean that
-  // the peer receives the frame.
-  bool Send(const base::Address& to, Kind kind, std::string_view payload);
+  // payload exceeds kMaxFrameBytes; the last two are logged as frame.dropped. True does not mean
+  // that the peer receives the frame.
+  bool Send(const base::Address& to, MessageKind kind, std::string_view payload);
   // Returns false if the payload is too large for a datagram or the kernel did not accept it.
-  bool SendDatagram(const base::Address& to, Kind kind, std::string_view payload);
+  bool SendDatagram(const base::Address& to, MessageKind kind, std::string_view payload);
 
   template <class Message>
-  bool Send(const base::Address& to, Kind kind, const Message& message) {
+  bool Send(const base::Address& to, MessageKind kind, const Message& message) {
     return Send(to, kind, std::string_view(Encode(message)));
   }
   template <class Message>
-  bool SendDatagram(const base::Address& to, Kind kind, const Message& message) {
+  bool SendDatagram(const base::Address& to, MessageKind kind, const Message& message) {
     return SendDatagram(to, kind, std::string_view(Encode(message)));
   }
 
@@ -56,7 +56,7 @@
   void ReadDatagrams();
   bool ReadFrames(IncomingConnection* incoming);
   // Logs frame.dropped and returns false.
-  bool ReportDropped(const base::Address& to, Kind kind, size_t bytes, const char* why);
+  bool ReportDropped(const base::Address& to, MessageKind kind, size_t bytes, const char* why);
 
   base::Loop* loop_;
   base::Address self_;
--- a/src/transport/socket.cc
+++ b/src/transport/socket.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void TuneSocket(int fd, int user_timeout_ms) {
+void ConfigureSocket(int fd, int user_timeout_ms) {
   int one = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   if (user_timeout_ms > 0) {
@@ -37,7 +37,7 @@
   if (!FillSockaddr(address, &to)) return -1;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
-  TuneSocket(fd, user_timeout_ms);
+  ConfigureSocket(fd, user_timeout_ms);
   sockaddr_in source{};
   if (!from.empty() && (!FillSockaddr({from, 0}, &source) ||
                         bind(fd, reinterpret_cast<sockaddr*>(&source), sizeof source))) {
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -25,7 +25,7 @@
 // Sets TCP_NODELAY and, if `user_timeout_ms` > 0, TCP_USER_TIMEOUT: the connection fails if sent
 // bytes stay unacknowledged for longer. Only this limit soon detects that a peer's host has lost
 // power, since such a host neither acknowledges nor resets.
-void TuneSocket(int fd, int user_timeout_ms);
+void ConfigureSocket(int fd, int user_timeout_ms);
 
 // Returns a non-blocking TCP socket that has started to connect, -1 if that failed at once. `from`:
 // the IP address to connect from, for peers that identify this process by it; empty lets the kernel
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -352,16 +352,30 @@
 }
 
 TEST(Golden, FrameKinds) {
-  using transport::Kind;
-  const std::vector<Kind> kinds = {
-      Kind::kConsensus,           Kind::kJoin,           Kind::kMembershipUpdate,
-      Kind::kHeartbeat,           Kind::kDigest,         Kind::kPullRequest,
-      Kind::kConfigurationUpdate, Kind::kEndpointUpdate, Kind::kConfirm,
-      Kind::kConfirmReply,        Kind::kResign,         Kind::kQuery,
-      Kind::kQueryReply,          Kind::kSummary,        Kind::kZoneDrainUpdate,
-      Kind::kPartDigests,         Kind::kRolloutUpdate,  Kind::kProxyReport,
-      Kind::kLeaseRenewal,        Kind::kVote,           Kind::kSyncRequest,
-      Kind::kSyncReply,
+  using transport::MessageKind;
+  const std::vector<MessageKind> kinds = {
+      MessageKind::kConsensus,
+      MessageKind::kJoin,
+      MessageKind::kMembershipUpdate,
+      MessageKind::kHeartbeat,
+      MessageKind::kDigest,
+      MessageKind::kPullRequest,
+      MessageKind::kConfigurationUpdate,
+      MessageKind::kEndpointUpdate,
+      MessageKind::kConfirm,
+      MessageKind::kConfirmReply,
+      MessageKind::kResign,
+      MessageKind::kQuery,
+      MessageKind::kQueryReply,
+      MessageKind::kSummary,
+      MessageKind::kZoneDrainUpdate,
+      MessageKind::kPartDigests,
+      MessageKind::kRolloutUpdate,
+      MessageKind::kProxyReport,
+      MessageKind::kLeaseRenewal,
+      MessageKind::kVote,
+      MessageKind::kSyncRequest,
+      MessageKind::kSyncReply,
   };
   for (size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(static_cast<size_t>(kinds[i]), i + 1);
 }
--- a/tests/dissemination/own_reading_test.cc
+++ b/tests/dissemination/own_reading_test.cc
@@ -165,7 +165,7 @@
         answer.body =
             first ? R"({"servers":[],"next-token":"p-50"})" : R"({"servers":[],"next-token":null})";
         timers.push_back(std::make_unique<base::Timer>());
-        timers.back()->Start(&loop, kSlowMs, [=, &platform] { platform->Answer(ticket, answer); });
+        timers.back()->Start(&loop, kSlowMs, [=, &platform] { platform->Respond(ticket, answer); });
       });
   base::Address address{"127.0.0.1", 24000};
   while (!platform->Listen(address).has_value()) ++address.port;
--- a/tests/forwarding/request_router_fixture.h
+++ b/tests/forwarding/request_router_fixture.h
@@ -251,7 +251,7 @@
     std::unique_ptr<evbuffer, decltype(&evbuffer_free)> buffer(evbuffer_new(), &evbuffer_free);
     evbuffer_add(buffer.get(), bytes.data(), bytes.size());
     http::MessageReader reader(HTTP_RESPONSE);
-    while (reader.Read(buffer.get(), http::Limits()) == http::MessageReader::Progress::kDone) {
+    while (reader.Read(buffer.get(), http::Limits()) == http::MessageReader::Progress::kComplete) {
       ++n;
       reader.Reset();
     }
--- a/tests/forwarding/test_server.h
+++ b/tests/forwarding/test_server.h
@@ -180,7 +180,7 @@
     Connection* c = connection.get();
     c->self = this;
     c->number = ++connections;
-    transport::TuneSocket(fd, 10000);  // TCP_NODELAY; TCP user timeout of 10 s
+    transport::ConfigureSocket(fd, 10000);  // TCP_NODELAY; TCP user timeout of 10 s
     c->socket.reset(bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(c->socket.get(), &OnReadable, nullptr, &OnEvent, c);
     open_.push_back(std::move(connection));
@@ -217,7 +217,7 @@
     }
     http::Limits limits;
     auto progress = c->reader.Read(in, limits);
-    if (progress == http::MessageReader::Progress::kMore) {
+    if (progress == http::MessageReader::Progress::kNeedMore) {
       if (c->part_handled) return;
       c->part_handled = true;
       switch (c->self->on_part()) {
@@ -231,7 +231,7 @@
           return;
       }
     }
-    if (progress == http::MessageReader::Progress::kBad) return c->self->Reset(c);
+    if (progress == http::MessageReader::Progress::kInvalid) return c->self->Reset(c);
     http::Message request = c->reader.Take();
     c->reader.Reset();
     c->part_handled = false;
@@ -379,8 +379,8 @@
     evbuffer* in = bufferevent_get_input(b);
     while (!c->invalid_answer && evbuffer_get_length(in) > 0) {
       auto progress = c->reader_.Read(in, http::Limits());
-      if (progress == http::MessageReader::Progress::kMore) break;
-      if (progress == http::MessageReader::Progress::kBad) {
+      if (progress == http::MessageReader::Progress::kNeedMore) break;
+      if (progress == http::MessageReader::Progress::kInvalid) {
         c->invalid_answer = true;
         break;
       }
--- a/tests/http/http_connection_test.cc
+++ b/tests/http/http_connection_test.cc
@@ -11,7 +11,7 @@
 namespace elderkeel::http {
 namespace {
 
-using Ending = HttpConnection::Ending;
+using Result = HttpConnection::Result;
 
 // A connection whose remote end is a blocking socket that the test reads and writes.
 class HttpConnectionTest : public ::testing::Test {
@@ -98,7 +98,7 @@
       RunUntil([] { return false; }, 5);
       Write("HTTP/1.1 " + std::to_string(status) + " X\r\n" + c.ids + "Content-Length: 0\r\n\r\n");
       ASSERT_TRUE(AwaitOutcome());
-      EXPECT_EQ(outcome_->ending == Ending::kAnswer, c.accepted);
+      EXPECT_EQ(outcome_->ending == Result::kResponse, c.accepted);
       EXPECT_EQ(connection_->Usable(), c.accepted);
     }
   }
@@ -135,12 +135,12 @@
       EXPECT_FALSE(outcome_.has_value());
       Write(ResponseText("a", "mine"));
       ASSERT_TRUE(AwaitOutcome());
-      EXPECT_EQ(outcome_->answer.body, "mine");
+      EXPECT_EQ(outcome_->response.body, "mine");
       EXPECT_TRUE(connection_->closed());
       continue;
     }
     ASSERT_TRUE(AwaitOutcome());
-    EXPECT_EQ(outcome_->ending, change == kReset ? Ending::kNotSent : Ending::kBroken);
+    EXPECT_EQ(outcome_->ending, change == kReset ? Result::kNotSent : Result::kBroken);
   }
 }
 
@@ -148,7 +148,7 @@
 // for the next response; otherwise that one would never arrive.
 TEST_F(HttpConnectionTest, PauseEndsWithTheResponse) {
   std::string large(3000, 'x');
-  connection_->OnLarge([this](const Message&, int64_t) -> HttpConnection::BodySink {
+  connection_->OnOversizedBody([this](const Message&, int64_t) -> HttpConnection::BodySink {
     return [this](std::string_view) { connection_->Pause(true); };
   });
   Request("a");
@@ -158,7 +158,7 @@
   RunUntil([] { return false; }, 5);
   Write(answer.substr(2000));
   ASSERT_TRUE(AwaitOutcome());
-  ASSERT_EQ(outcome_->ending, Ending::kAnswer);
+  ASSERT_EQ(outcome_->ending, Result::kResponse);
   ASSERT_TRUE(connection_->Usable());
   ReadAll();
   Request("b");
@@ -166,7 +166,7 @@
   EXPECT_FALSE(ReadAll().empty());
   Write(ResponseText("b", "next"));
   ASSERT_TRUE(AwaitOutcome()) << "reading did not resume";
-  EXPECT_EQ(outcome_->answer.body, "next");
+  EXPECT_EQ(outcome_->response.body, "next");
 }
 
 // Responses with status 1xx, 204 and 304 have no body, even with a Content-Length. Reading one
@@ -180,15 +180,15 @@
     ReadAll();
     Write(std::string(first) + "Id: " + id + "\r\nContent-Length: 7\r\n\r\n");
     ASSERT_TRUE(AwaitOutcome()) << first;
-    EXPECT_EQ(outcome_->ending, Ending::kAnswer);
-    EXPECT_EQ(outcome_->answer.body, "");
+    EXPECT_EQ(outcome_->ending, Result::kResponse);
+    EXPECT_EQ(outcome_->response.body, "");
     EXPECT_TRUE(connection_->Usable());
   }
   Request("b");
   RunUntil([] { return false; }, 5);
   Write("HTTP/1.1 103 Early\r\nId: other\r\nContent-Length: 9\r\n\r\n" + ResponseText("b", "mine"));
   ASSERT_TRUE(AwaitOutcome());
-  EXPECT_EQ(outcome_->answer.body, "mine");
+  EXPECT_EQ(outcome_->response.body, "mine");
 }
 
 }  // namespace
--- a/tests/http/http_server_test.cc
+++ b/tests/http/http_server_test.cc
@@ -106,9 +106,9 @@
 // its last response, bytes that the client has sent meanwhile reset the connection, and the client
 // may lose the response.
 TEST_F(HttpServerTest, ConnectionStaysBusyUntilTheClientClosesAfterTheLastResponse) {
-  server_.SetLeaving(true);
+  server_.SetDraining(true);
   int client = SendRequests(1);
-  server_.Answer(tickets_[0], OwnAnswer(200, "whole"));
+  server_.Respond(tickets_[0], OwnAnswer(200, "whole"));
   std::string answer = AwaitResponses(client, 1);
   EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
   EXPECT_EQ(server_.busy(), 1u);
@@ -119,9 +119,9 @@
 }
 
 TEST_F(HttpServerTest, LingerEndsIfTheClientNeverCloses) {
-  server_.SetLeaving(true);
+  server_.SetDraining(true);
   int client = SendRequests(1);
-  server_.Answer(tickets_[0], OwnAnswer(200, "whole"));
+  server_.Respond(tickets_[0], OwnAnswer(200, "whole"));
   AwaitResponses(client, 1);
   EXPECT_TRUE(RunUntil([&] { return server_.busy() == 0; }, 3000));
 }
@@ -129,18 +129,18 @@
 // During shutdown, only the last response that is due on a connection carries Connection: close;
 // otherwise the client would not receive the others.
 TEST_F(HttpServerTest, AnswerAllKeepsTheOrderOfPipelinedRequests) {
-  server_.SetLeaving(true);
+  server_.SetDraining(true);
   int first = SendRequests(3), second = SendRequests(1);
-  server_.Answer(tickets_[1], OwnAnswer(200, "own"));  // is sent after the first one
-  server_.AnswerAll(OwnAnswer(503, "end"));
+  server_.Respond(tickets_[1], OwnAnswer(200, "own"));  // is sent after the first one
+  server_.RespondToAll(OwnAnswer(503, "end"));
   std::string responses = AwaitResponses(first, 3);
   size_t own = responses.find("HTTP/1.1 200");
   EXPECT_LT(responses.find("HTTP/1.1 503"), own) << responses;
   EXPECT_GT(responses.rfind("HTTP/1.1 503"), own) << responses;
   EXPECT_GT(responses.find("Connection: close"), responses.rfind("HTTP/1.1 503")) << responses;
   EXPECT_NE(AwaitResponses(second, 1).find("HTTP/1.1 503"), std::string::npos);
-  // The request was answered by AnswerAll().
-  EXPECT_FALSE(server_.Answer(tickets_[0], OwnAnswer(200, "late")));
+  // The request was answered by RespondToAll().
+  EXPECT_FALSE(server_.Respond(tickets_[0], OwnAnswer(200, "late")));
 }
 
 // Guards against uploads that take a proxy beyond its memory limit: bodies that were read
@@ -154,7 +154,7 @@
   EXPECT_NE(refused.find("Retry-After"), std::string::npos) << refused;
   EXPECT_EQ(tickets_.size(), 1u);
   SendRequests(1);  // requests without a body are not limited
-  EXPECT_TRUE(server_.Answer(tickets_[0], OwnAnswer(200, "whole")));
+  EXPECT_TRUE(server_.Respond(tickets_[0], OwnAnswer(200, "whole")));
   AwaitResponses(first, 1);
   EXPECT_TRUE(RunUntil([&] { return server_.buffered_bytes() == 0; }));
   SendRequestWithBody(800);
--- a/tests/http/http_test.cc
+++ b/tests/http/http_test.cc
@@ -30,21 +30,21 @@
   for (int pass = 0; pass < 2; ++pass) {
     BufferPtr buffer(evbuffer_new());
     MessageReader reader(type);
-    Progress progress = Progress::kMore;
+    Progress progress = Progress::kNeedMore;
     if (pass == 0) {
       evbuffer_add(buffer.get(), bytes.data(), bytes.size());
       progress = reader.Read(buffer.get(), SmallLimits());
     } else {
-      for (size_t i = 0; i < bytes.size() && progress == Progress::kMore; ++i) {
+      for (size_t i = 0; i < bytes.size() && progress == Progress::kNeedMore; ++i) {
         evbuffer_add(buffer.get(), &bytes[i], 1);
         progress = reader.Read(buffer.get(), SmallLimits());
       }
     }
-    results[pass] = progress == Progress::kBad    ? reader.error_status()
-                    : progress == Progress::kMore ? -1
-                                                  : 0;
+    results[pass] = progress == Progress::kInvalid    ? reader.error_status()
+                    : progress == Progress::kNeedMore ? -1
+                                                      : 0;
     if (pass == 0 && left) *left = evbuffer_get_length(buffer.get());
-    if (pass == 0 && out && progress == Progress::kDone) *out = reader.Take();
+    if (pass == 0 && out && progress == Progress::kComplete) *out = reader.Take();
   }
   EXPECT_EQ(results[0], results[1]) << bytes;
   return results[0];
--- a/tests/programs/programs_fixture.h
+++ b/tests/programs/programs_fixture.h
@@ -79,11 +79,11 @@
             RecordRun(*request.Find("Elderkeel-Attempt-Id"), base::SteadyMillis() + work_ms);
           }
           if (work_ms == 0) {
-            server->Answer(ticket, answer);
+            server->Respond(ticket, answer);
             return;
           }
           response_timers.push_back(std::make_unique<base::Timer>());
-          response_timers.back()->Start(&loop, work_ms, [=] { server->Answer(ticket, answer); });
+          response_timers.back()->Start(&loop, work_ms, [=] { server->Respond(ticket, answer); });
         });
     server = &listener;
     listener.Listen({"127.0.0.1", port_});
@@ -184,8 +184,8 @@
     call.Start(method + " " + target + " HTTP/1.1\r\nHost: h.example\r\n" + headers +
                    "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
                [&](http::HttpConnection::Outcome&& outcome) {
-                 answer = std::move(outcome.answer);
-                 if (outcome.ending != http::HttpConnection::Ending::kAnswer) {
+                 answer = std::move(outcome.response);
+                 if (outcome.ending != http::HttpConnection::Result::kResponse) {
                    answer.status = 0;
                    answer.reason = outcome.reason;
                  }
--- a/tests/programs/shutdown_test.cc
+++ b/tests/programs/shutdown_test.cc
@@ -59,14 +59,15 @@
   bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis work_ms,
                 Sent* request) {
     bool done = false;
-    connection->Send("GET /a/work-" + std::to_string(work_ms) +
-                         " HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: " +
-                         request->attempt_id + "\r\nElderkeel-Remaining-Ms: 3000\r\n\r\n",
-                     false, [&](http::HttpConnection::Outcome&& outcome) {
-                       request->answered = outcome.ending == http::HttpConnection::Ending::kAnswer;
-                       request->answer = std::move(outcome.answer);
-                       done = true;
-                     });
+    connection->Send(
+        "GET /a/work-" + std::to_string(work_ms) +
+            " HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: " + request->attempt_id +
+            "\r\nElderkeel-Remaining-Ms: 3000\r\n\r\n",
+        false, [&](http::HttpConnection::Outcome&& outcome) {
+          request->answered = outcome.ending == http::HttpConnection::Result::kResponse;
+          request->answer = std::move(outcome.response);
+          done = true;
+        });
     base::Timer wake;
     while (!done) {
       wake.Start(loop, 20, [] {});
--- a/tools/soak/traffic.cc
+++ b/tools/soak/traffic.cc
@@ -53,9 +53,9 @@
   CallResult result;
   http::HttpCall call(&loop, to, kCallTimeoutMs, http::Limits());
   call.Start(bytes, [&](http::HttpConnection::Outcome&& outcome) {
-    if (outcome.ending == http::HttpConnection::Ending::kAnswer) {
-      result.status = outcome.answer.status;
-      result.answer = std::move(outcome.answer);
+    if (outcome.ending == http::HttpConnection::Result::kResponse) {
+      result.status = outcome.response.status;
+      result.answer = std::move(outcome.response);
     }
     loop.Stop();
   });
@@ -84,12 +84,12 @@
 
 // Copies the outcome of the exchange into the client's record of the request.
 void ApplyOutcome(http::HttpConnection::Outcome&& outcome, Request* request) {
-  request->any_byte_sent = outcome.ending != http::HttpConnection::Ending::kNotSent;
+  request->any_byte_sent = outcome.ending != http::HttpConnection::Result::kNotSent;
   request->reason = outcome.reason;
-  if (outcome.ending != http::HttpConnection::Ending::kAnswer) return;
-  request->status = outcome.answer.status;
-  request->body = outcome.answer.body;
-  const std::string* seal = outcome.answer.Find("Elderkeel-Server-Seal");
+  if (outcome.ending != http::HttpConnection::Result::kResponse) return;
+  request->status = outcome.response.status;
+  request->body = outcome.response.body;
+  const std::string* seal = outcome.response.Find("Elderkeel-Server-Seal");
   if (seal) request->seal = *seal;
 }
 
@@ -104,7 +104,7 @@
   bool keep = false;
   connection->Send(Serialize(*request), false, [&](http::HttpConnection::Outcome&& outcome) {
     done = true;
-    keep = outcome.ending == http::HttpConnection::Ending::kAnswer && outcome.answer.keep_alive;
+    keep = outcome.ending == http::HttpConnection::Result::kResponse && outcome.response.keep_alive;
     ApplyOutcome(std::move(outcome), request);
   });
   base::Millis wait = disconnect_after < 0 ? kDeadlineMs + kRetryMs : disconnect_after;
@@ -151,8 +151,8 @@
                                                   kCallTimeoutMs / 2, http::Limits());
       calls[i]->Start("GET /elderkeel/ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n",
                       [this, i](http::HttpConnection::Outcome&& outcome) {
-                        bool ready = outcome.ending == http::HttpConnection::Ending::kAnswer &&
-                                     outcome.answer.status == 200;
+                        bool ready = outcome.ending == http::HttpConnection::Result::kResponse &&
+                                     outcome.response.status == 200;
                         failed_probes_[i] = ready ? 0 : failed_probes_[i] + 1;
                       });
     }
--- a/tools/soak/world.cc
+++ b/tools/soak/world.cc
@@ -126,7 +126,7 @@
             of_proxies ? platform_of_proxies_.get() : platform_of_controllers_.get();
         bool slow = of_proxies && base::SteadyMillis() < slow_until_;
         After(slow ? kPlatformDelayMs : 1,
-              [server, ticket, answer] { server->Answer(ticket, answer); });
+              [server, ticket, answer] { server->Respond(ticket, answer); });
       });
   platform->Listen(of_proxies ? addresses_.PlatformOfProxies()
                               : addresses_.PlatformOfControllers());
@@ -176,7 +176,7 @@
       [this, weak](http::HttpServer::Ticket ticket, http::Message&& request) {
         if (auto server = weak.lock()) OnRequest(server, ticket, request);
       });
-  server->http->OnGone([this, weak](http::HttpServer::Ticket ticket) {
+  server->http->OnClientClosed([this, weak](http::HttpServer::Ticket ticket) {
     auto server = weak.lock();
     if (!server || server->executions.count(ticket) == 0) return;
     record_->OnConnectionClosed(server->executions[ticket], base::SteadyMillis());
@@ -213,7 +213,7 @@
     answer.headers.push_back({"Elderkeel-Server-Id", server->id});
     answer.headers.push_back(
         {"Elderkeel-Warmup-Ms", std::to_string(std::max<base::Millis>(0, server->warm_at - now))});
-    server->http->Answer(ticket, answer);
+    server->http->Respond(ticket, answer);
     return;
   }
   const std::string* attempt = request.Find("Elderkeel-Attempt-Id");
@@ -222,7 +222,7 @@
   if (wrong_server) {
     http::Message answer = MakeResponse(421, "");
     if (attempt) answer.headers.push_back({"Elderkeel-Attempt-Id", *attempt});
-    server->http->Answer(ticket, answer);
+    server->http->Respond(ticket, answer);
     return;
   }
   ServerFault fault = ServerFault::kNone;
@@ -231,7 +231,7 @@
     http::Message answer = MakeResponse(503, "");
     answer.headers.push_back({"Elderkeel-Attempt-Id", *attempt});
     answer.headers.push_back({"Elderkeel-Not-Executed", "1"});
-    server->http->Answer(ticket, answer);
+    server->http->Respond(ticket, answer);
     return;
   }
   Execute(server, ticket, request, fault);
@@ -280,16 +280,16 @@
                             "\r\nElderkeel-Server-Seal: " + SealOf(id, server->id) +
                             "\r\nContent-Length: " + std::to_string(answer.body.size()) +
                             "\r\n\r\n" + answer.body;
-    server->http->BeginAnswer(ticket, answer, static_cast<int64_t>(answer.body.size()));
+    server->http->BeginResponse(ticket, answer, static_cast<int64_t>(answer.body.size()));
     server->http->WriteBody(ticket, answer.body + duplicate);
-    server->http->EndAnswer(ticket);
+    server->http->EndResponse(ticket);
     return;
   }
   if (fault != ServerFault::kResetsMidBody) {
-    server->http->Answer(ticket, answer);
+    server->http->Respond(ticket, answer);
     return;
   }
-  server->http->BeginAnswer(ticket, answer, static_cast<int64_t>(answer.body.size()));
+  server->http->BeginResponse(ticket, answer, static_cast<int64_t>(answer.body.size()));
   server->http->WriteBody(ticket, answer.body.substr(0, answer.body.size() / 2));
   After(kMidBodyResetDelayMs, [this, ticket, id = server->id] {
     auto found = servers_.find(id);
