--- a/tests/programs/shutdown_test.cc
+++ b/tests/programs/shutdown_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "programs/programs_fixture.h"
-#include "soak/stall_watch.h"
+#include "soak/stall_detector.h"
 
 // Tests of the shutdown of programs under load: clients send requests until the process has exited.
 
@@ -21,7 +21,7 @@
 };
 
 // Returns the longest stall of the machine itself, in ms.
-base::Millis LongestStall(const soak::StallWatch& watch) {
+base::Millis LongestStall(const soak::StallDetector& watch) {
   base::Millis longest = 0;
   for (const soak::Stall& stall : watch.stalls()) longest = std::max(longest, stall.for_ms);
   return longest;
@@ -98,7 +98,7 @@
   Start("proxy", "p0", 0, true);
   ASSERT_EQ(CallAnyController("PUT", 0, SlowRequestDocument(3, "/a/")).status, 200);
   ASSERT_TRUE(Eventually([&] { return SendRequest(0, "/a/x") == 200; }));
-  soak::StallWatch stalls;
+  soak::StallDetector stalls;
   std::vector<std::vector<Sent>> sent(kClients);
   std::vector<std::thread> clients;
   for (int i = 0; i < kClients; ++i) clients.emplace_back([&, i] { SendUntilExit(i, &sent[i]); });
@@ -155,7 +155,7 @@
   ASSERT_TRUE(
       Eventually([&] { return SendRequest(0, "/a/x") == 200 && SendRequest(1, "/a/x") == 200; }));
   for (int i = 0; i < kProxies; ++i) kill(running_["p" + std::to_string(i)], SIGSTOP);
-  soak::StallWatch stalls;
+  soak::StallDetector stalls;
   std::vector<Sent> calls(60);
   std::vector<std::thread> callers;
   pid_t controller = running_["c0"];
--- a/tools/soak/fleet.cc
+++ b/tools/soak/fleet.cc
@@ -85,8 +85,8 @@
          << "\nplatform.address=" << addresses_.PlatformOfControllers().ToString()
          << "\ndata-dir=" << folder_ << "/data-" << process.name << "\n";
   } else {
-    file << "ip=" << addresses_.Front(number).ip
-         << "\nlisteners.front=" << addresses_.Front(number).ToString()
+    file << "ip=" << addresses_.ProxyListener(number).ip
+         << "\nlisteners.front=" << addresses_.ProxyListener(number).ToString()
          << "\nlisteners.readiness=" << addresses_.Readiness(number).ToString()
          << "\nplatform.address=" << addresses_.PlatformOfProxies().ToString() << "\n";
   }
@@ -179,7 +179,7 @@
   if (now < next_stall_check_at_) return;
   next_stall_check_at_ = now + kStallCheckMs;
   auto add_stall = [&](const std::string& name, base::Millis waited_ms) {
-    if (waited_ms < StallWatch::kMinMs) return;
+    if (waited_ms < StallDetector::kMinMs) return;
     record_->Add(Stall{now - kStallCheckMs, kStallCheckMs, name, waited_ms});
   };
   for (auto& [name, process] : processes_) {
--- a/tools/soak/fleet.h
+++ b/tools/soak/fleet.h
@@ -9,8 +9,8 @@
 
 #include "soak/record.h"
 #include "soak/schedule.h"
-#include "soak/stall_watch.h"
-#include "soak/world.h"
+#include "soak/simulated_platform.h"
+#include "soak/stall_detector.h"
 
 namespace elderkeel::soak {
 
@@ -67,7 +67,7 @@
                       const std::string& detail = "");
   // Null if the process is unknown or doesn't run.
   Process* FindRunning(const std::string& name);
-  // Records the processes that waited for a processor for at least StallWatch::kMinMs since the
+  // Records the processes that waited for a processor for at least StallDetector::kMinMs since the
   // last check.
   void RecordStalls(base::Millis now);
   void OnExit(Process* process, int status);
--- a/tools/soak/main.cc
+++ b/tools/soak/main.cc
@@ -17,8 +17,8 @@
 #include "soak/fleet.h"
 #include "soak/report.h"
 #include "soak/schedule.h"
+#include "soak/simulated_platform.h"
 #include "soak/traffic.h"
-#include "soak/world.h"
 
 namespace elderkeel::soak {
 namespace {
@@ -40,7 +40,7 @@
 void Sleep(base::Millis ms) { usleep(static_cast<useconds_t>(ms * 1000)); }
 
 // Carries out one event of the schedule.
-void ApplyEvent(const Event& event, Fleet* fleet, World* world) {
+void ApplyEvent(const Event& event, Fleet* fleet, SimulatedPlatform* world) {
   switch (event.kind) {
     case Event::Kind::kTerminate:
       fleet->Terminate(event.target);
@@ -76,7 +76,7 @@
 
 // Carries out the schedule and returns after `options.seconds`, or earlier on an interrupt.
 void RunSchedule(const Options& options, const std::vector<Event>& schedule, Fleet* fleet,
-                 World* world, const Record& record) {
+                 SimulatedPlatform* world, const Record& record) {
   base::Random random(options.seed);
   base::Millis begin = base::SteadyMillis(), heal_at = -1, next_progress = kProgressMs;
   auto next = schedule.begin();
@@ -141,11 +141,11 @@
   int run = ReserveRun();
   if (run < 0) return false;
   Addresses addresses(run);
-  World world(options, addresses, record);
+  SimulatedPlatform world(options, addresses, record);
   world.Start();
   Fleet fleet(options, addresses, folder, logs, record);
   fleet.MonitorOwnThread(world.thread_id());
-  StallWatch stalls;
+  StallDetector stalls;
   fleet.StartAll();
   ReadinessProber readiness(options, addresses);
   Operator config_operator(options, addresses, record);
--- a/tools/soak/record.h
+++ b/tools/soak/record.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "soak/stall_watch.h"
+#include "soak/stall_detector.h"
 
 namespace elderkeel::soak {
 
--- a/tools/soak/world.cc
+++ b/tools/soak/simulated_platform.cc
@@ -1,4 +1,4 @@
-#include "soak/world.h"
+#include "soak/simulated_platform.h"
 
 #include <unistd.h>
 
@@ -43,7 +43,7 @@
 }  // namespace
 
 // A simulated server.
-struct World::Server {
+struct SimulatedPlatform::Server {
   std::string id;
   std::string service;
   std::string zone;
@@ -63,7 +63,8 @@
   return "127.1." + std::to_string(run) + "." + std::to_string(number);
 }
 
-World::World(const Options& options, const Addresses& addresses, Record* record)
+SimulatedPlatform::SimulatedPlatform(const Options& options, const Addresses& addresses,
+                                     Record* record)
     : addresses_(addresses),
       record_(record),
       unsound_(options.unsound),
@@ -73,13 +74,13 @@
   while (!loop_) usleep(1000);
 }
 
-World::~World() {
+SimulatedPlatform::~SimulatedPlatform() {
   base::Loop* loop = loop_;
   loop->Post([loop] { loop->Stop(); });
   thread_.join();
 }
 
-void World::Run() {
+void SimulatedPlatform::Run() {
   base::Loop loop;
   thread_id_ = gettid();
   loop_ = &loop;
@@ -90,9 +91,9 @@
   platform_of_proxies_.reset();
 }
 
-void World::Post(std::function<void()> work) { loop_.load()->Post(std::move(work)); }
+void SimulatedPlatform::Post(std::function<void()> work) { loop_.load()->Post(std::move(work)); }
 
-void World::After(base::Millis wait, std::function<void()> work) {
+void SimulatedPlatform::After(base::Millis wait, std::function<void()> work) {
   uint64_t number = next_timer_++;
   auto timer = std::make_unique<base::Timer>();
   base::Timer* started = timer.get();
@@ -103,7 +104,7 @@
   });
 }
 
-void World::Start() {
+void SimulatedPlatform::Start() {
   Post([this] {
     platform_of_controllers_ = MakePlatform(false);
     platform_of_proxies_ = MakePlatform(true);
@@ -116,7 +117,7 @@
   });
 }
 
-std::unique_ptr<http::HttpServer> World::MakePlatform(bool of_proxies) {
+std::unique_ptr<http::HttpServer> SimulatedPlatform::MakePlatform(bool of_proxies) {
   auto platform = std::make_unique<http::HttpServer>(
       loop_, ServerOptions(),
       [this, of_proxies](http::HttpServer::Ticket ticket, http::Message&& request) {
@@ -133,7 +134,7 @@
   return platform;
 }
 
-http::Message World::ListPage(const http::Message& request) const {
+http::Message SimulatedPlatform::ListPage(const http::Message& request) const {
   size_t token = request.target.find("page-token=p-");
   size_t first = 0;
   if (token != std::string::npos) first = std::stoul(request.target.substr(token + 13));
@@ -158,12 +159,13 @@
   return answer;
 }
 
-void World::AddServer(const std::string& service, const std::string& zone, base::Millis warmup_ms) {
+void SimulatedPlatform::AddServer(const std::string& service, const std::string& zone,
+                                  base::Millis warmup_ms) {
   AddServer(service, zone, AllocateAddress(service), warmup_ms);
 }
 
-void World::AddServer(const std::string& service, const std::string& zone,
-                      const base::Address& address, base::Millis warmup_ms) {
+void SimulatedPlatform::AddServer(const std::string& service, const std::string& zone,
+                                  const base::Address& address, base::Millis warmup_ms) {
   int number = next_server_++;
   auto server = std::make_shared<Server>();
   server->id = "i-" + std::to_string(number);
@@ -192,7 +194,7 @@
   servers_[server->id] = server;
 }
 
-void World::RemoveServer(const std::string& id) {
+void SimulatedPlatform::RemoveServer(const std::string& id) {
   auto found = servers_.find(id);
   if (found == servers_.end()) return;
   base::Millis now = base::SteadyMillis();
@@ -205,8 +207,8 @@
   After(kDelistDelayMs, [this, id] { servers_.erase(id); });
 }
 
-void World::OnRequest(const std::shared_ptr<Server>& server, http::HttpServer::Ticket ticket,
-                      const http::Message& request) {
+void SimulatedPlatform::OnRequest(const std::shared_ptr<Server>& server,
+                                  http::HttpServer::Ticket ticket, const http::Message& request) {
   base::Millis now = base::SteadyMillis();
   if (request.Path() == "/health") {
     http::Message answer = MakeResponse(200, "");
@@ -237,8 +239,9 @@
   Execute(server, ticket, request, fault);
 }
 
-void World::Execute(const std::shared_ptr<Server>& server, http::HttpServer::Ticket ticket,
-                    const http::Message& request, ServerFault fault) {
+void SimulatedPlatform::Execute(const std::shared_ptr<Server>& server,
+                                http::HttpServer::Ticket ticket, const http::Message& request,
+                                ServerFault fault) {
   base::Millis now = base::SteadyMillis();
   base::Millis work = WorkMs(request.Path());
   if (fault == ServerFault::kSlow) work += kSlowFaultMs;
@@ -264,8 +267,8 @@
   });
 }
 
-void World::SendResponse(Server* server, http::HttpServer::Ticket ticket,
-                         const std::string& attempt_id, ServerFault fault) {
+void SimulatedPlatform::SendResponse(Server* server, http::HttpServer::Ticket ticket,
+                                     const std::string& attempt_id, ServerFault fault) {
   if (fault == ServerFault::kResetsBeforeResponse) {
     server->http->Reset(ticket);
     return;
@@ -297,7 +300,7 @@
   });
 }
 
-base::Address World::AllocateAddress(const std::string& service) {
+base::Address SimulatedPlatform::AllocateAddress(const std::string& service) {
   base::Millis now = base::SteadyMillis();
   for (auto free = free_addresses_.begin(); unsound_ && free != free_addresses_.end(); ++free) {
     if (free->service == service || free->free_at > now) continue;
@@ -308,7 +311,7 @@
   return addresses_.Server(next_address_++);
 }
 
-void World::DrainOne(const std::string& zone) {
+void SimulatedPlatform::DrainOne(const std::string& zone) {
   Post([this, zone] {
     std::vector<std::shared_ptr<Server>> active = ActiveServers(zone);
     if (active.empty()) return;
@@ -320,7 +323,7 @@
   });
 }
 
-void World::ReuseAddress(const std::string& zone) {
+void SimulatedPlatform::ReuseAddress(const std::string& zone) {
   Post([this, zone] {
     std::vector<std::shared_ptr<Server>> active = ActiveServers(zone);
     if (active.empty()) return;
@@ -335,7 +338,8 @@
   });
 }
 
-std::vector<std::shared_ptr<World::Server>> World::ActiveServers(const std::string& zone) const {
+std::vector<std::shared_ptr<SimulatedPlatform::Server>> SimulatedPlatform::ActiveServers(
+    const std::string& zone) const {
   std::vector<std::shared_ptr<Server>> active;
   for (const auto& [id, server] : servers_) {
     if (server->zone == zone && !server->draining && server->listening) active.push_back(server);
@@ -343,7 +347,7 @@
   return active;
 }
 
-void World::ReplaceZoneCold(const std::string& zone) {
+void SimulatedPlatform::ReplaceZoneCold(const std::string& zone) {
   Post([this, zone] {
     for (const std::shared_ptr<Server>& server : ActiveServers(zone)) {
       RemoveServer(server->id);
@@ -352,7 +356,7 @@
   });
 }
 
-void World::CutPlatform(bool cut) {
+void SimulatedPlatform::CutPlatform(bool cut) {
   Post([this, cut] {
     cut_ = cut;
     slow_until_ = cut ? INT64_MAX : base::SteadyMillis() + kSlowAfterCutMs;
--- a/tools/soak/world.h
+++ b/tools/soak/simulated_platform.h
@@ -23,7 +23,7 @@
   explicit Addresses(int run);
   std::string Ip(int number) const;
   base::Address Control(int controller) const { return {Ip(1 + controller), base_port}; }
-  base::Address Front(int proxy) const { return {Ip(50 + proxy), uint16_t(base_port + 1)}; }
+  base::Address ProxyListener(int proxy) const { return {Ip(50 + proxy), uint16_t(base_port + 1)}; }
   base::Address Readiness(int proxy) const { return {Ip(50 + proxy), uint16_t(base_port + 2)}; }
   // The platform's list has one address for the controllers and one for the proxies, so that one
   // side can be cut off alone.
@@ -41,10 +41,10 @@
 // loop. A server works on a request for the time that the request's path gives, also after the
 // caller has disconnected; with `Options::unsound` servers have faults. The public functions are
 // called on the main thread and post their work to the loop; they don't wait for it.
-class World {
+class SimulatedPlatform {
  public:
-  World(const Options& options, const Addresses& addresses, Record* record);
-  ~World();
+  SimulatedPlatform(const Options& options, const Addresses& addresses, Record* record);
+  ~SimulatedPlatform();
 
   // Starts the list and six warm servers of each service: "reading" in z0 and "writing" in z1.
   void Start();
--- a/tools/soak/stall_watch.cc
+++ b/tools/soak/stall_detector.cc
@@ -1,4 +1,4 @@
-#include "soak/stall_watch.h"
+#include "soak/stall_detector.h"
 
 #include <chrono>
 #include <fstream>
@@ -9,7 +9,7 @@
 constexpr base::Millis kSleepMs = 10;  // between two checks of the clock
 }  // namespace
 
-StallWatch::~StallWatch() {
+StallDetector::~StallDetector() {
   {
     std::lock_guard<std::mutex> lock(mutex_);
     stop_ = true;
@@ -17,12 +17,12 @@
   thread_.join();
 }
 
-std::vector<Stall> StallWatch::stalls() const {
+std::vector<Stall> StallDetector::stalls() const {
   std::lock_guard<std::mutex> lock(mutex_);
   return stalls_;
 }
 
-void StallWatch::Run() {
+void StallDetector::Run() {
   for (;;) {
     base::Millis before = base::SteadyMillis();
     std::this_thread::sleep_for(std::chrono::milliseconds(kSleepMs));
--- a/tools/soak/stall_watch.h
+++ b/tools/soak/stall_detector.h
@@ -24,13 +24,13 @@
 
 // Detects spans in which the whole machine did not run: a thread of its own sleeps repeatedly and
 // records each late wake-up. The checkers and tests don't evaluate time limits over such spans.
-class StallWatch {
+class StallDetector {
  public:
   // Shorter stalls are ignored.
   static constexpr base::Millis kMinMs = 100;
 
-  StallWatch() : thread_([this] { Run(); }) {}
-  ~StallWatch();
+  StallDetector() : thread_([this] { Run(); }) {}
+  ~StallDetector();
   // The stalls so far. Thread-safe.
   std::vector<Stall> stalls() const;
 
--- a/tools/soak/traffic.cc
+++ b/tools/soak/traffic.cc
@@ -207,7 +207,7 @@
   for (int count = 0; !stop_; ++count) {
     if (!connection || !connection->Usable()) {
       proxy = readiness_.Choose(number % 2, random.Next());
-      connection = std::make_unique<http::HttpConnection>(&loop, addresses_.Front(proxy),
+      connection = std::make_unique<http::HttpConnection>(&loop, addresses_.ProxyListener(proxy),
                                                           kCallTimeoutMs, http::Limits());
     }
     Request request = MakeRequest(&random);
--- a/tools/soak/traffic.h
+++ b/tools/soak/traffic.h
@@ -8,7 +8,7 @@
 
 #include "soak/record.h"
 #include "soak/schedule.h"
-#include "soak/world.h"
+#include "soak/simulated_platform.h"
 
 namespace elderkeel::soak {
 
