--- a/tests/consensus/voter_changes_test.cc
+++ b/tests/consensus/voter_changes_test.cc
@@ -14,7 +14,8 @@
 
 // Up to `count` running controllers besides `without`; the leader is the first, unless it is
 // `without`.
-std::vector<size_t> Victims(World* world, size_t controllers, size_t without, size_t count) {
+std::vector<size_t> Victims(SimulatedCluster* world, size_t controllers, size_t without,
+                            size_t count) {
   std::vector<size_t> victims;
   int leader = world->leader();
   if (count > 0 && leader >= 0 && static_cast<size_t>(leader) != without) {
@@ -29,7 +30,7 @@
 
 // Whether a change is acknowledged within `span`. Fails also once the simulation reports a fault,
 // such as members that committed different entries at one index.
-::testing::AssertionResult Commits(World* world, Millis span) {
+::testing::AssertionResult Commits(SimulatedCluster* world, Millis span) {
   int64_t before = world->acknowledged();
   for (Millis waited = 0; waited < span && world->fault.empty(); waited += 100) {
     world->Change();
@@ -63,15 +64,15 @@
                std::to_string(tolerated) + " may be lost, " +
                (of_leader ? "leader first" : "follower first") + ", second loss at " +
                std::to_string(offset));
-  World::Options options;
+  SimulatedCluster::Options options;
   options.controllers = static_cast<int>(voters);
-  options.spare = c.loss == Loss::kAllReplacedAfterCrash   ? static_cast<int>(tolerated)
-                  : c.loss == Loss::kTwoReplacedAfterCrash ? 2
-                                                           : 1;
+  options.spare_controllers = c.loss == Loss::kAllReplacedAfterCrash   ? static_cast<int>(tolerated)
+                              : c.loss == Loss::kTwoReplacedAfterCrash ? 2
+                                                                       : 1;
   options.proxies = 1;
   options.tolerance.machines = tolerated;
   options.seed = voters * 1000 + tolerated * 100 + static_cast<uint64_t>(offset + 1000);
-  World world(options);
+  SimulatedCluster world(options);
   world.Run(6000);
   ASSERT_TRUE(Commits(&world, 3000));
   int leader = world.leader();
@@ -128,8 +129,9 @@
   world.Run(offset % 70 + 10);  // the change may be acknowledged or not
   before = std::max(before, world.acknowledged());
   bool returns = c.loss == Loss::kRestartedWithEmptyDisk || c.loss == Loss::kRestartedInOrder;
-  std::vector<size_t> second_loss = Victims(&world, voters + static_cast<size_t>(options.spare),
-                                            returns ? 999 : first, tolerated);
+  std::vector<size_t> second_loss =
+      Victims(&world, voters + static_cast<size_t>(options.spare_controllers),
+              returns ? 999 : first, tolerated);
   ASSERT_EQ(second_loss.size(), tolerated);
   for (size_t i : second_loss) world.Wipe(i);
   if (c.loss == Loss::kPlannedReplacement && offset < 0) {
@@ -140,9 +142,9 @@
   for (size_t i : second_loss) world.Start(i);
   world.Run(kCatchUpMs);
   ASSERT_TRUE(Commits(&world, 3000));
-  for (size_t i = 0; i < voters + static_cast<size_t>(options.spare); ++i) {
+  for (size_t i = 0; i < voters + static_cast<size_t>(options.spare_controllers); ++i) {
     auto& node = world.node(i);
-    if (!node.up || node.leave_by) continue;
+    if (!node.up || node.shutdown_deadline) continue;
     EXPECT_GE(node.state.configuration.revision(), before) << i;
   }
   EXPECT_EQ(world.fault, "");
@@ -153,13 +155,13 @@
 TEST(Leaving, LeaderTransfersLeadershipDespiteMessageLoss) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
-    World::Options options;
+    SimulatedCluster::Options options;
     options.controllers = 5;
     options.proxies = 1;
     options.loss_percent = 20;
     options.tolerance.machines = 2;
     options.seed = seed;
-    World world(options);
+    SimulatedCluster world(options);
     world.Run(8000);
     int leader = world.leader();
     if (leader < 0) continue;  // an election is in progress
--- a/tests/dissemination/propagation_test.cc
+++ b/tests/dissemination/propagation_test.cc
@@ -14,7 +14,7 @@
 
 using simulation::Address;
 using simulation::Millis;
-using simulation::World;
+using simulation::SimulatedCluster;
 
 constexpr Millis kBoundMs = 1500;    // half of the shortest time that a deployment allows
 constexpr Millis kContactMs = 4000;  // after this time a fault has been detected
@@ -60,7 +60,7 @@
 // still lacks, and keeps the maximum over all proxies.
 class Staleness {
  public:
-  explicit Staleness(World* world) : world_(world) {}
+  explicit Staleness(SimulatedCluster* world) : world_(world) {}
 
   // Runs the world for `span`; if `measured`, checks every proxy after each step.
   void Run(Millis span, bool measured) {
@@ -79,8 +79,8 @@
     drains_.push_back({"drained-" + std::to_string(drains_.size()), -1});
     if (!world_->DrainZone(drains_.back().first, true)) drains_.pop_back();
   }
-  void ChangeList() {
-    world_->ChangeList();
+  void ChangeEndpoints() {
+    world_->ChangeEndpoints();
     list_changed_at_ = world_->now;
   }
   Millis worst_change() const { return worst_change_; }
@@ -96,7 +96,7 @@
   }
   void MeasureProxies() {
     for (size_t i = 0; i < world_->size(); ++i) {
-      World::Node& node = world_->node(i);
+      SimulatedCluster::Node& node = world_->node(i);
       if (node.controller || !node.up || node.frozen) continue;
       auto lacks = std::upper_bound(
           changes_.begin(), changes_.end(), node.disseminator->revision(),
@@ -109,13 +109,13 @@
         if (at < 0 || node.disseminator->drained_zones().IsDrained(zone)) continue;
         worst_drain_ = std::max(worst_drain_, world_->now - at);
       }
-      if (list_changed_at_ >= 0 && !world_->KnowsList(i)) {
+      if (list_changed_at_ >= 0 && !world_->HasCurrentEndpoints(i)) {
         worst_list_ = std::max(worst_list_, world_->now - list_changed_at_);
       }
     }
   }
 
-  World* world_;
+  SimulatedCluster* world_;
   std::vector<std::pair<int64_t, Millis>> changes_;  // revision, when acknowledged
   // Zone, when its drain was acknowledged; -1 if it was not yet.
   std::vector<std::pair<std::string, Millis>> drains_;
@@ -124,7 +124,7 @@
   std::string where_;
 };
 
-void InjectFault(World* world, Fault fault, size_t victim, size_t controllers) {
+void InjectFault(SimulatedCluster* world, Fault fault, size_t victim, size_t controllers) {
   for (size_t other = 0; other < world->size(); ++other) {
     if (other == victim) continue;
     bool controller = other < controllers;
@@ -159,7 +159,7 @@
 };
 
 // Runs, without measuring, until every node has a first configuration.
-void AdoptFirstChange(World* world, Staleness* staleness) {
+void AdoptFirstChange(SimulatedCluster* world, Staleness* staleness) {
   staleness->Run(3000, false);
   EXPECT_TRUE(world->Change());
   staleness->Run(2000, false);
@@ -167,14 +167,14 @@
 
 // Returns the worst staleness of any proxy after the fault has lasted for kContactMs.
 Worst Measure(Fault fault, int zones, int proxies_per_zone, int changes, uint64_t seed) {
-  World::Options options;
+  SimulatedCluster::Options options;
   options.zones = zones;
   options.controllers = fault == Fault::kNoController ? zones - 1 : zones;
   int without_controller = zones - options.controllers;
   options.proxies = zones * proxies_per_zone + without_controller;
   options.routes = 20;
   options.seed = seed;
-  World world(options);
+  SimulatedCluster world(options);
   Staleness staleness(&world);
   AdoptFirstChange(&world, &staleness);
   size_t leader = static_cast<size_t>(std::max(0, world.leader()));
@@ -189,7 +189,7 @@
     }
     world.Change();
     if (change % 5 == 1) staleness.RequestDrain();
-    if (change % 9 == 3) staleness.ChangeList();
+    if (change % 9 == 3) staleness.ChangeEndpoints();
     staleness.Run(kBetweenChanges, true);
   }
   staleness.Run(2 * kBoundMs, true);
@@ -233,12 +233,12 @@
 // Returns the worst staleness of any proxy. A fault that doesn't last ends kContactMs or more
 // before the measurement, which leaves the proxy that time to catch up.
 Millis MeasureProxyFault(const ProxyFaultCase& c, int routes, uint64_t seed) {
-  World::Options options;
+  SimulatedCluster::Options options;
   options.zones = options.controllers = 4;
   options.proxies = 8;
   options.routes = routes;
   options.seed = seed;
-  World world(options);
+  SimulatedCluster world(options);
   Staleness staleness(&world);
   AdoptFirstChange(&world, &staleness);
   size_t victim = (static_cast<size_t>(std::max(0, world.leader())) + 1) % 4;
--- a/tests/dissemination/served_history_test.cc
+++ b/tests/dissemination/served_history_test.cc
@@ -95,8 +95,8 @@
   int64_t acknowledged() const { return world_.acknowledged(); }
 
  private:
-  static World::Options OptionsOf(uint64_t seed, int routes) {
-    World::Options options;
+  static SimulatedCluster::Options OptionsOf(uint64_t seed, int routes) {
+    SimulatedCluster::Options options;
     options.controllers = 4;
     options.zones = 4;
     options.proxies = 8;
@@ -145,7 +145,7 @@
   }
 
   void CheckProxy(size_t i, bool bounded) {
-    World::Node& node = world_.node(i);
+    SimulatedCluster::Node& node = world_.node(i);
     if (!node.up || node.frozen) return;
     int64_t revision = node.disseminator->revision();
     auto& [boot_id, seen, digest] = seen_[i];
@@ -190,7 +190,7 @@
     world_.Submit(invalid);
   }
 
-  World world_;
+  SimulatedCluster world_;
   ServedHistory history_;
   base::Random random_;
   Millis between_changes_;
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -198,7 +198,7 @@
 // A third of 300 nodes crashes and restarts, while the list of servers changes. All nodes must
 // converge on the same state, and no proxy may use more than its share of a slow link.
 TEST(Simulation, ConvergesWithBoundedTrafficAfterAThirdOf300NodesRestarts) {
-  World::Options options;
+  SimulatedCluster::Options options;
   options.controllers = 5;
   options.proxies = 295;
   options.zones = 5;
@@ -206,15 +206,15 @@
   options.tolerance.machines = 2;
   options.count_bytes = true;
   for (char zone = 'a'; zone <= 'e'; ++zone) options.regions[std::string(1, zone)] = "r";
-  World world(options);
+  SimulatedCluster world(options);
   world.Run(3000);
   ASSERT_TRUE(world.Change());
   world.Run(1500);
   EXPECT_EQ(world.Converged(), "");
-  world.ForgetBytes();
+  world.ResetByteCounts();
   for (size_t i = 5; i < world.size(); i += 3) world.Crash(i);
   world.Run(2000);
-  world.ChangeList();
+  world.ChangeEndpoints();
   for (size_t i = 5; i < world.size(); i += 3) world.Start(i);
   world.Run(2500);
   EXPECT_EQ(world.Converged(), "");
--- a/tests/rollout/rollout_simulation_test.cc
+++ b/tests/rollout/rollout_simulation_test.cc
@@ -9,8 +9,9 @@
 
 using rollout::Stage;
 
-World::Options Options(uint64_t seed, std::function<bool(base::Random&, Millis)> new_fails) {
-  World::Options options;
+SimulatedCluster::Options Options(uint64_t seed,
+                                  std::function<bool(base::Random&, Millis)> new_fails) {
+  SimulatedCluster::Options options;
   options.seed = seed;
   options.controllers = 5;
   options.proxies = 12;
@@ -22,9 +23,9 @@
 
 // Sends the order until it is acknowledged, unchanged each time, as an operator would. Returns
 // whether it was acknowledged within 6 s.
-bool Ordered(World* world) {
+bool Ordered(SimulatedCluster* world) {
   for (Millis waited = 0; waited < 6000 && world->traffic.ordered_at < 0; waited += 10) {
-    if (waited % 900 == 0) world->Order(14000);
+    if (waited % 900 == 0) world->OrderRollout(14000);
     world->Run(10);
   }
   return world->traffic.ordered_at >= 0;
@@ -56,18 +57,19 @@
 
 // Checks what holds under any fault: the simulation reports none of its own checks as failed and,
 // if the version is bad, how many requests it gets and for how long are bounded.
-void CheckExposure(const World& world, bool bad, const std::string& what) {
-  const World::Traffic& t = world.traffic;
+void CheckExposure(const SimulatedCluster& world, bool bad, const std::string& what) {
+  const SimulatedCluster::Traffic& t = world.traffic;
   EXPECT_EQ(world.fault, "") << what;
   if (!bad) return;
   ++worst().runs;
-  worst().exposed = std::max(worst().exposed, static_cast<double>(t.exposed) /
+  worst().exposed = std::max(worst().exposed, static_cast<double>(t.sent_to_new) /
                                                   (static_cast<double>(t.requests) / 10 + 50));
-  EXPECT_LE(t.exposed, t.requests / 10 + 50) << what;
-  if (t.fiftieth_at >= 0) {
+  EXPECT_LE(t.sent_to_new, t.requests / 10 + 50) << what;
+  if (t.fiftieth_failure_at >= 0) {
     ++worst().with_fifty;
-    worst().after_fiftieth = std::max(worst().after_fiftieth, t.last_sent_at - t.fiftieth_at);
-    EXPECT_LE(t.last_sent_at, t.fiftieth_at + 5000) << what;
+    worst().after_fiftieth =
+        std::max(worst().after_fiftieth, t.last_sent_at - t.fiftieth_failure_at);
+    EXPECT_LE(t.last_sent_at, t.fiftieth_failure_at + 5000) << what;
   }
 }
 
@@ -99,7 +101,7 @@
   for (const Kind& kind : kKinds) {
     int wrong_before = wrong;
     for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
-      World world(Options(seed, kind.fails));
+      SimulatedCluster world(Options(seed, kind.fails));
       world.Run(4000);
       ASSERT_TRUE(Ordered(&world));
       world.Run(16000);
@@ -122,7 +124,7 @@
 // traffic moves, but no later.
 TEST(RolloutSimulation, VersionThatTurnsBadDuringPromotionIsReverted) {
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
-    World world(
+    SimulatedCluster world(
         Options(seed, [](base::Random& r, Millis t) { return t > 10000 && r.Unit() < 0.4; }));
     world.Run(4000);
     ASSERT_TRUE(Ordered(&world));
@@ -138,41 +140,42 @@
 TEST(RolloutSimulation, ReachesTheSameFinalStageOnAllNodesUnderOtherFaults) {
   struct Fault {
     const char* name;
-    std::function<void(World*)> strike, repair;
+    std::function<void(SimulatedCluster*)> strike, repair;
   };
   const Fault faults[] = {
       {"the leader is killed",
-       [](World* w) { w->Crash(static_cast<size_t>(std::max(0, w->leader()))); },
-       [](World* w) { w->HealAll(); }},
+       [](SimulatedCluster* w) { w->Crash(static_cast<size_t>(std::max(0, w->leader()))); },
+       [](SimulatedCluster* w) { w->HealAll(); }},
       {"two controllers lose power",
-       [](World* w) {
+       [](SimulatedCluster* w) {
          w->LosePower(0);
          w->LosePower(3);
        },
-       [](World* w) { w->HealAll(); }},
-      {"an observer freezes and resumes", [](World* w) { w->Freeze(1, true); },
-       [](World* w) { w->Freeze(1, false); }},
+       [](SimulatedCluster* w) { w->HealAll(); }},
+      {"an observer freezes and resumes", [](SimulatedCluster* w) { w->Freeze(1, true); },
+       [](SimulatedCluster* w) { w->Freeze(1, false); }},
       {"the controllers are partitioned",
-       [](World* w) {
+       [](SimulatedCluster* w) {
          for (size_t a : {0, 1}) {
            for (size_t b : {2, 3, 4}) w->Cut(a, b, true);
          }
        },
-       [](World* w) { w->HealAll(); }},
+       [](SimulatedCluster* w) { w->HealAll(); }},
       {"half of the proxies are killed",
-       [](World* w) {
+       [](SimulatedCluster* w) {
          for (size_t i = 5; i < 11; ++i) w->Crash(i);
        },
-       [](World* w) { w->HealAll(); }},
-      {"a proxy is isolated", [](World* w) { w->Isolate(8, true); },
-       [](World* w) { w->HealAll(); }},
-      {"a proxy freezes", [](World* w) { w->Freeze(9, true); }, [](World* w) { w->HealAll(); }},
+       [](SimulatedCluster* w) { w->HealAll(); }},
+      {"a proxy is isolated", [](SimulatedCluster* w) { w->Isolate(8, true); },
+       [](SimulatedCluster* w) { w->HealAll(); }},
+      {"a proxy freezes", [](SimulatedCluster* w) { w->Freeze(9, true); },
+       [](SimulatedCluster* w) { w->HealAll(); }},
   };
   for (const Fault& fault : faults) {
     for (size_t k : {0, 1, 3}) {
       const Kind& kind = kKinds[k];
       for (Millis at : {1500, 10500}) {
-        World world(Options(7 + k, kind.fails));
+        SimulatedCluster world(Options(7 + k, kind.fails));
         world.Run(4000);
         ASSERT_TRUE(Ordered(&world));
         world.Run(at);
@@ -200,7 +203,7 @@
 // Guards against an acknowledged order that is lost when all nodes lose power at once.
 TEST(RolloutSimulation, AcknowledgedOrderSurvivesALossOfPowerOfAllNodes) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World world(Options(seed, Sound));
+    SimulatedCluster world(Options(seed, Sound));
     world.Run(4000);
     ASSERT_TRUE(Ordered(&world));
     for (size_t i = 0; i < world.size(); ++i) world.LosePower(i);
--- a/tests/simulation/linearizability_test.cc
+++ b/tests/simulation/linearizability_test.cc
@@ -3,7 +3,7 @@
 #include <cstdlib>
 
 #include "configuration/patch.h"
-#include "simulation/operators.h"
+#include "simulation/simulated_operators.h"
 
 namespace elderkeel::simulation {
 namespace {
@@ -173,12 +173,12 @@
   ConfigurationModel::patch = [](const std::string& text, const std::string& body) {
     return configuration::ApplyPatch(text, body).value_or("");
   };
-  World::Options options;
+  SimulatedCluster::Options options;
   options.seed = seed;
   options.controllers = controllers;
   options.proxies = 1;
   options.regions = {{"a", "r"}, {"b", "r"}, {"c", "r"}};
-  World world(options);
+  SimulatedCluster world(options);
   world.Run(2000);
   Operators operators(&world, {}, seed + 1);
   base::Random& random = world.random();
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -21,7 +21,7 @@
 using dissemination::Confirmation;
 using dissemination::ConfirmReply;
 using dissemination::Versions;
-using simulation::World;
+using simulation::SimulatedCluster;
 
 // Guards against a proxy that takes old versions for confirmed, because of a reply that is delayed,
 // overtaken, or meant for an earlier run of the process.
@@ -339,7 +339,7 @@
     int64_t revision = 0;
   };
 
-  explicit OperatorApis(World* world, int controllers) : world_(world) {
+  explicit OperatorApis(SimulatedCluster* world, int controllers) : world_(world) {
     for (int i = 0; i < controllers; ++i) {
       apis_.push_back(std::make_unique<NodeApi>(this, static_cast<size_t>(i)));
     }
@@ -379,7 +379,7 @@
  private:
   struct NodeApi : configuration::ReplicatedLog {
     NodeApi(OperatorApis* all, size_t i) : all(all), i(i) {}
-    World::Node& node() const { return all->world_->node(i); }
+    SimulatedCluster::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
     bool is_leader() const override { return node().raft->is_leader(); }
@@ -415,7 +415,7 @@
   // a restart, and marks the requests that were open at the crash as broken.
   configuration::OperatorApi* Api(size_t i) {
     NodeApi& d = *apis_[i];
-    World::Node& n = world_->node(i);
+    SimulatedCluster::Node& n = world_->node(i);
     if (!n.up || d.boot_id != n.boot_id) {
       for (uint64_t ticket : d.open) answers[ticket].status = -1;
       d.open.clear();
@@ -437,7 +437,7 @@
     return d.api.get();
   }
 
-  World* world_;
+  SimulatedCluster* world_;
   std::vector<std::unique_ptr<NodeApi>> apis_;
   uint64_t tickets_ = 0;
 };
@@ -517,11 +517,11 @@
       }
       Advance(1000);
       Cut();  // also cuts the nodes that were restarted
-      const World::Node& member_side = world_.node(kControllers);
+      const SimulatedCluster::Node& member_side = world_.node(kControllers);
       if (member_side.confirmed_at >= 0 && started_[0] > 0 && case_.how == How::kBoth) {
         world_.fault = "a proxy that reaches the member alone was confirmed";
       }
-      const World::Node& majority_side = world_.node(kControllers + 1);
+      const SimulatedCluster::Node& majority_side = world_.node(kControllers + 1);
       if (majority_side.confirmed_at >= 0 && started_[1] > 0) {
         RecordWorst("start of a proxy elsewhere", majority_side.confirmed_at - started_[1]);
         started_[1] = 0;
@@ -557,8 +557,8 @@
   static std::map<std::string, Millis> worst;  // longest duration of calls during a cut, by kind
 
  private:
-  static World::Options MakeOptions(uint64_t seed) {
-    World::Options options;
+  static SimulatedCluster::Options MakeOptions(uint64_t seed) {
+    SimulatedCluster::Options options;
     options.controllers = kControllers;
     options.proxies = 3;
     options.tolerance = {2, 0, 0};
@@ -616,7 +616,7 @@
         AddCaller("GET", (member_ + 1) % kControllers, false);
       }
       for (size_t i = 0; i < kControllers; ++i) {
-        const World::Node& n = world_.node(i);
+        const SimulatedCluster::Node& n = world_.node(i);
         if (n.up && n.raft && n.raft->is_leader()) led_at_[i] = world_.now;
       }
       if (world_.now % 50 == 0) apis_.Tick();
@@ -703,7 +703,7 @@
   }
 
   Case case_;
-  World world_;
+  SimulatedCluster world_;
   OperatorApis apis_;
   std::deque<Caller> callers_;
   size_t member_ = 0;
--- a/tests/simulation/operators.h
+++ b/tests/simulation/simulated_operators.h
@@ -16,13 +16,13 @@
 
 using linearizability::Operation;
 
-// Simulated operators that call the controllers of a World concurrently. A caller starts at any
-// controller, follows two redirects, goes on to another controller after a failure, a 5xx or a
-// second without an answer, and repeats the same order until it has a definite answer. Each
+// Simulated operators that call the controllers of a SimulatedCluster concurrently. A caller starts
+// at any controller, follows two redirects, goes on to another controller after a failure, a 5xx or
+// a second without an answer, and repeats the same order until it has a definite answer. Each
 // controller runs the real configuration::OperatorApi. Connections are slow, break and close at
-// random; every call is recorded for the check of linearizability. Registers itself as the World's
-// listener, so it must outlive all runs.
-class Operators : public World::Listener {
+// random; every call is recorded for the check of linearizability. Registers itself as the
+// SimulatedCluster's listener, so it must outlive all runs.
+class Operators : public SimulatedCluster::Listener {
  public:
   struct Options {
     size_t max_in_flight = 8;         // most calls at the same time
@@ -32,7 +32,7 @@
     Millis max_resend_delay = 20000;  // longest time until a change is sent again
   };
 
-  Operators(World* world, Options options, uint64_t seed)
+  Operators(SimulatedCluster* world, Options options, uint64_t seed)
       : world_(world), options_(options), random_(seed) {
     apis_.resize(world->size());
     world->SetListener(this);
@@ -64,7 +64,7 @@
   static constexpr const char* kZones[] = {"a", "b", "c"};
   static constexpr const char* kServices[] = {"t", "u"};
 
-  // --- World::Listener ---
+  // --- SimulatedCluster::Listener ---
   void OnStarted(size_t i) override {
     if (!world_->node(i).controller) return;
     apis_[i] = std::make_unique<ApiInstance>();
@@ -113,7 +113,7 @@
   // The simulated node's Raft log, as its OperatorApi uses it.
   class NodeLog : public configuration::ReplicatedLog {
    public:
-    NodeLog(World* world, size_t i) : world_(world), i_(i) {}
+    NodeLog(SimulatedCluster* world, size_t i) : world_(world), i_(i) {}
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
     bool is_leader() const override { return node().raft->is_leader(); }
     uint64_t term() const override { return node().raft->term(); }
@@ -147,11 +147,11 @@
     bool HasService(const std::string&) const override { return true; }
 
    private:
-    World::Node& node() const { return world_->node(i_); }
+    SimulatedCluster::Node& node() const { return world_->node(i_); }
     std::optional<uint64_t> ProposeCommand(std::string command) {
       return node().raft->Propose(world_->now, std::move(command));
     }
-    World* world_;
+    SimulatedCluster* world_;
     size_t i_;
   };
   // The operator API of one running controller.
@@ -469,7 +469,7 @@
   }
   // The operator API has no read of a zone's drain; a confirmed read at the Raft node replaces it.
   void ReadZone(size_t i, uint64_t ticket, const std::string& zone) {
-    World::Node& n = world_->node(i);
+    SimulatedCluster::Node& n = world_->node(i);
     uint64_t token = ++last_token_;
     if (!n.raft->is_leader() || !n.raft->ConfirmRead(world_->now, token)) {
       http::Message answer;
@@ -499,7 +499,7 @@
     SendAnswer(i, ticket, answer);
   }
 
-  World* world_;
+  SimulatedCluster* world_;
   Options options_;
   base::Random random_;
   std::vector<std::unique_ptr<ApiInstance>>
--- a/tests/simulation/simulation.cc
+++ b/tests/simulation/simulation.cc
@@ -1,4 +1,4 @@
-// World: construction, the simulated clock, and the work of each step.
+// SimulatedCluster: construction, the simulated clock, and the work of each step.
 #include "simulation/simulation.h"
 
 #include <algorithm>
@@ -6,15 +6,15 @@
 
 namespace elderkeel::simulation {
 
-void World::SetListener(Listener* listener) {
+void SimulatedCluster::SetListener(Listener* listener) {
   listener_ = listener;
   for (size_t i = 0; i < nodes_.size(); ++i) {
     if (nodes_[i]->up) listener_->OnStarted(i);
   }
 }
 
-World::World(Options options) : options_(options), random_(options.seed) {
-  options_.controllers += options.spare;
+SimulatedCluster::SimulatedCluster(Options options) : options_(options), random_(options.seed) {
+  options_.controllers += options.spare_controllers;
   for (int i = 0; i < options_.controllers + options.proxies; ++i) {
     auto node = std::make_unique<Node>();
     node->controller = i < options_.controllers;
@@ -35,18 +35,18 @@
   }
 }
 
-void World::Fail(const std::string& what) {
+void SimulatedCluster::Fail(const std::string& what) {
   if (fault.empty()) fault = "at " + std::to_string(now) + ": " + what;
 }
 
-void World::Trace(size_t node, uint64_t kind, std::string_view bytes) {
+void SimulatedCluster::Trace(size_t node, uint64_t kind, std::string_view bytes) {
   if (!options_.trace) return;
   trace_digest_ = base::Hash(bytes, base::Random(trace_digest_ + static_cast<uint64_t>(now) * 31 +
                                                  node * 1009 + kind * 65537)
                                         .Next());
 }
 
-void World::Step() {
+void SimulatedCluster::Step() {
   while (!packets_.empty() && packets_.top().at <= now) {
     Packet p = packets_.top();
     packets_.pop();
@@ -77,12 +77,12 @@
     if (!n.controller && options_.requests > 0) Serve(i);
     if (!n.controller && options_.confirm) AskConfirmation(i);
     Pump(i);
-    if (n.leave_by && (n.raft->may_stop() || now >= n.leave_by)) Crash(i);
+    if (n.shutdown_deadline && (n.raft->may_stop() || now >= n.shutdown_deadline)) Crash(i);
   }
   if (listener_) listener_->OnStep();
 }
 
-void World::PumpNode(size_t i) {
+void SimulatedCluster::PumpNode(size_t i) {
   Node& n = *nodes_[i];
   auto membership = n.members->TakeEffects();
   for (const auto& node : membership.changed) {
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -29,11 +29,11 @@
 // assignment, membership, dissemination and roll-out code on a simulated network, disks and clock.
 // A run is determined by Options::seed. Invariants are checked at each step; the first violation is
 // recorded in `fault` and stops Run(). Not thread-safe.
-class World {
+class SimulatedCluster {
  public:
   struct Options {
     int controllers = 3;
-    int spare = 0;  // additional controllers that the constructor doesn't start
+    int spare_controllers = 0;  // additional controllers that the constructor doesn't start
     int proxies = 4;
     int loss_percent = 2;
     int zones = 3;
@@ -58,8 +58,8 @@
   struct Hooks {
     std::function<void(size_t, const consensus::Entry&)> applied;
     std::function<void(size_t)> role_changed;
-    // A read with this token was confirmed (true) or failed. Not called for the reads that World
-    // itself requests.
+    // A read with this token was confirmed (true) or failed. Not called for the reads that
+    // SimulatedCluster itself requests.
     std::function<void(size_t, uint64_t, bool)> read_done;
   };
 
@@ -68,11 +68,12 @@
   struct Traffic {
     Millis ordered_at = -1;  // when the order was first applied at a leader
     int64_t time_limit_ms = 0;
-    // `requests` counts all requests and `exposed` those sent to the new version, from ordered_at
-    // until time_limit_ms later; `bad` counts the failed answers of the new version.
-    uint64_t requests = 0, exposed = 0, bad = 0;
+    // `requests` counts all requests and `sent_to_new` those sent to the new version, from
+    // ordered_at until time_limit_ms later; `failed_answers` counts the failed answers of the new
+    // version.
+    uint64_t requests = 0, sent_to_new = 0, failed_answers = 0;
     // Times of the fiftieth failed answer and of the last request sent to the new version.
-    Millis fiftieth_at = -1, last_sent_at = -1;
+    Millis fiftieth_failure_at = -1, last_sent_at = -1;
     Millis ended_at = -1;  // when a leader first applied the end of the roll-out
     rollout::Stage stage = rollout::Stage::kCanary;
   };
@@ -89,7 +90,7 @@
     // Writes that aren't synced yet, oldest first, with the time at which each finishes.
     std::vector<std::pair<Millis, consensus::WriteRequest>> pending_writes;
     Millis disk_hangs_until = 0;
-    Millis leave_by = 0;  // deadline of a shutdown in progress, 0 if there is none
+    Millis shutdown_deadline = 0;  // deadline of a shutdown in progress, 0 if there is none
     // State of one run of the process. Start() resets it, except `bytes`, `asked` and `report_at`.
     uint64_t boot_id = 0;
     std::unique_ptr<consensus::RaftNode> raft;
@@ -101,7 +102,7 @@
     std::unique_ptr<dissemination::Disseminator> disseminator;
     int64_t adopted_revision = 0;
     uint64_t adopted_epoch = 0, adopted_sequence = 0;
-    size_t bytes = 0;  // sent since ForgetBytes(), also before restarts; see count_bytes
+    size_t bytes = 0;  // sent since ResetByteCounts(), also before restarts; see count_bytes
     std::unique_ptr<rollout::CanaryPolicy> policy;
     std::unique_ptr<rollout::RolloutCoordinator> coordinator;
     std::unique_ptr<rollout::Observer> observer;
@@ -144,11 +145,11 @@
   // Sets the only listener and calls OnStarted() for each node that is up. It must outlive all
   // later runs.
   void SetListener(Listener* listener);
-  // Carries out the effects that the node's components have queued. Callers from outside World
-  // call it after each call of a component.
+  // Carries out the effects that the node's components have queued. Callers from outside
+  // SimulatedCluster call it after each call of a component.
   void Pump(size_t i) { PumpNode(i); }
 
-  explicit World(Options options);
+  explicit SimulatedCluster(Options options);
 
   // --- faults of nodes and links ---
   // Starts a node that is down. With `first`, the first three controllers found the Raft group.
@@ -193,9 +194,9 @@
   bool DrainZone(const std::string& zone, bool drain);
   // Proposes to roll out version "v2" of service "s" over `time_limit_ms`. The order counts as
   // acknowledged once it is applied at a leader.
-  bool Order(int64_t time_limit_ms);
+  bool OrderRollout(int64_t time_limit_ms);
   // Changes the platform's endpoint list; the catalog reader sees it at its next poll.
-  void ChangeList() { ++list_version_; }
+  void ChangeEndpoints() { ++list_version_; }
 
   // Advances the clock by `span` ms in steps of 10 ms; stops early at a fault.
   void Run(Millis span) {
@@ -216,11 +217,11 @@
   // Whether the zone is drained by the last order, if that was acknowledged; false if not.
   bool acknowledged_drain(const std::string& zone) const;
   // Whether the node holds the platform's current endpoint list.
-  bool KnowsList(size_t i) const;
+  bool HasCurrentEndpoints(size_t i) const;
   uint64_t messages() const { return messages_; }  // sent by all nodes
   size_t bytes_of(size_t i) const { return nodes_[i]->bytes; }
   // Sets the byte counts of all nodes to 0.
-  void ForgetBytes();
+  void ResetByteCounts();
 
   // The same as Pump().
   void Flush(size_t i) { Pump(i); }
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -1,4 +1,4 @@
-// World: the work of a controller around its Raft node, and the confirmation of proxies.
+// SimulatedCluster: the work of a controller around its Raft node, and the confirmation of proxies.
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace elderkeel::simulation {
 
-void World::AskConfirmation(size_t i) {
+void SimulatedCluster::AskConfirmation(size_t i) {
   Node& n = *nodes_[i];
   dissemination::Versions held{n.disseminator->revision(),
                                n.disseminator->drained_zones().version(),
@@ -27,7 +27,8 @@
   Send(i, to, n.confirmation->NewRequest(now));
 }
 
-void World::OnConfirm(size_t i, const Address& from, const dissemination::ConfirmRequest& confirm) {
+void SimulatedCluster::OnConfirm(size_t i, const Address& from,
+                                 const dissemination::ConfirmRequest& confirm) {
   Node& n = *nodes_[i];
   uint64_t token = ++last_id_;
   n.pending_confirms[token] = {from, confirm.nonce};
@@ -35,7 +36,7 @@
   AnswerConfirm(i, token, false);
 }
 
-void World::AnswerConfirm(size_t i, uint64_t token, bool confirmed) {
+void SimulatedCluster::AnswerConfirm(size_t i, uint64_t token, bool confirmed) {
   Node& n = *nodes_[i];
   auto at = n.pending_confirms.find(token);
   if (at == n.pending_confirms.end()) return;
@@ -53,7 +54,7 @@
   n.pending_confirms.erase(at);
 }
 
-void World::FinishWrites(size_t i) {
+void SimulatedCluster::FinishWrites(size_t i) {
   Node& n = *nodes_[i];
   while (!n.pending_writes.empty() && n.pending_writes.front().first <= now &&
          now >= n.disk_hangs_until) {
@@ -65,7 +66,7 @@
   }
 }
 
-void World::Store(Node* node, const consensus::WriteRequest& write) {
+void SimulatedCluster::Store(Node* node, const consensus::WriteRequest& write) {
   Node& n = *node;
   n.disk.empty = false;
   if (write.hard_state_changed) n.disk.hard_state = write.hard_state;
@@ -84,7 +85,7 @@
   if (write.commit && random_.Below(2)) n.disk.commit = write.commit;  // not synced, may be lost
 }
 
-std::vector<singleton::Candidate> World::Candidates(const Node& n) {
+std::vector<singleton::Candidate> SimulatedCluster::Candidates(const Node& n) {
   std::vector<singleton::Candidate> candidates;
   for (const auto& v : n.raft->voters()) {
     Millis reporting = n.raft->LastContact(v.id);
@@ -94,20 +95,21 @@
   return candidates;
 }
 
-void World::ProposeAssignment(Node& n, const std::optional<singleton::Assignment>& assignment) {
+void SimulatedCluster::ProposeAssignment(Node& n,
+                                         const std::optional<singleton::Assignment>& assignment) {
   if (assignment)
     n.raft->Propose(
         now, controller::MakeCommand(controller::Command::Kind::kCatalogReader, *assignment));
 }
 
-void World::OnResignation(size_t i, const singleton::Resignation& r) {
+void SimulatedCluster::OnResignation(size_t i, const singleton::Resignation& r) {
   Node& n = *nodes_[i];
   if (n.raft->HasCommittedInTerm())
     ProposeAssignment(n,
                       n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
 }
 
-void World::UpdateAuthorities(Node& n) {
+void SimulatedCluster::UpdateAuthorities(Node& n) {
   std::optional<Address> leader, reader;
   if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
     leader = member->address();
@@ -130,7 +132,7 @@
   }
 }
 
-void World::TickController(size_t i) {
+void SimulatedCluster::TickController(size_t i) {
   Node& n = *nodes_[i];
   TickRollouts(i);
   if (n.raft->HasCommittedInTerm())
@@ -169,7 +171,7 @@
   }
 }
 
-void World::TraceEffects(size_t i, const consensus::RaftNode::Effects& e) {
+void SimulatedCluster::TraceEffects(size_t i, const consensus::RaftNode::Effects& e) {
   if (!options_.trace) return;
   for (const auto& write : e.writes) {
     Trace(i, 100,
@@ -186,7 +188,7 @@
   if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
 }
 
-void World::PumpRaft(size_t i) {
+void SimulatedCluster::PumpRaft(size_t i) {
   Node& n = *nodes_[i];
   for (;;) {
     consensus::RaftNode::Effects e = n.raft->TakeEffects();
--- a/tests/simulation/simulation_faults.cc
+++ b/tests/simulation/simulation_faults.cc
@@ -1,4 +1,4 @@
-// World: starts, stops and faults of nodes and links.
+// SimulatedCluster: starts, stops and faults of nodes and links.
 #include <algorithm>
 #include <utility>
 
@@ -6,12 +6,12 @@
 
 namespace elderkeel::simulation {
 
-void World::Start(size_t i, bool first) {
+void SimulatedCluster::Start(size_t i, bool first) {
   Node& n = *nodes_[i];
   if (n.up) return;
   n.up = true;
   n.frozen = false;
-  n.leave_by = 0;
+  n.shutdown_deadline = 0;
   n.boot_id = random_.Next() | 1;
   n.adopted_revision = 0;
   n.adopted_epoch = n.adopted_sequence = 0;
@@ -73,7 +73,7 @@
   if (listener_) listener_->OnStarted(i);
 }
 
-void World::Crash(size_t i) {
+void SimulatedCluster::Crash(size_t i) {
   Node& n = *nodes_[i];
   if (n.up && listener_) listener_->OnCrashed(i);
   n.up = false;
@@ -83,32 +83,32 @@
   n.members.reset();
 }
 
-void World::Leave(size_t i) {
+void SimulatedCluster::Leave(size_t i) {
   Node& n = *nodes_[i];
-  if (!n.up || n.frozen || n.leave_by) return;
+  if (!n.up || n.frozen || n.shutdown_deadline) return;
   n.members->Leave(now);
   if (n.raft) {
     n.raft->Leave();
     n.raft->TransferLeadership(now);
-    n.leave_by = now + 5000;
+    n.shutdown_deadline = now + 5000;
   }
   Pump(i);
   if (!n.raft) Crash(i);
 }
 
-void World::LosePower(size_t i) {
+void SimulatedCluster::LosePower(size_t i) {
   Node& n = *nodes_[i];
   size_t kept = random_.Below(3) == 0 ? 0 : random_.Below(n.pending_writes.size() + 1);
   for (size_t k = 0; k < kept; ++k) Store(&n, n.pending_writes[k].second);
   Crash(i);
 }
 
-void World::Wipe(size_t i) {
+void SimulatedCluster::Wipe(size_t i) {
   Crash(i);
   nodes_[i]->disk = consensus::RestoredState();
 }
 
-void World::Cut(size_t a, size_t b, bool cut) {
+void SimulatedCluster::Cut(size_t a, size_t b, bool cut) {
   if (cut) {
     cuts_.insert({std::min(a, b), std::max(a, b)});
   } else {
@@ -116,7 +116,7 @@
   }
 }
 
-void World::CutOneWay(size_t from, size_t to, bool cut) {
+void SimulatedCluster::CutOneWay(size_t from, size_t to, bool cut) {
   if (cut) {
     one_way_cuts_.insert({from, to});
   } else {
@@ -124,13 +124,13 @@
   }
 }
 
-void World::Isolate(size_t i, bool cut) {
+void SimulatedCluster::Isolate(size_t i, bool cut) {
   for (size_t k = 0; k < nodes_.size(); ++k) {
     if (k != i) Cut(i, k, cut);
   }
 }
 
-void World::LoseDatagrams(size_t i, bool lose) {
+void SimulatedCluster::LoseDatagrams(size_t i, bool lose) {
   if (lose) {
     datagrams_lost_.insert(i);
   } else {
@@ -138,7 +138,7 @@
   }
 }
 
-void World::LoseConnection(size_t from, size_t to, bool lose) {
+void SimulatedCluster::LoseConnection(size_t from, size_t to, bool lose) {
   if (lose) {
     connections_lost_.insert({from, to});
   } else {
@@ -146,7 +146,7 @@
   }
 }
 
-void World::HealAll() {
+void SimulatedCluster::HealAll() {
   cuts_.clear();
   one_way_cuts_.clear();
   datagrams_lost_.clear();
@@ -154,7 +154,8 @@
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Freeze(i, false);
     nodes_[i]->disk_hangs_until = 0;
-    if (nodes_[i]->leave_by) Crash(i);  // ends the shutdown, so that Start() restarts it now
+    if (nodes_[i]->shutdown_deadline)
+      Crash(i);  // ends the shutdown, so that Start() restarts it now
     Start(i);
   }
 }
--- a/tests/simulation/simulation_invariants.cc
+++ b/tests/simulation/simulation_invariants.cc
@@ -1,4 +1,5 @@
-// World: the invariants that hold at each step, and the check for convergence after faults.
+// SimulatedCluster: the invariants that hold at each step, and the check for convergence after
+// faults.
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +7,7 @@
 
 namespace elderkeel::simulation {
 
-std::string World::Converged() {
+std::string SimulatedCluster::Converged() {
   int leaders = 0;
   for (auto& n : nodes_) leaders += n->up && n->raft && n->raft->HasCommittedInTerm();
   if (leaders != 1) return std::to_string(leaders) + " settled leaders";
@@ -36,7 +37,7 @@
   return "";
 }
 
-int World::leader() const {
+int SimulatedCluster::leader() const {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     if (nodes_[i]->up && nodes_[i]->raft && nodes_[i]->raft->HasCommittedInTerm())
       return static_cast<int>(i);
@@ -44,17 +45,17 @@
   return -1;
 }
 
-bool World::acknowledged_drain(const std::string& zone) const {
+bool SimulatedCluster::acknowledged_drain(const std::string& zone) const {
   auto at = drained_zones_.find(zone);
   return at != drained_zones_.end() && at->second;
 }
 
-bool World::KnowsList(size_t i) const {
+bool SimulatedCluster::HasCurrentEndpoints(size_t i) const {
   const auto& servers = nodes_[i]->disseminator->endpoints().servers;
   return servers.size() == 1 && servers[0].id == "list-" + std::to_string(list_version_);
 }
 
-void World::CheckFreshness(const Node& n) {
+void SimulatedCluster::CheckFreshness(const Node& n) {
   Millis age = n.disseminator->log_age(now);
   if (age < 0) return;
   auto known = acknowledged_at_.upper_bound(now - age);
@@ -65,7 +66,8 @@
   }
 }
 
-void World::CheckConfigurationDigest(int64_t revision, uint64_t digest, const std::string& who) {
+void SimulatedCluster::CheckConfigurationDigest(int64_t revision, uint64_t digest,
+                                                const std::string& who) {
   auto [at, added] = configuration_digests_.emplace(revision, digest);
   if (!added && at->second != digest)
     Fail(who + " has another winner of revision " + std::to_string(revision));
--- a/tests/simulation/simulation_network.cc
+++ b/tests/simulation/simulation_network.cc
@@ -1,4 +1,4 @@
-// World: the simulated network between the nodes.
+// SimulatedCluster: the simulated network between the nodes.
 #include <algorithm>
 #include <utility>
 
@@ -6,11 +6,11 @@
 
 namespace elderkeel::simulation {
 
-void World::ForgetBytes() {
+void SimulatedCluster::ResetByteCounts() {
   for (auto& n : nodes_) n->bytes = 0;
 }
 
-bool World::ByDatagram(const Body& body) {
+bool SimulatedCluster::ByDatagram(const Body& body) {
   if (auto* digest = std::get_if<dissemination::Digest>(&body)) return !digest->reliable;
   if (auto* request = std::get_if<dissemination::SyncRequest>(&body)) return !request->reliable;
   return std::holds_alternative<membership::Heartbeat>(body) ||
@@ -19,12 +19,12 @@
          std::holds_alternative<membership::MembershipSummary>(body);
 }
 
-void World::Send(size_t from, const Address& to, Body body) {
+void SimulatedCluster::Send(size_t from, const Address& to, Body body) {
   bool datagram = ByDatagram(body);
   Send(from, to, std::move(body), datagram);
 }
 
-void World::Send(size_t from, const Address& to, Body body, bool datagram) {
+void SimulatedCluster::Send(size_t from, const Address& to, Body body, bool datagram) {
   auto at = by_address_.find(to);
   if (at == by_address_.end()) return;
   ++messages_;
@@ -44,7 +44,7 @@
                  std::move(body)});
 }
 
-void World::Deliver(size_t i, const Address& from, const Body& body) {
+void SimulatedCluster::Deliver(size_t i, const Address& from, const Body& body) {
   Node& n = *nodes_[i];
   if (auto* m = std::get_if<membership::Heartbeat>(&body)) n.members->OnHeartbeat(now, from, *m);
   if (auto* m = std::get_if<membership::MembershipUpdate>(&body))
--- a/tests/simulation/simulation_operator.cc
+++ b/tests/simulation/simulation_operator.cc
@@ -1,4 +1,4 @@
-// World: the operator's calls, and the documents that they send.
+// SimulatedCluster: the operator's calls, and the documents that they send.
 #include <algorithm>
 #include <utility>
 
@@ -6,14 +6,14 @@
 
 namespace elderkeel::simulation {
 
-bool World::Change() {
+bool SimulatedCluster::Change() {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     if (nodes_[i]->raft && nodes_[i]->raft->HasCommittedInTerm() && ChangeAt(i)) return true;
   }
   return false;
 }
 
-bool World::ChangeAt(size_t i) {
+bool SimulatedCluster::ChangeAt(size_t i) {
   Node* n = nodes_[i].get();
   if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) return false;
   int64_t current = n->state.configuration.revision();
@@ -30,7 +30,7 @@
   return index.has_value();
 }
 
-bool World::Submit(const configuration::Change& change) {
+bool SimulatedCluster::Submit(const configuration::Change& change) {
   for (auto& n : nodes_) {
     if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) continue;
     return n->raft
@@ -40,7 +40,7 @@
   return false;
 }
 
-bool World::DrainZone(const std::string& zone, bool drain) {
+bool SimulatedCluster::DrainZone(const std::string& zone, bool drain) {
   for (auto& n : nodes_) {
     if (!n->up || n->frozen || !n->raft || !n->raft->HasCommittedInTerm()) continue;
     auto index =
@@ -53,7 +53,7 @@
   return false;
 }
 
-bool World::Order(int64_t time_limit_ms) {
+bool SimulatedCluster::OrderRollout(int64_t time_limit_ms) {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Node& n = *nodes_[i];
     if (!n.up || n.frozen || !n.raft || !n.raft->HasCommittedInTerm()) continue;
@@ -67,14 +67,14 @@
   return false;
 }
 
-std::string World::RouteJson(int route) {
+std::string SimulatedCluster::RouteJson(int route) {
   std::string name = std::to_string(route);
   return R"({"label":"r)" + name + R"(","host":"h.example","path-prefix":"/p)" + name +
          R"(/","variant":"idempotent","timeout-ms":)" + std::to_string(500 + random_.Below(500)) +
          R"(,"target-latency-ms":300,"priority":1,"target":"s","max-attempts":2})";
 }
 
-std::string World::ChangeBody(int64_t revision, bool patch) {
+std::string SimulatedCluster::ChangeBody(int64_t revision, bool patch) {
   std::string head = R"({"revision":)" + std::to_string(revision);
   if (options_.routes == 0) {
     return head + R"(,"by":")" + std::to_string(random_.Next()) +
@@ -92,7 +92,7 @@
          R"("max-body-bytes":1000000,"header-timeout-ms":3000,"idle-timeout-ms":15000}})";
 }
 
-bool World::Propose(Node& n, const rollout::Step& step) {
+bool SimulatedCluster::Propose(Node& n, const rollout::Step& step) {
   return n.raft->Propose(now, controller::MakeCommand(controller::Command::Kind::kRollout, step))
       .has_value();
 }
--- a/tests/simulation/simulation_rollouts.cc
+++ b/tests/simulation/simulation_rollouts.cc
@@ -1,4 +1,4 @@
-// World: roll-outs, and the proxies' traffic that they shift to the new version.
+// SimulatedCluster: roll-outs, and the proxies' traffic that they shift to the new version.
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace elderkeel::simulation {
 
-std::vector<rollout::Candidate> World::ObserverCandidates(const Node& n) const {
+std::vector<rollout::Candidate> SimulatedCluster::ObserverCandidates(const Node& n) const {
   std::vector<rollout::Candidate> found;
   for (const auto& [id, node] : n.members->nodes()) {
     if (node.durable && node.state == membership::State::kAlive) found.push_back({id, node.zone});
@@ -14,7 +14,7 @@
   return found;
 }
 
-void World::Serve(size_t i) {
+void SimulatedCluster::Serve(size_t i) {
   Node& n = *nodes_[i];
   for (size_t k = 0; k < n.in_flight.size();) {
     Node::InFlightRequest request = n.in_flight[k];
@@ -25,7 +25,8 @@
     n.in_flight.erase(n.in_flight.begin() + static_cast<long>(k));
     bool failed = request.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
                                       : random_.Unit() < options_.old_fails;
-    if (request.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
+    if (request.new_version && failed && ++traffic.failed_answers == 50)
+      traffic.fiftieth_failure_at = now;
     n.policy->CountOutcome(
         now, {"s", request.new_version ? "v2" : "v1", std::to_string(request.server), "r",
               failed ? rollout::CanaryPolicy::Outcome::kFailed
@@ -45,7 +46,7 @@
         {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
     if (!fresh) continue;
     n.policy->CountAttempt("s", "v2");
-    traffic.exposed += in_term;
+    traffic.sent_to_new += in_term;
     traffic.last_sent_at = now;
   }
   if (!n.policy->active() || now < n.report_at) return;
@@ -62,7 +63,7 @@
   }
 }
 
-void World::AdoptRollouts(Node& n) {
+void SimulatedCluster::AdoptRollouts(Node& n) {
   n.coordinator->Adopt(now, n.state.rollouts);
   n.observer->Adopt(n.state.rollouts);
   n.disseminator->Commit(n.state.rollouts);
@@ -88,7 +89,7 @@
   }
 }
 
-void World::TickRollouts(size_t i) {
+void SimulatedCluster::TickRollouts(size_t i) {
   Node& n = *nodes_[i];
   if (n.raft->HasCommittedInTerm()) {
     for (const auto& step : n.coordinator->Review(now, n.state.rollouts, ObserverCandidates(n))) {
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Runs until the cluster has converged; fails with `why` if it hasn't after `within` ms.
-void Stabilize(World* world, Millis within, const std::string& why) {
+void Stabilize(SimulatedCluster* world, Millis within, const std::string& why) {
   std::string state = "nothing ran";
   for (Millis waited = 0; waited < within && world->fault.empty(); waited += 250) {
     world->Run(250);
@@ -24,11 +24,11 @@
 // disk at a time, while an operator changes the configuration and drains zones and the platform's
 // endpoint list changes.
 void Chaos(uint64_t seed, int controllers) {
-  World::Options options;
+  SimulatedCluster::Options options;
   options.seed = seed;
   options.controllers = controllers;
   options.regions = {{"a", "r"}, {"b", "r"}, {"c", "r"}};
-  World world(options);
+  SimulatedCluster world(options);
   base::Random& random = world.random();
   world.Run(3000);
   Millis wiped_at = -100000;
@@ -63,7 +63,7 @@
         world.node(c).disk_hangs_until = world.now + static_cast<Millis>(random.Below(3000));
         break;
       case 7:
-        world.ChangeList();
+        world.ChangeEndpoints();
         break;
       case 8: {
         // At most one disk may be lost until the cluster has admitted the replacement as a voter.
@@ -99,8 +99,8 @@
   EXPECT_GT(world.acknowledged(), 3) << "seed " << seed;
 }
 
-// Guards against any violation of World's invariants under random faults, and against a cluster
-// that doesn't converge after them.
+// Guards against any violation of SimulatedCluster's invariants under random faults, and against a
+// cluster that doesn't converge after them.
 class Seeds : public ::testing::TestWithParam<int> {};
 TEST_P(Seeds, ThreeControllersThroughChaos) {
   for (int k = 0; k < 8; ++k) Chaos(static_cast<uint64_t>(GetParam() * 100 + k), 3);
@@ -117,7 +117,7 @@
 
 // A new cluster must elect a leader and spread a first change to all nodes.
 TEST(Simulation, ANewClusterElectsALeaderAndSpreadsAChange) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(1500);
   ASSERT_TRUE(world.Change());
   Stabilize(&world, 3000, "start");
@@ -126,7 +126,7 @@
 // A voter that lost its disk may have voted in the current term; it must come back under a
 // new member id, or it could vote twice.
 TEST(Simulation, AWipedMemberAtItsOldAddressBecomesAVoterUnderANewId) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   ASSERT_TRUE(world.Change());
   Stabilize(&world, 3000, "start");
@@ -142,13 +142,13 @@
 // The catalog reader may run in the leader's process. After a crash of both, a change of the
 // endpoint list must still reach every node.
 TEST(Simulation, TheCatalogReaderLostWithTheLeaderIsReplaced) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
   int leader = world.leader();
   world.Crash(static_cast<size_t>(leader));
-  world.ChangeList();
+  world.ChangeEndpoints();
   world.Run(4000);
   // Two of three controllers suffice to elect a leader, to assign a catalog reader and to spread
   // the list.
@@ -164,24 +164,24 @@
 // A catalog reader that restarted numbered its lists from 1 again within its old epoch, so that all
 // nodes ignored them as outdated.
 TEST(Simulation, ARestartedCatalogReaderIsNotTakenForItsEarlierIncarnation) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   for (int k = 0; k < 4; ++k) {
-    world.ChangeList();
+    world.ChangeEndpoints();
     world.Run(1500);
   }
   Stabilize(&world, 4000, "start");
   for (size_t i = 0; i < 3; ++i) world.Crash(i);
   world.Run(200);
   for (size_t i = 0; i < 3; ++i) world.Start(i);
-  world.ChangeList();
+  world.ChangeEndpoints();
   Stabilize(&world, 6000, "after the restart of the core");
 }
 
 // A leader that is cut off from the other voters must not acknowledge a change, and must step down.
 TEST(Simulation, AMinorityLeaderAcknowledgesNothing) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -203,7 +203,7 @@
 // A leader whose disk hangs can commit by the disks of the others, but must hand over instead of
 // leading on without a working disk.
 TEST(Simulation, ALeaderWhoseDiskHangsIsReplaced) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -222,9 +222,9 @@
 // A voter that stays unreachable uses up a part of the failures that the group tolerates. It must
 // be removed in time, and become a voter again when it returns.
 TEST(Simulation, AControllerThatStaysUnreachableLosesItsVoteUntilItReturns) {
-  World::Options options;
+  SimulatedCluster::Options options;
   options.controllers = 4;
-  World world(options);
+  SimulatedCluster world(options);
   world.Run(4000);
   world.Change();
   Stabilize(&world, 5000, "start");
@@ -246,7 +246,7 @@
 // An entry that the leader holds only in memory must not count towards the quorum: a power loss
 // would lose an acknowledged change.
 TEST(Simulation, AnEntryThatTheLeaderHasNotSyncedDoesNotCountTowardsTheQuorum) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -267,7 +267,7 @@
 // After a failed write it is unknown what the disk holds. The member must neither lead nor vote
 // until it has restarted from its store, or it could break a promise that it hasn't stored.
 TEST(Simulation, AFailedWriteExcludesAMemberUntilItRestartsFromItsStore) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -300,7 +300,7 @@
 // A node that only one of its monitors can't reach must not be declared dead, or one faulty link
 // would remove a healthy node.
 TEST(Simulation, TheSuspicionOfOneMonitorDoesNotMakeANodeDead) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -458,14 +458,14 @@
   };
   for (const Case& c : cases) {
     for (uint64_t seed = 1; seed <= 12; ++seed) {
-      World::Options options;
+      SimulatedCluster::Options options;
       options.seed = seed;
       options.controllers = c.controllers;
       options.proxies = 2;
       options.zones = c.zones;
       options.tolerance = c.tolerance;
       options.regions = c.regions;
-      World world(options);
+      SimulatedCluster world(options);
       world.Run(4000);
       world.Change();
       Stabilize(&world, 8000, c.name);
@@ -500,15 +500,15 @@
 }
 
 // Both sides of a partition receive changes of the same revision repeatedly, also while voters are
-// replaced. World checks that at most one change of each revision is acknowledged.
+// replaced. SimulatedCluster checks that at most one change of each revision is acknowledged.
 TEST(Simulation, OfTwoChangesDuringACutAtMostOneIsAcknowledged) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
-    World::Options options;
+    SimulatedCluster::Options options;
     options.seed = seed;
     options.controllers = 6;
     options.proxies = 1;
     options.tolerance = {2, 0, 0};
-    World world(options);
+    SimulatedCluster world(options);
     world.Run(4000);
     world.Change();
     Stabilize(&world, 8000, "start");
@@ -535,10 +535,10 @@
 // short absence must not keep the new list from any node.
 TEST(Simulation, AProcessThatRestartsAtOnceHidesNoChangeOfTheList) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
-    World::Options options;
+    SimulatedCluster::Options options;
     options.seed = seed;
     options.controllers = 4;
-    World world(options);
+    SimulatedCluster world(options);
     world.Run(3000);
     world.Change();
     Stabilize(&world, 4000, "start");
@@ -553,14 +553,14 @@
       }
     }
     bool before = world.random().Below(2) == 0;
-    if (before) world.ChangeList();
+    if (before) world.ChangeEndpoints();
     for (size_t i : killed) world.Crash(i);
     world.Run(static_cast<Millis>(world.random().Below(300)));
-    if (!before) world.ChangeList();
+    if (!before) world.ChangeEndpoints();
     for (size_t i : killed) world.Start(i);
     world.Run(3000);
     for (size_t i = 0; i < world.size(); ++i) {
-      EXPECT_TRUE(world.KnowsList(i)) << "node " << i << " seed " << seed;
+      EXPECT_TRUE(world.HasCurrentEndpoints(i)) << "node " << i << " seed " << seed;
     }
     ASSERT_EQ(world.fault, "") << "seed " << seed;
   }
@@ -570,9 +570,9 @@
 // listed it as left and sent it nothing, also not that entry, so it learned of no other node.
 TEST(Simulation, ANodeThatLeftAndRestartedJoinsTheClusterAgain) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
-    World::Options options;
+    SimulatedCluster::Options options;
     options.seed = seed;
-    World world(options);
+    SimulatedCluster world(options);
     world.Run(2000);
     world.Change();
     Stabilize(&world, 3000, "start");
@@ -583,7 +583,7 @@
       world.Start(proxy);
       world.Run(1500);
       ASSERT_TRUE(world.Change());
-      world.ChangeList();
+      world.ChangeEndpoints();
       Stabilize(&world, 3000, "life " + std::to_string(boot_id) + " seed " + std::to_string(seed));
     }
   }
@@ -592,7 +592,7 @@
 // A node that was cut off during an update must receive it soon after the cut ends, although nobody
 // sends that update again of its own accord.
 TEST(Simulation, ANodeThatMissedAnUpdateGetsIt) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
@@ -600,7 +600,7 @@
   world.Isolate(proxy, true);
   world.Run(3000);
   world.Change();
-  world.ChangeList();
+  world.ChangeEndpoints();
   world.Run(3000);
   EXPECT_LT(world.node(proxy).disseminator->revision(), world.acknowledged());
   world.Isolate(proxy, false);
@@ -629,11 +629,11 @@
     Millis worst = 0;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       SCOPED_TRACE(std::string(c.name) + " seed " + std::to_string(seed));
-      World::Options options;
+      SimulatedCluster::Options options;
       options.seed = seed;
       options.controllers = 4;
       options.proxies = 1;
-      World world(options);
+      SimulatedCluster world(options);
       size_t victim = c.kind == Kind::kNew ? 3 : world.random().Below(4);
       if (c.kind == Kind::kNew) world.Wipe(victim);
       auto run = [&](Millis span, Millis every) {
@@ -659,7 +659,7 @@
       Millis started_at = world.now;
       auto has_caught_up = [&] {
         int leader = world.leader();
-        const World::Node& node = world.node(victim);
+        const SimulatedCluster::Node& node = world.node(victim);
         return leader >= 0 && node.state.configuration.revision() >= wanted &&
                world.node(static_cast<size_t>(leader)).raft->IsVoter(node.raft->self().id) &&
                node.raft->IsVoter(node.raft->self().id);
@@ -683,7 +683,7 @@
 // A frozen node must be declared dead by the others. When it resumes it has received no heartbeats,
 // but must not take the others for dead, since it was its own process that stood still.
 TEST(Simulation, AFrozenNodeIsDeclaredDeadAndSuspectsNobodyWhenItResumes) {
-  World world({});
+  SimulatedCluster world({});
   world.Run(2000);
   world.Change();
   Stabilize(&world, 3000, "start");
--- a/tools/trace_digest.cc
+++ b/tools/trace_digest.cc
@@ -26,7 +26,7 @@
 // A configuration of the simulation and the load of faults.
 struct Scenario {
   const char* name;  // printed with each digest
-  World::Options options;
+  SimulatedCluster::Options options;
   Millis rollout_ms = 0;  // planned duration of the roll-out; 0 for none
   int rounds = 20;        // number of injected faults
 };
@@ -68,7 +68,7 @@
 }
 
 // Injects one random fault.
-void Inject(World* world, uint64_t controllers) {
+void Inject(SimulatedCluster* world, uint64_t controllers) {
   base::Random& random = world->random();
   size_t node = random.Below(world->size());
   size_t controller = random.Below(controllers);
@@ -89,7 +89,7 @@
           world->now + static_cast<Millis>(random.Below(2500));
       return;
     case 7:
-      return world->ChangeList();
+      return world->ChangeEndpoints();
     case 8:
       world->DrainZone(std::string(1, static_cast<char>('a' + random.Below(3))),
                        random.Below(2) == 0);
@@ -105,15 +105,15 @@
 
 // Runs the scenario with the seed and returns its line of output.
 std::string Run(const Scenario& scenario, uint64_t seed) {
-  World::Options options = scenario.options;
+  SimulatedCluster::Options options = scenario.options;
   options.seed = seed;
   options.trace = true;
-  World world(options);
+  SimulatedCluster world(options);
   base::Random& random = world.random();
   world.Run(2500);
   world.Change();
   world.Run(1000);
-  if (scenario.rollout_ms > 0) world.Order(scenario.rollout_ms);
+  if (scenario.rollout_ms > 0) world.OrderRollout(scenario.rollout_ms);
   for (int round = 0; round < scenario.rounds && world.fault.empty(); ++round) {
     Inject(&world, static_cast<uint64_t>(options.controllers));
     for (int k = 0; k < 2; ++k) {
