--- a/src/base/program.h
+++ b/src/base/program.h
@@ -11,14 +11,14 @@
 
 // What both programs do with a settings file; the results are exit codes.
 
-inline int Complain(const std::string& path, const Error& error) {
+inline int ReportFileError(const std::string& path, const Error& error) {
   std::cerr << path << ": " << error.reason << "\n";
   return 2;
 }
 
 inline int CheckSettingsFile(const std::string& path) {
   auto settings = LoadSettings(path);
-  if (!settings) return Complain(path, settings.error());
+  if (!settings) return ReportFileError(path, settings.error());
   std::cout << path << ": valid\n";
   return 0;
 }
@@ -26,7 +26,7 @@
 template <class Process>
 int RunProcess(const std::string& path) {
   auto settings = LoadSettings(path);
-  if (!settings) return Complain(path, settings.error());
+  if (!settings) return ReportFileError(path, settings.error());
   SetLogLevel(ParseLogLevel(settings->log_level, LogLevel::kInfo));
   Loop loop;
   Process process(&loop, *settings, path);
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -260,7 +260,7 @@
   return lines;
 }
 
-std::string SchemaFault(const rapidjson::Document& schema, const rapidjson::Value& document) {
+std::string SchemaError(const rapidjson::Document& schema, const rapidjson::Value& document) {
   rapidjson::SchemaDocument compiled(schema);
   rapidjson::SchemaValidator validator(compiled);
   if (document.Accept(validator)) return "";
@@ -302,7 +302,7 @@
     document.AddMember(rapidjson::StringRef(field.name),
                        ToJson(field, at->second, document.GetAllocator()), document.GetAllocator());
   }
-  std::string fault = SchemaFault(kSchema, document);
+  std::string fault = SchemaError(kSchema, document);
   if (!fault.empty()) return Bad(fault);
 
   Settings settings;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -121,7 +121,7 @@
 std::map<std::string, std::string> ParseLines(const std::string& text);
 
 // The first field that breaks `schema` in `document`, as "field: why"; empty when it holds.
-std::string SchemaFault(const rapidjson::Document& schema, const rapidjson::Value& document);
+std::string SchemaError(const rapidjson::Document& schema, const rapidjson::Value& document);
 
 Result<std::string> ReadFile(const std::string& path);
 
--- a/src/configuration/operator_call.cc
+++ b/src/configuration/operator_call.cc
@@ -78,7 +78,7 @@
   if (document.HasParseError() || !document.IsObject()) {
     return Reject(400, "the body is not a JSON object");
   }
-  std::string fault = base::SchemaFault(RolloutOrderSchema(), document);
+  std::string fault = base::SchemaError(RolloutOrderSchema(), document);
   if (!fault.empty()) return Reject(400, fault);
   rollout::RolloutOrder order;
   order.service = document["target"].GetString();
--- a/src/configuration/validation.cc
+++ b/src/configuration/validation.cc
@@ -124,7 +124,7 @@
 base::Result<int64_t> Validate(std::string_view text) {
   Document document;
   if (!ParseObject(text, &document)) return Invalid("not a JSON object, or nested too deep");
-  std::string fault = base::SchemaFault(Schema(), document);
+  std::string fault = base::SchemaError(Schema(), document);
   if (!fault.empty()) return Invalid(fault);
   base::Status checked = CrossCheck(document);
   if (!checked) return base::Failure(checked.error());
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -141,7 +141,7 @@
       this, &state.configuration, &state.drained_zones, &state.rollouts, answer);
   diagnosis_ = std::make_unique<DiagnosisService>(
       &context_,
-      [this](const diagnosis::Inquiry& nodes) {
+      [this](const diagnosis::FleetQuery& nodes) {
         return WriteStatus(context_, nodes, base::SteadyMillis());
       },
       answer);
--- a/src/controller/diagnosis_service.cc
+++ b/src/controller/diagnosis_service.cc
@@ -4,8 +4,8 @@
 
 namespace elderkeel::controller {
 namespace {
-constexpr size_t kMaxPendingInquiries = 16;
-constexpr base::Millis kInquiryTimeoutMs = 1500;
+constexpr size_t kMaxPendingFleetQueries = 16;
+constexpr base::Millis kFleetQueryTimeoutMs = 1500;
 }  // namespace
 
 void DiagnosisService::Ask(Ticket ticket, const diagnosis::Question& question) {
@@ -15,15 +15,16 @@
                 503, "this controller is still starting: it has not discovered all seeds yet"));
     return;
   }
-  if (pending_.size() >= kMaxPendingInquiries) {
+  if (pending_.size() >= kMaxPendingFleetQueries) {
     answer_(ticket,
             http::OwnAnswer(
                 503, "too many status and diagnosis requests are in progress; retry shortly"));
     return;
   }
   base::Millis now = base::SteadyMillis();
-  pending_.push_back({ticket, diagnosis::Inquiry(context_->NextToken(), question,
-                                                 TargetsOf(question), now + kInquiryTimeoutMs)});
+  pending_.push_back(
+      {ticket, diagnosis::FleetQuery(context_->NextToken(), question, TargetsOf(question),
+                                     now + kFleetQueryTimeoutMs)});
   Tick(now);
 }
 
@@ -44,33 +45,32 @@
 }
 
 void DiagnosisService::OnReply(const base::Address& from, const diagnosis::Reply& reply) {
-  for (PendingInquiry& pending : pending_) pending.inquiry.Take(from.ToString(), reply);
+  for (PendingFleetQuery& pending : pending_) pending.query.Take(from.ToString(), reply);
   Tick(base::SteadyMillis());
 }
 
 void DiagnosisService::Tick(base::Millis now) {
   for (auto pending = pending_.begin(); pending != pending_.end();) {
-    if (pending->inquiry.Done(now)) {
-      answer_(pending->ticket, MakeAnswer(pending->inquiry));
+    if (pending->query.Done(now)) {
+      answer_(pending->ticket, MakeAnswer(pending->query));
       pending = pending_.erase(pending);
       continue;
     }
-    for (const std::string& target : pending->inquiry.Next(now)) {
+    for (const std::string& target : pending->query.Next(now)) {
       auto address = base::ParseAddress(target);
       if (!address) continue;
-      context_->node->mesh().Send(*address, transport::MessageKind::kQuery,
-                                  pending->inquiry.query());
+      context_->node->mesh().Send(*address, transport::MessageKind::kQuery, pending->query.query());
     }
     ++pending;
   }
 }
 
-http::Message DiagnosisService::MakeAnswer(const diagnosis::Inquiry& inquiry) const {
+http::Message DiagnosisService::MakeAnswer(const diagnosis::FleetQuery& query) const {
   http::Message answer;
   answer.status = 200;
   answer.headers.push_back({"Content-Type", "application/json"});
-  bool status = inquiry.about() == diagnosis::Question::About::kNode;
-  answer.body = status ? write_status_(inquiry) : inquiry.Report();
+  bool status = query.about() == diagnosis::Question::About::kNode;
+  answer.body = status ? write_status_(query) : query.Report();
   return answer;
 }
 
--- a/src/controller/diagnosis_service.h
+++ b/src/controller/diagnosis_service.h
@@ -17,13 +17,13 @@
   using Ticket = http::HttpServer::Ticket;
   using Answer = std::function<void(Ticket, const http::Message&)>;
   // Returns the JSON that answers a question about the nodes' state.
-  using WriteStatus = std::function<std::string(const diagnosis::Inquiry&)>;
+  using WriteStatus = std::function<std::string(const diagnosis::FleetQuery&)>;
 
   // `context` outlives this object.
   DiagnosisService(Context* context, WriteStatus write_status, Answer answer)
       : context_(context), write_status_(std::move(write_status)), answer_(std::move(answer)) {}
 
-  // Starts an inquiry; its answer follows once all proxies have replied or its time is over.
+  // Starts a query; its answer follows once all proxies have replied or its time is over.
   // Answers 503 if the replica has not started or too many inquiries are in progress.
   void Ask(Ticket ticket, const diagnosis::Question& question);
   void OnReply(const base::Address& from, const diagnosis::Reply& reply);
@@ -31,17 +31,17 @@
   void Tick(base::Millis now);
 
  private:
-  struct PendingInquiry {
+  struct PendingFleetQuery {
     Ticket ticket = 0;
-    diagnosis::Inquiry inquiry;
+    diagnosis::FleetQuery query;
   };
   std::vector<diagnosis::Target> TargetsOf(const diagnosis::Question& question) const;
-  http::Message MakeAnswer(const diagnosis::Inquiry& inquiry) const;
+  http::Message MakeAnswer(const diagnosis::FleetQuery& query) const;
 
   Context* context_;
   WriteStatus write_status_;
   Answer answer_;
-  std::vector<PendingInquiry> pending_;
+  std::vector<PendingFleetQuery> pending_;
 };
 
 }  // namespace elderkeel::controller
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -28,9 +28,9 @@
 // Validates a configuration file; returns the exit code.
 int CheckConfiguration(const std::string& path) {
   auto text = base::ReadFile(path);
-  if (!text) return base::Complain(path, text.error());
+  if (!text) return base::ReportFileError(path, text.error());
   auto revision = configuration::Validate(*text);
-  if (!revision) return base::Complain(path, revision.error());
+  if (!revision) return base::ReportFileError(path, revision.error());
   std::cout << path << ": valid, revision " << *revision << "\n";
   return 0;
 }
--- a/src/controller/status_writer.cc
+++ b/src/controller/status_writer.cc
@@ -93,7 +93,8 @@
   json->EndObject();
 }
 
-void WriteNode(const membership::Node& node, const diagnosis::Inquiry& replies, JsonWriter* json) {
+void WriteNode(const membership::Node& node, const diagnosis::FleetQuery& replies,
+               JsonWriter* json) {
   bool is_proxy = node.program == membership::Program::kProxy;
   json->BeginObject();
   json->Text("address", node.address().ToString());
@@ -217,7 +218,8 @@
 
 }  // namespace
 
-std::string WriteStatus(const Context& context, const diagnosis::Inquiry& nodes, base::Millis now) {
+std::string WriteStatus(const Context& context, const diagnosis::FleetQuery& nodes,
+                        base::Millis now) {
   const dissemination::Disseminator& disseminator = context.node->disseminator();
   JsonWriter json;
   json.BeginObject();
--- a/src/controller/status_writer.h
+++ b/src/controller/status_writer.h
@@ -12,7 +12,8 @@
 namespace elderkeel::controller {
 
 // The state of this controller and its view of the fleet. `nodes` holds the proxies' replies.
-std::string WriteStatus(const Context& context, const diagnosis::Inquiry& nodes, base::Millis now);
+std::string WriteStatus(const Context& context, const diagnosis::FleetQuery& nodes,
+                        base::Millis now);
 
 // The state, votes and counters of all roll-outs, or only of `service` if that is not empty.
 // Returns an empty string if that service has no roll-out.
--- a/src/diagnosis/console.cc
+++ b/src/diagnosis/console.cc
@@ -70,7 +70,7 @@
   bool degraded = false;
   std::string text = render(*body, &degraded);
   std::cout << (json ? *body + "\n" : text);
-  return degraded ? kDegraded : kWell;
+  return degraded ? kDegraded : kSuccess;
 }
 
 }  // namespace
--- a/src/diagnosis/console.h
+++ b/src/diagnosis/console.h
@@ -8,7 +8,7 @@
 
 // The operator's verbs `status` and `diagnose`: a call to a controller, shown as text or JSON.
 // What they return is the exit code.
-constexpr int kWell = 0;
+constexpr int kSuccess = 0;
 constexpr int kDegraded = 1;  // answered, but something is unknown, lost or without a majority
 constexpr int kUsage = 2;
 constexpr int kUnreachable = 3;  // no controller answered
--- a/src/diagnosis/diagnosis.cc
+++ b/src/diagnosis/diagnosis.cc
@@ -244,7 +244,7 @@
   return status == "0" || status == "502" || status == "504" ? "may have run" : "answered";
 }
 
-std::vector<std::string> Inquiry::Next(base::Millis now) {
+std::vector<std::string> FleetQuery::Next(base::Millis now) {
   size_t open = 0;
   for (size_t i = 0; i < asked_at_.size(); ++i) {
     open += replies_.count(targets_[i].address) == 0 && now - asked_at_[i] < kPatienceMs;
@@ -257,7 +257,7 @@
   return next;
 }
 
-std::string Inquiry::Report() const {
+std::string FleetQuery::Report() const {
   std::map<std::string, std::string> zones;
   for (const Target& target : targets_) zones[target.address] = target.zone;
   std::vector<Found> found;
--- a/src/diagnosis/diagnosis.h
+++ b/src/diagnosis/diagnosis.h
@@ -78,9 +78,9 @@
 
 // One question under way: whom it is for, who was asked, and who has answered. Only so many nodes
 // are asked at once, in the order given, and one deadline ends the whole. Pure.
-class Inquiry {
+class FleetQuery {
  public:
-  Inquiry(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
+  FleetQuery(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
       : nonce_(nonce),
         question_(std::move(question)),
         targets_(std::move(targets)),
--- a/src/discovery/endpoints.cc
+++ b/src/discovery/endpoints.cc
@@ -60,7 +60,7 @@
   if (d.HasParseError() || !d.IsObject())
     return base::Failure(base::ErrorCode::kProtocolError, "catalog", "",
                          "page of the server list is not a JSON object");
-  std::string fault = base::SchemaFault(PageSchema(), d);
+  std::string fault = base::SchemaError(PageSchema(), d);
   if (!fault.empty()) return base::Failure(base::ErrorCode::kProtocolError, "catalog", "", fault);
   Page page;
   for (const auto& s : d["servers"].GetArray()) {
--- a/tests/diagnosis/diagnosis_test.cc
+++ b/tests/diagnosis/diagnosis_test.cc
@@ -40,8 +40,8 @@
 }
 
 TEST(Diagnosis, ReportsInOrderOfTimeAndNamesTheSilent) {
-  Inquiry inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
-                  1000);
+  FleetQuery inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
+                     1000);
   EXPECT_EQ(inquiry.Next(0).size(), 2u);
   Reply reply = Select(*Question::Parse("server=i-1"), kLines);
   reply.nonce = 4;
@@ -84,7 +84,7 @@
     EXPECT_EQ(SelectFailures(*question, text, 10000000).lines.size(), static_cast<size_t>(c.lines))
         << c.query;
   }
-  Inquiry inquiry(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
+  FleetQuery inquiry(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
   inquiry.Next(0);
   Reply reply = SelectFailures(*Question::ParseFailures(""), text, 10000000);
   reply.nonce = 1;
@@ -115,7 +115,7 @@
 TEST(Diagnosis, AsksOnlySoManyAtOnce) {
   std::vector<Target> targets;
   for (int i = 0; i < 400; ++i) targets.push_back({"n" + std::to_string(i), "z"});
-  Inquiry inquiry(1, *Question::ParseFailures(""), targets, 1500);
+  FleetQuery inquiry(1, *Question::ParseFailures(""), targets, 1500);
   size_t answered = 0;
   std::map<std::string, base::Millis> open;
   base::Millis now = 0;
