--- a/src/base/program.h
+++ b/src/base/program.h
@@ -12,7 +12,7 @@
 // Functions that the main functions of proxy and controller share. They return exit codes.
 
 // Prints the reason of an invalid file to stderr and returns 2.
-inline int Complain(const std::string& path, const Error& error) {
+inline int ReportFileError(const std::string& path, const Error& error) {
   std::cerr << path << ": " << error.reason << "\n";
   return 2;
 }
@@ -20,7 +20,7 @@
 // Validates a settings file. Returns 0 if it is valid and 2 if not.
 inline int CheckSettingsFile(const std::string& path) {
   auto settings = LoadSettings(path);
-  if (!settings) return Complain(path, settings.error());
+  if (!settings) return ReportFileError(path, settings.error());
   std::cout << path << ": valid\n";
   return 0;
 }
@@ -30,7 +30,7 @@
 template <class Process>
 int RunProcess(const std::string& path) {
   auto settings = LoadSettings(path);
-  if (!settings) return Complain(path, settings.error());
+  if (!settings) return ReportFileError(path, settings.error());
   SetLogLevel(ParseLogLevel(settings->log_level, LogLevel::kInfo));
   Loop loop;
   Process process(&loop, *settings, path);
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -135,7 +135,7 @@
 
 // Validates `document` against the JSON schema `schema`. Returns the first violation as
 // "field: problem", or an empty string if there is none.
-std::string SchemaFault(const rapidjson::Document& schema, const rapidjson::Value& document);
+std::string SchemaError(const rapidjson::Document& schema, const rapidjson::Value& document);
 
 // Returns the contents of a file, or kIoError if it can't be opened.
 Result<std::string> ReadFile(const std::string& path);
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -38,7 +38,7 @@
     // A peer's digest carried this load report.
     std::function<void(const load::LoadReport&)> load_report_received;
     // A message that neither the membership nor the disseminator handles.
-    std::function<void(const base::Address&, transport::Kind, std::string_view)> message;
+    std::function<void(const base::Address&, transport::MessageKind, std::string_view)> message;
   };
 
   // `settings` outlives this object.
@@ -51,7 +51,7 @@
   base::Status Start();
   // Watches the settings file at `path`: calls `changed` with the new settings whenever the file
   // changes to valid ones. Sets the log level first.
-  void WatchSettings(const std::string& path, lifecycle::SettingsWatcher::Changed changed);
+  void WatchSettings(const std::string& path, lifecycle::SettingsWatcher::OnChange changed);
   // Announces to the other nodes that this process is stopping.
   void Leave();
 
@@ -70,17 +70,17 @@
   // roll-outs are requested from `from`.
   void OnRolloutVersion(const base::Address& from, uint64_t version);
   // Publishes a list that this node read from the platform as the catalog reader. Returns false if
-  // this node holds a later reader's list, or one that was requested later than `asked_at`.
-  bool Publish(base::Millis asked_at, discovery::EndpointSnapshot endpoints);
-  // The catalog reader of `epoch` requested the list at `asked_at` and found it unchanged.
-  void ConfirmEndpoints(base::Millis asked_at, uint64_t epoch);
+  // this node holds a later reader's list, or one that was requested later than `requested_at`.
+  bool Publish(base::Millis requested_at, discovery::EndpointSnapshot endpoints);
+  // The catalog reader of `epoch` requested the list at `requested_at` and found it unchanged.
+  void ConfirmEndpoints(base::Millis requested_at, uint64_t epoch);
   // A majority confirmed that the log's state on this node was the newest committed at `as_of`.
-  void VouchForLog(base::Millis as_of);
+  void ConfirmLogCurrent(base::Millis as_of);
   // On the catalog reader: the list that it published is the newest one now.
-  void VouchForEndpoints();
+  void ConfirmEndpointsCurrent();
   // The addresses of the leader and the catalog reader, which can confirm that state is current; no
   // address if unknown or this node itself.
-  void SetVouchers(std::optional<base::Address> leader, std::optional<base::Address> reader);
+  void SetAuthorities(std::optional<base::Address> leader, std::optional<base::Address> reader);
   // The adopted configuration can't be used. Until this node adopts a document again, it reports to
   // its peers that it has none, so that they send it the complete document.
   void RejectConfiguration();
@@ -94,17 +94,18 @@
   void SetReady(bool ready);
   // Sends an encoded message: as a datagram if it fits into one, which needs no connection to a
   // node that may have failed, otherwise over a connection.
-  void SendSmall(const base::Address& to, transport::Kind kind, const std::string& bytes);
+  void SendDatagramOrStream(const base::Address& to, transport::MessageKind kind,
+                            const std::string& bytes);
   // The controllers to contact, in order: the reachable ones with a disk, then those without,
   // within each those of this node's zone first; then the seeds that are not among them.
-  std::vector<base::Address> Controllers() const;
+  std::vector<base::Address> ControllersToContact() const;
 
  private:
-  void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
-  bool OnMembershipMessage(base::Millis now, const base::Address& from, transport::Kind kind,
+  void OnMessage(const base::Address& from, transport::MessageKind kind, std::string_view payload);
+  bool OnMembershipMessage(base::Millis now, const base::Address& from, transport::MessageKind kind,
                            std::string_view payload);
-  bool OnDisseminationMessage(base::Millis now, const base::Address& from, transport::Kind kind,
-                              std::string_view payload);
+  bool OnDisseminationMessage(base::Millis now, const base::Address& from,
+                              transport::MessageKind kind, std::string_view payload);
   // Decodes a message and passes it to `handler`; logs and drops one that can't be decoded.
   template <class Message, class Handler>
   void DecodeAndHandle(const base::Address& from, std::string_view payload, Handler handler);
@@ -122,9 +123,9 @@
   void ReportAdopted(const dissemination::Disseminator::Effects& effects);
   void SendDigest(const base::Address& to, dissemination::Digest digest);
   template <class Message>
-  void SendUpdate(const base::Address& to, transport::Kind kind, const Message& message);
+  void SendUpdate(const base::Address& to, transport::MessageKind kind, const Message& message);
   template <class Message>
-  void SendSync(const base::Address& to, transport::Kind kind, const Message& message,
+  void SendSync(const base::Address& to, transport::MessageKind kind, const Message& message,
                 bool reliable);
 
   base::Loop* loop_;
--- a/src/configuration/operator_api.cc
+++ b/src/configuration/operator_api.cc
@@ -46,7 +46,7 @@
 }
 
 void OperatorApi::AnswerRollout(uint64_t ticket, const std::string& service) {
-  const rollout::Rollout* rollout = rollouts_->Of(service);
+  const rollout::Rollout* rollout = rollouts_->NewestOf(service);
   if (!rollout) return AnswerStatus(ticket, 404, "no roll-out of this service was ordered");
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
@@ -62,7 +62,7 @@
 }
 
 void OperatorApi::RedirectToLeader(uint64_t ticket, const std::string& target) {
-  auto leader = log_->leader_control();
+  auto leader = log_->leader_control_address();
   if (!leader || leader->empty()) {
     AnswerStatus(ticket, 503, "no leader is known");
     return;
@@ -106,7 +106,7 @@
   if (pending != calls_.end()) pending->second.read_requested = requested;
 }
 
-void OperatorApi::OnCallerGone(uint64_t ticket) {
+void OperatorApi::OnCallerDisconnected(uint64_t ticket) {
   for (auto pending = calls_.begin(); pending != calls_.end(); ++pending) {
     if (pending->second.ticket != ticket) continue;
     bool proposed = in_flight_ && in_flight_->token == pending->first;
@@ -152,7 +152,7 @@
 }
 
 uint64_t OperatorApi::NewestRollout(const std::string& service) const {
-  const rollout::Rollout* rollout = rollouts_->Of(service);
+  const rollout::Rollout* rollout = rollouts_->NewestOf(service);
   return rollout ? rollout->number : 0;
 }
 
--- a/src/configuration/operator_call.cc
+++ b/src/configuration/operator_call.cc
@@ -78,13 +78,13 @@
   if (document.HasParseError() || !document.IsObject()) {
     return Reject(400, "the body is not a JSON object");
   }
-  std::string fault = base::SchemaFault(RolloutOrderSchema(), document);
+  std::string fault = base::SchemaError(RolloutOrderSchema(), document);
   if (!fault.empty()) return Reject(400, fault);
   rollout::RolloutOrder order;
   order.service = document["target"].GetString();
   order.version = document["target-revision"].GetString();
-  auto over_ms = static_cast<int64_t>(document["over-s"].GetDouble() * 1000);
-  order.over_ms = std::max<int64_t>(1, over_ms);
+  auto time_limit_ms = static_cast<int64_t>(document["over-s"].GetDouble() * 1000);
+  order.time_limit_ms = std::max<int64_t>(1, time_limit_ms);
   return order;
 }
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -68,7 +68,7 @@
       settings_path_(std::move(settings_path)),
       context_(loop, std::move(settings), base::RandomSeed() | 1),
       catalog_poller_(&context_),
-      voucher_(&context_, &catalog_poller_),
+      freshness_confirmer_(&context_, &catalog_poller_),
       confirmations_(&context_) {}
 
 base::Status Controller::Start() {
@@ -100,7 +100,7 @@
 
 void Controller::MakeNode() {
   cluster::ClusterNode::Callbacks callbacks;
-  callbacks.message = [this](const base::Address& from, transport::Kind kind,
+  callbacks.message = [this](const base::Address& from, transport::MessageKind kind,
                              std::string_view payload) { OnMessage(from, kind, payload); };
   callbacks.node_changed = [this](const membership::Node& node) {
     if (context_.replica) context_.replica->SetZone(node.ip, node.zone);
@@ -114,7 +114,7 @@
 void Controller::MakeReplica() {
   consensus::Replica::Callbacks callbacks;
   callbacks.send = [this](const base::Address& to, const consensus::Message& message) {
-    context_.node->mesh().Send(to, transport::Kind::kConsensus, message);
+    context_.node->mesh().Send(to, transport::MessageKind::kConsensus, message);
   };
   callbacks.apply = [this](const consensus::Entry& entry) { OnApplied(entry); };
   callbacks.all_applied = [this] { PublishState(); };
@@ -134,14 +134,14 @@
 
 void Controller::MakeOperatorApi() {
   auto answer = [this](uint64_t ticket, const http::Message& message) {
-    control_server_->Answer(ticket, message);
+    control_server_->Respond(ticket, message);
   };
   const ControlState& state = context_.state;
   operator_api_ = std::make_unique<configuration::OperatorApi>(
       this, &state.configuration, &state.drained_zones, &state.rollouts, answer);
   diagnosis_ = std::make_unique<DiagnosisService>(
       &context_,
-      [this](const diagnosis::Inquiry& nodes) {
+      [this](const diagnosis::FleetQuery& nodes) {
         return WriteStatus(context_, nodes, base::SteadyMillis());
       },
       answer);
@@ -151,12 +151,13 @@
     limits.body_bytes = kMaxControlBodyBytes;
     return limits;
   };
-  options.notice_sleep = true;
+  options.detect_suspension = true;
   options.max_connections = kMaxControlConnections;
   control_server_ = std::make_unique<http::HttpServer>(
       loop_, options,
       [this](Ticket ticket, http::Message&& request) { OnRequest(ticket, std::move(request)); });
-  control_server_->OnGone([this](Ticket ticket) { operator_api_->OnCallerGone(ticket); });
+  control_server_->OnClientClosed(
+      [this](Ticket ticket) { operator_api_->OnCallerDisconnected(ticket); });
 }
 
 base::Status Controller::StartDirectory() {
@@ -164,7 +165,7 @@
   if (settings.directory.port == 0) return {};
   directory::Directory::Options options;
   auto max_ttl_s = std::max<int64_t>(1, static_cast<int64_t>(settings.ttl_max_s));
-  options.ttl_most_s = max_ttl_s;
+  options.other_region_ttl_s = max_ttl_s;
   options.ttl_s = std::min(options.ttl_s, max_ttl_s);
   directory_ = std::make_unique<directory::Directory>(options, &context_.node->membership(),
                                                       base::RandomSeed(), base::SteadyMillis());
@@ -173,7 +174,7 @@
   server_options.max_connections = static_cast<size_t>(settings.max_fds / 4);
   directory_server_ = std::make_unique<http::HttpServer>(
       loop_, server_options, [this](Ticket ticket, http::Message&& request) {
-        directory_server_->Answer(ticket, directory_->Answer(base::SteadyMillis(), request));
+        directory_server_->Respond(ticket, directory_->Answer(base::SteadyMillis(), request));
       });
   return directory_server_->Listen(settings.directory);
 }
@@ -181,7 +182,7 @@
 // --- the log ---
 
 consensus::Replica::Options Controller::ReplicaOptions(
-    const std::vector<base::Address>& founders) const {
+    const std::vector<base::Address>& initial_voters) const {
   const base::Settings& settings = context_.settings;
   consensus::Replica::Options options;
   options.self.ip = settings.ip;
@@ -198,17 +199,17 @@
   options.tolerance.regions = static_cast<size_t>(settings.tolerance_regions);
   options.regions = settings.zones;
   options.cluster = ClusterId(settings.seeds);
-  for (const base::Address& founder : founders) {
+  for (const base::Address& initial_voter : initial_voters) {
     consensus::Member member;
-    member.ip = founder.ip;
+    member.ip = initial_voter.ip;
     member.port = settings.ControllerPort();
     member.id = FounderId(member.address());
-    member.control = founder.ToString();
+    member.control = initial_voter.ToString();
     const membership::Node* node = context_.node->membership().Find(member.address());
     if (node) member.zone = node->zone;
-    options.founders.push_back(member);
+    options.initial_voters.push_back(member);
   }
-  std::sort(options.founders.begin(), options.founders.end(),
+  std::sort(options.initial_voters.begin(), options.initial_voters.end(),
             [](const auto& a, const auto& b) { return a.id < b.id; });
   return options;
 }
@@ -238,20 +239,20 @@
                  settings.seeds.end();
   bool bootstraps =
       settings.bootstrap && is_seed && !consensus::Replica::HasStore(settings.data_dir);
-  std::vector<base::Address> founders;
+  std::vector<base::Address> initial_voters;
   if (bootstraps) {
     auto voters = InitialVoters();
     if (!voters) return false;
-    founders = std::move(*voters);
+    initial_voters = std::move(*voters);
   }
-  context_.replica->Start(ReplicaOptions(founders));
+  context_.replica->Start(ReplicaOptions(initial_voters));
   for (const auto& [id, node] : context_.node->membership().nodes()) {
     context_.replica->SetZone(node.ip, node.zone);
   }
   return true;
 }
 
-std::optional<std::string> Controller::leader_control() const {
+std::optional<std::string> Controller::leader_control_address() const {
   auto leader = context_.replica->raft().LeaderInContact(base::SteadyMillis());
   if (!leader || leader->control.empty()) return std::nullopt;
   return leader->control;
@@ -341,7 +342,7 @@
 void Controller::OnReadFinished(uint64_t token, bool confirmed) {
   if (token >= configuration::OperatorApi::kFirstToken) {
     operator_api_->OnReadFinished(base::SteadyMillis(), token, confirmed);
-  } else if (!voucher_.OnReadFinished(token, confirmed)) {
+  } else if (!freshness_confirmer_.OnReadFinished(token, confirmed)) {
     confirmations_.OnReadFinished(token, confirmed);
   }
 }
@@ -366,8 +367,8 @@
   if (!context_.replica->store_error().empty()) return;
   if (context_.IsInContactWithLeader(now)) return;
   next_join_at_ = now + kJoinIntervalMs;
-  for (const base::Address& address : context_.node->Controllers()) {
-    context_.node->mesh().Send(address, transport::Kind::kJoin, context_.replica->self());
+  for (const base::Address& address : context_.node->ControllersToContact()) {
+    context_.node->mesh().Send(address, transport::MessageKind::kJoin, context_.replica->self());
   }
 }
 
@@ -381,7 +382,7 @@
   }
   auto leader = context_.replica->raft().leader();
   if (leader && leader->address() != from && leader->address() != member.address()) {
-    context_.node->mesh().Send(leader->address(), transport::Kind::kJoin, member);
+    context_.node->mesh().Send(leader->address(), transport::MessageKind::kJoin, member);
   }
 }
 
@@ -389,7 +390,7 @@
 
 void Controller::OnRequest(Ticket ticket, http::Message&& request) {
   if (rejecting_) {
-    control_server_->Answer(ticket, Unavailable(kShuttingDown));
+    control_server_->Respond(ticket, Unavailable(kShuttingDown));
     return;
   }
   std::string_view path = request.Path();
@@ -402,7 +403,7 @@
   } else if (path == "/elderkeel/diagnose" || path == "/elderkeel/failures") {
     OnDiagnosisRequest(ticket, request);
   } else {
-    control_server_->Answer(ticket, http::OwnAnswer(404, "no such path"));
+    control_server_->Respond(ticket, http::OwnAnswer(404, "no such path"));
   }
 }
 
@@ -410,7 +411,7 @@
   if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
     RedirectToDurable(ticket, request.target);
   } else if (!context_.replica->running()) {
-    control_server_->Answer(
+    control_server_->Respond(
         ticket,
         http::OwnAnswer(
             503, "this controller is still starting: its replica of the log is not running"));
@@ -424,28 +425,28 @@
       "this controller takes no part in the log: it has no disk, or its store is not open";
   auto durable = context_.node->membership().NearestDurable(false);
   if (!durable) {
-    control_server_->Answer(ticket, Unavailable(reason));
+    control_server_->Respond(ticket, Unavailable(reason));
     return;
   }
   // All controllers use the same control port.
   base::Address control{durable->ip, context_.settings.control.port};
-  control_server_->Answer(ticket, Redirect(reason, control.ToString(), target));
+  control_server_->Respond(ticket, Redirect(reason, control.ToString(), target));
 }
 
 // Only the leader holds the votes. Another controller redirects to it or, if it has no contact with
 // a leader, answers from its own copy of the log's state.
 void Controller::OnRolloutReportRequest(Ticket ticket, const http::Message& request) {
   if (request.method != "GET") {
-    control_server_->Answer(ticket, http::OwnAnswer(405, "GET only"));
+    control_server_->Respond(ticket, http::OwnAnswer(405, "GET only"));
     return;
   }
   if (context_.IsExcludedFromLog() || !context_.replica->store_error().empty()) {
     RedirectToDurable(ticket, request.target);
     return;
   }
-  auto leader = context_.replica->running() ? leader_control() : std::nullopt;
+  auto leader = context_.replica->running() ? leader_control_address() : std::nullopt;
   if (!is_leader() && leader) {
-    control_server_->Answer(
+    control_server_->Respond(
         ticket, Redirect("this controller is not the leader: see the Location header", *leader,
                          request.target));
     return;
@@ -463,12 +464,12 @@
                        "no leader with a quorum is known, and this controller's log has no "
                        "roll-out of this service");
   }
-  control_server_->Answer(ticket, answer);
+  control_server_->Respond(ticket, answer);
 }
 
 void Controller::OnStatusRequest(Ticket ticket, const http::Message& request) {
   if (request.method != "GET") {
-    control_server_->Answer(ticket, http::OwnAnswer(405, "GET only"));
+    control_server_->Respond(ticket, http::OwnAnswer(405, "GET only"));
     return;
   }
   diagnosis::Question question;
@@ -484,15 +485,15 @@
   if (question) {
     diagnosis_->Ask(ticket, *question);
   } else {
-    control_server_->Answer(ticket, http::OwnAnswer(400, question.error().reason));
+    control_server_->Respond(ticket, http::OwnAnswer(400, question.error().reason));
   }
 }
 
 // --- messages and time ---
 
-void Controller::OnMessage(const base::Address& from, transport::Kind kind,
+void Controller::OnMessage(const base::Address& from, transport::MessageKind kind,
                            std::string_view payload) {
-  if (kind == transport::Kind::kQueryReply) {
+  if (kind == transport::MessageKind::kQueryReply) {
     if (auto reply = transport::Decode<diagnosis::Reply>(payload))
       diagnosis_->OnReply(from, *reply);
     return;
@@ -500,30 +501,30 @@
   if (!context_.replica->running()) return;
   base::Millis now = base::SteadyMillis();
   switch (kind) {
-    case transport::Kind::kConsensus:
+    case transport::MessageKind::kConsensus:
       if (auto message = transport::Decode<consensus::Message>(payload)) {
         context_.replica->Receive(*message, from);
       }
       break;
-    case transport::Kind::kJoin:
+    case transport::MessageKind::kJoin:
       if (auto member = transport::Decode<consensus::Member>(payload)) OnJoin(from, *member);
       break;
-    case transport::Kind::kConfirm:
-      if (auto confirm = transport::Decode<dissemination::Confirm>(payload)) {
+    case transport::MessageKind::kConfirm:
+      if (auto confirm = transport::Decode<dissemination::ConfirmRequest>(payload)) {
         confirmations_.OnConfirm(from, *confirm);
       }
       break;
-    case transport::Kind::kResign:
+    case transport::MessageKind::kResign:
       if (auto resignation = transport::Decode<singleton::Resignation>(payload)) {
         catalog_poller_.OnResignation(now, *resignation);
       }
       break;
-    case transport::Kind::kProxyReport:
+    case transport::MessageKind::kProxyReport:
       if (auto report = transport::Decode<rollout::ProxyReport>(payload)) {
         rollouts_->OnProxyReport(from, *report);
       }
       break;
-    case transport::Kind::kVote:
+    case transport::MessageKind::kVote:
       if (auto vote = transport::Decode<rollout::Vote>(payload)) rollouts_->OnVote(now, *vote);
       break;
     default:
@@ -543,7 +544,7 @@
   }
   rollouts_->SendVotes(now);
   catalog_poller_.Tick(now);
-  voucher_.Tick(now);
+  freshness_confirmer_.Tick(now);
 }
 
 // --- shutdown ---
@@ -555,14 +556,14 @@
   bool is_reader = catalog_poller_.IsReader();
   if (is_reader) catalog_poller_.Resign(now, "this controller is shutting down");
   context_.stopping = true;
-  if (directory_server_) directory_server_->SetLeaving(true);
+  if (directory_server_) directory_server_->SetDraining(true);
   stop_timer_.Start(loop_, is_reader && is_leader() ? kRoleHandOverMs : 0, [this, now] {
     if (context_.replica->running()) {
       context_.replica->Leave();
       context_.replica->TransferLeadership();
     }
     context_.node->Leave();
-    control_server_->SetLeaving(true);
+    control_server_->SetDraining(true);
     base::Millis wait = std::min(kLeadershipHandOverMs, context_.settings.GraceMs() / 2);
     stop_timer_.Start(loop_, wait, [this, now] { StopWhenDeparted(now); });
   });
@@ -577,10 +578,11 @@
   bool departed = !context_.replica->running() || context_.IsExcludedFromLog() ||
                   context_.replica->raft().may_stop();
   rejecting_ = departed || waited >= schedule.last_sixth;
-  if (waited >= schedule.give_up_at) control_server_->AnswerAll(Unavailable(kShuttingDown));
+  if (waited >= schedule.fail_unanswered_at)
+    control_server_->RespondToAll(Unavailable(kShuttingDown));
   bool answered =
       control_server_->busy() == 0 && (!directory_server_ || directory_server_->busy() == 0);
-  bool may_stop = (departed || waited >= schedule.give_up_at) && answered;
+  bool may_stop = (departed || waited >= schedule.fail_unanswered_at) && answered;
   if (!may_stop && waited < schedule.exit_at) {
     stop_timer_.Start(loop_, std::min(kTickIntervalMs, schedule.exit_at - waited),
                       [this, since] { StopWhenDeparted(since); });
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,7 +12,7 @@
 #include "controller/confirmation_service.h"
 #include "controller/context.h"
 #include "controller/diagnosis_service.h"
-#include "controller/freshness_voucher.h"
+#include "controller/freshness_confirmer.h"
 #include "controller/rollout_manager.h"
 #include "directory/directory.h"
 #include "http/http_server.h"
@@ -40,7 +40,7 @@
   bool HasCommittedInTerm() const override { return context_.HasCommittedInTerm(); }
   bool is_leader() const override { return context_.IsLeader(); }
   uint64_t term() const override { return context_.replica->raft().term(); }
-  std::optional<std::string> leader_control() const override;
+  std::optional<std::string> leader_control_address() const override;
   bool ConfirmRead(uint64_t token) override { return context_.replica->ConfirmRead(token); }
   std::optional<uint64_t> Propose(const configuration::Change& change) override;
   std::optional<uint64_t> Propose(const zone_drain::DrainOrder& order) override;
@@ -55,7 +55,8 @@
   base::Status StartDirectory();
 
   // The log.
-  consensus::Replica::Options ReplicaOptions(const std::vector<base::Address>& founders) const;
+  consensus::Replica::Options ReplicaOptions(
+      const std::vector<base::Address>& initial_voters) const;
   bool StartReplica();
   std::optional<std::vector<base::Address>> InitialVoters() const;
   void OnApplied(const consensus::Entry& entry);
@@ -75,7 +76,7 @@
   void OnDiagnosisRequest(Ticket ticket, const http::Message& request);
   void RedirectToDurable(Ticket ticket, const std::string& target);
 
-  void OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload);
+  void OnMessage(const base::Address& from, transport::MessageKind kind, std::string_view payload);
   void Tick();
   void StopWhenDeparted(base::Millis since);
 
@@ -83,7 +84,7 @@
   std::string settings_path_;
   Context context_;
   CatalogPoller catalog_poller_;
-  FreshnessVoucher voucher_;
+  FreshnessConfirmer freshness_confirmer_;
   ConfirmationService confirmations_;
   std::unique_ptr<DiagnosisService> diagnosis_;
   std::unique_ptr<RolloutManager> rollouts_;
--- a/src/controller/rollout_manager.cc
+++ b/src/controller/rollout_manager.cc
@@ -62,7 +62,7 @@
     logged = state;
     base::Info("rollout.stage", {{"service", service},
                                  {"version", rollout.order.version},
-                                 {"from", rollout.from},
+                                 {"from", rollout.previous_version},
                                  {"stage", stage},
                                  {"reason", rollout.reason},
                                  {"elapsed_ms", rollout.elapsed_ms}});
@@ -97,8 +97,8 @@
   if (endpoints.epoch == 0 || now < next_detection_at_) return;
   next_detection_at_ = now + kVersionDetectionIntervalMs;
   rollout::Step step;
-  step.found = rollout::DetectVersions(context_->state.rollouts, endpoints);
-  if (step.found.empty()) return;
+  step.detected = rollout::DetectVersions(context_->state.rollouts, endpoints);
+  if (step.detected.empty()) return;
   context_->replica->Propose(MakeCommand(Command::Kind::kRollout, step));
 }
 
@@ -106,8 +106,9 @@
   base::Millis now = base::SteadyMillis();
   bool observed = observer_.OnProxyReport(now, report);
   if (!observed || !report.wants_renewal || !context_->IsInContactWithLeader(now)) return;
-  rollout::LeaseRenewal renewal{report.number, context_->state.rollouts.version(), report.asked_at};
-  context_->node->mesh().SendDatagram(from, transport::Kind::kLeaseRenewal, renewal);
+  rollout::LeaseRenewal renewal{report.number, context_->state.rollouts.version(),
+                                report.reported_at};
+  context_->node->mesh().SendDatagram(from, transport::MessageKind::kLeaseRenewal, renewal);
 }
 
 void RolloutManager::SendVotes(base::Millis now) {
@@ -122,7 +123,7 @@
     if (context_->IsLeader()) {
       coordinator_.OnVote(now, vote);
     } else if (auto leader = context_->replica->raft().leader()) {
-      context_->node->mesh().Send(leader->address(), transport::Kind::kVote, vote);
+      context_->node->mesh().Send(leader->address(), transport::MessageKind::kVote, vote);
     }
   }
 }
--- a/src/diagnosis/console.cc
+++ b/src/diagnosis/console.cc
@@ -30,11 +30,11 @@
                loop.Stop();
              });
   loop.Run();
-  if (result.ending != http::HttpConnection::Ending::kAnswer) {
+  if (result.ending != http::HttpConnection::Result::kResponse) {
     return base::Failure(base::ErrorCode::kUnavailable, "call", control.ToString(), result.reason);
   }
-  if (const std::string* location = result.answer.Find("Location");
-      result.answer.status == 307 && location && hops > 0) {
+  if (const std::string* location = result.response.Find("Location");
+      result.response.status == 307 && location && hops > 0) {
     // Location has the form http://ADDRESS/TARGET.
     size_t begin = location->find("://"), end = location->find('/', begin + 3);
     if (begin != std::string::npos && end != std::string::npos) {
@@ -42,13 +42,13 @@
       if (next) return Get(*next, target, hops - 1);
     }
   }
-  if (result.answer.status != 200) {
+  if (result.response.status != 200) {
     return base::Failure(
-        result.answer.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
+        result.response.status == 404 ? base::ErrorCode::kNotFound : base::ErrorCode::kUnavailable,
         "call", control.ToString(),
-        "HTTP status " + std::to_string(result.answer.status) + " " + result.answer.body);
+        "HTTP status " + std::to_string(result.response.status) + " " + result.response.body);
   }
-  return result.answer.body;
+  return result.response.body;
 }
 
 // Returns the member `key` of `o` as text, or `fallback` if it is absent, null or of another type.
--- a/src/diagnosis/diagnosis.h
+++ b/src/diagnosis/diagnosis.h
@@ -86,9 +86,9 @@
 // asked in the given order, with a bound on the number in flight, until the deadline. It does no
 // I/O and reads no clock: the caller sends the query to the nodes that Next returns and passes the
 // replies to Take.
-class Inquiry {
+class FleetQuery {
  public:
-  Inquiry(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
+  FleetQuery(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
       : nonce_(nonce),
         question_(std::move(question)),
         targets_(std::move(targets)),
--- a/src/discovery/platform_client.cc
+++ b/src/discovery/platform_client.cc
@@ -8,7 +8,7 @@
 void PlatformClient::Read(Done done) {
   if (list_reader_.active()) return;
   done_ = std::move(done);
-  asked_at_ = base::SteadyMillis();
+  requested_at_ = base::SteadyMillis();
   Call(list_reader_.Start());
 }
 
@@ -40,19 +40,20 @@
                     false, [this, fail, call](http::HttpConnection::Outcome&& outcome) {
                       if (call != current_call_) return;
                       timer_.Cancel();
-                      if (outcome.ending != http::HttpConnection::Ending::kAnswer) {
+                      if (outcome.ending != http::HttpConnection::Result::kResponse) {
                         fail(base::Error{base::ErrorCode::kUnavailable, "catalog.read",
                                          address_.ToString(), outcome.reason});
                         return;
                       }
-                      auto next = list_reader_.AddPage(outcome.answer.status, outcome.answer.body);
+                      auto next =
+                          list_reader_.AddPage(outcome.response.status, outcome.response.body);
                       if (!next) {
                         fail(next.error());
                         return;
                       }
                       if (next->empty()) {
                         Done done = std::move(done_);
-                        done(Reading{list_reader_.Finish(base::SteadyMillis()), asked_at_});
+                        done(Reading{list_reader_.Finish(base::SteadyMillis()), requested_at_});
                         return;
                       }
                       // Deferred: the connection can't be used from inside its own callback.
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/random.h"
-#include "forwarding/headers.h"
+#include "forwarding/protocol_headers.h"
 #include "lifecycle/shutdown_schedule.h"
 
 namespace elderkeel::forwarding {
@@ -39,7 +39,7 @@
   options.zone = settings.zone;
   options.region = settings.region;
   options.regions = settings.zones;
-  options.serves_on = lifecycle::ShutdownSchedule(settings.GraceMs(), 0).accept_until;
+  options.accept_period = lifecycle::ShutdownSchedule(settings.GraceMs(), 0).accept_until;
   return options;
 }
 
@@ -50,7 +50,7 @@
   options.limits = std::move(limits);
   options.pipeline = kMaxPipelinedRequests;
   options.may_run_out_of_order = std::move(may_run_out_of_order);
-  options.notice_sleep = true;
+  options.detect_suspension = true;
   // Half of the file descriptors; the rest is for servers and other nodes.
   options.max_connections =
       static_cast<size_t>(std::max<int64_t>(kMinClientConnections, settings.max_fds / 2));
@@ -86,9 +86,9 @@
               [this](Ticket ticket, Message&& request) { OnRequest(ticket, std::move(request)); }),
       connections_(loop, &settings, &balancer_),
       prober_(loop, &balancer_, recorder, [this](uint32_t service) { PumpQueue(service); }) {
-  server_.OnGone([this](Ticket ticket) { OnClientDisconnected(ticket); });
-  server_.OnDrained([this](Ticket ticket) { PauseAttempts(ticket, false); });
-  server_.OnRefused([this](int status, const char* reason) {
+  server_.OnClientClosed([this](Ticket ticket) { OnClientDisconnected(ticket); });
+  server_.OnOutputFlushed([this](Ticket ticket) { PauseAttempts(ticket, false); });
+  server_.OnRejected([this](int status, const char* reason) {
     telemetry::RequestRecord record;
     record.status = static_cast<uint16_t>(status);
     record.step = Step::kAdmission;
@@ -96,7 +96,7 @@
     record.revision = revision();
     recorder_->Request(record, true);
   });
-  SetProxies(1, 1);
+  SetProxyCounts(1, 1);
   tick_timer_.Repeat(loop_, kTickMs, [this] { Tick(); });
 }
 
@@ -104,15 +104,15 @@
 
 base::Status RequestRouter::Listen() { return server_.Listen(settings_.front); }
 
-void RequestRouter::SetProxies(size_t proxies, size_t possible) {
+void RequestRouter::SetProxyCounts(size_t proxies, size_t possible) {
   proxies = std::max<size_t>(1, proxies);
   connections_.SetProxies(proxies);
-  retry_budget_.SetNodes(std::max(proxies, possible));
+  retry_budget_.SetProxyCount(std::max(proxies, possible));
 }
 
 void RequestRouter::Adopt(std::shared_ptr<const configuration::RoutingTable> table) {
   table_ = std::move(table);
-  for (const auto& route : table_->changed()) {
+  for (const auto& route : table_->changed_routes()) {
     uint32_t index = routes_.Intern(route->label);
     if (index >= mean_latency_ms_.size()) {
       mean_latency_ms_.resize(index + 1, 0);
@@ -124,7 +124,7 @@
   }
   for (uint32_t i = 0; i < services_.size(); ++i) {
     const configuration::Service* service = table_->service(i);
-    balancer_.SetWarmup(i, service ? service->warmup_per_s : 0);
+    balancer_.SetSlowStartRate(i, service ? service->warmup_per_s : 0);
     recorder_->names().Set(NameTable::kService, i, services_.Name(i));
   }
   ControlRecord record;
@@ -200,7 +200,7 @@
 
 RequestRouter::Rejection RequestRouter::RejectionByState() const {
   if (accept_until_ >= 0 && base::SteadyMillis() >= accept_until_) return {503, kShuttingDown};
-  if (!able()) return {503, "still loading configuration and servers"};
+  if (!HasRequiredState()) return {503, "still loading configuration and servers"};
   if (!serving_) return {503, "the configuration is not confirmed yet"};
   return {};
 }
@@ -239,7 +239,7 @@
   record.step = Step::kAdmission;
   record.revision = revision();
   recorder_->Request(record, true);
-  server_.Answer(ticket, answer, rejection.status == 400);
+  server_.Respond(ticket, answer, rejection.status == 400);
 }
 
 void RequestRouter::OnRequest(Ticket ticket, Message&& request) {
@@ -259,7 +259,7 @@
   remaining_ms = std::min<int64_t>(route->timeout_ms, remaining_ms);
   PendingRequest* pending = Admit(ticket, std::move(request), *route, remaining_ms);
   pending->attempt_id = std::move(attempt_id);
-  pending->service = table_->Pick(*route, base::Hash(pending->attempt_id));
+  pending->service = table_->PickService(*route, base::Hash(pending->attempt_id));
   retry_budget_.Deposit(pending->service);
   version_routing_.OnRequest(pending->service);
   Dispatch(pending);
@@ -298,7 +298,7 @@
 void RequestRouter::Tick() {
   base::Millis now = base::SteadyMillis();
   connections_.CloseExpired(now);
-  if (version_routing_.active()) CloseIdleServerConnections(version_routing_.Review(now));
+  if (version_routing_.active()) CloseIdleServerConnections(version_routing_.ApplyRules(now));
   prober_.Tick(now, table_.get());
   load_sharing_.Tick(now);
   PumpAllQueues();
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -27,13 +27,13 @@
   version_ = rollouts.version();
   for (const auto& [service, version] : rollouts.in_force()) rules_[service];
   for (const auto& [service, rollout] : rollouts.rollouts()) rules_[service];
-  return Review(now);
+  return ApplyRules(now);
 }
 
-std::vector<uint32_t> VersionRouting::Review(base::Millis now) {
+std::vector<uint32_t> VersionRouting::ApplyRules(base::Millis now) {
   std::vector<uint32_t> excluded;
   for (auto& [service, applied] : rules_) {
-    rollout::Rule rule = policy_.RuleOf(now, service);
+    rollout::VersionPolicy rule = policy_.RuleOf(now, service);
     if (rule == applied) continue;
     applied = rule;
     for (uint32_t server :
@@ -59,13 +59,13 @@
                                       const Choose& choose) const {
   if (!policy_.active()) return choose(false);
   const std::string& service = services_->Name(pending.service);
-  bool secondary = pending.tried.empty()
+  bool secondary = pending.tried_servers.empty()
                        ? policy_.TakesSecondary(now, service, base::Hash(pending.attempt_id))
                        : policy_.RetriesToSecondary(now, service);
-  uint32_t server = secondary ? choose(true) : LoadBalancer::kNone;
-  if (server == LoadBalancer::kNone) server = choose(false);
+  uint32_t server = secondary ? choose(true) : LoadBalancer::kNoServer;
+  if (server == LoadBalancer::kNoServer) server = choose(false);
   // While traffic is shifting, requests that one version has no capacity for go to the other.
-  if (server == LoadBalancer::kNone && policy_.RetriesToSecondary(now, service)) {
+  if (server == LoadBalancer::kNoServer && policy_.RetriesToSecondary(now, service)) {
     server = choose(true);
   }
   return server;
@@ -86,9 +86,9 @@
   sent_request.version = balancer_->VersionOf(attempt.server);
   sent_request.server = balancer_->at(attempt.server).id;
   sent_request.route = pending.route->label;
-  sent_request.ending = outcome;
-  sent_request.timed = attempt.timed;
-  sent_request.late = duration > attempt.late_after;
+  sent_request.outcome = outcome;
+  sent_request.latency_counts = attempt.counts_latency;
+  sent_request.is_late = duration > attempt.late_after_ms;
   policy_.CountOutcome(base::SteadyMillis(), sent_request);
 }
 
@@ -101,7 +101,7 @@
     addressed.observers = rollout.observers;
     uint32_t index = services_->Intern(service);
     addressed.report.new_in_flight = balancer_->InFlight(index, rollout.order.version);
-    addressed.report.old_in_flight = balancer_->InFlight(index, rollout.from);
+    addressed.report.old_in_flight = balancer_->InFlight(index, rollout.previous_version);
     reports.push_back(std::move(addressed));
   }
   return reports;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -21,7 +21,7 @@
   lifecycle::Lifecycle::Options options;
   options.grace = settings.GraceMs();
   if (settings.entry == "directory") {
-    options.notice = directory::kTtlS * 1000 * kDirectoryCacheFactor;
+    options.notice = directory::kDefaultTtlS * 1000 * kDirectoryCacheFactor;
   }
   return options;
 }
@@ -73,7 +73,7 @@
   recorder_ = std::make_unique<telemetry::Recorder>(options, MakeSink());
   router_ = std::make_unique<forwarding::RequestRouter>(loop_, settings_, recorder_.get());
   // The router may deny that a route exists only while the configuration log is known to be recent.
-  router_->SetDenialGuard([this] {
+  router_->SetNotFoundGuard([this] {
     base::Millis age = node_->disseminator().log_age(base::SteadyMillis());
     return age >= 0 && age <= settings_.PropagationMs();
   });
@@ -99,7 +99,7 @@
     router_->MergeLoadReport(report);
   };
   callbacks.node_changed = [this](const membership::Node&) { nodes_changed_ = true; };
-  callbacks.message = [this](const base::Address& from, transport::Kind kind,
+  callbacks.message = [this](const base::Address& from, transport::MessageKind kind,
                              std::string_view payload) { OnMessage(from, kind, payload); };
   node_ = std::make_unique<cluster::ClusterNode>(loop_, settings_, membership::Program::kProxy,
                                                  std::move(callbacks));
@@ -115,7 +115,7 @@
   options.max_connections = kMaxReadinessConnections;
   readiness_server_ = std::make_unique<http::HttpServer>(
       loop_, options, [this](http::HttpServer::Ticket ticket, http::Message&& request) {
-        readiness_server_->Answer(ticket, AnswerReadiness(request));
+        readiness_server_->Respond(ticket, AnswerReadiness(request));
       });
   return readiness_server_->Listen(settings_.readiness);
 }
@@ -138,11 +138,11 @@
   bool by_patch = in_force && !disseminator.configuration_patch().empty() &&
                   in_force->revision() == disseminator.configuration_base();
   if (by_patch) {
-    table = RoutingTable::Patch(*in_force, disseminator.configuration_patch(), router_->names(),
-                                router_->regions());
+    table = RoutingTable::Patch(*in_force, disseminator.configuration_patch(),
+                                router_->service_names(), router_->regions());
   }
   if (!table) {
-    table = RoutingTable::Build(disseminator.configuration_text(), router_->names(),
+    table = RoutingTable::Build(disseminator.configuration_text(), router_->service_names(),
                                 router_->regions());
   }
   if (!table) {
@@ -158,8 +158,8 @@
 // among the proxies of its zone.
 void Proxy::OnNodesChanged() {
   const membership::Membership& membership = node_->membership();
-  router_->SetProxies(membership.CountAlive(membership::Program::kProxy),
-                      membership.CountNotLeft(membership::Program::kProxy));
+  router_->SetProxyCounts(membership.CountReachable(membership::Program::kProxy),
+                          membership.CountNotLeft(membership::Program::kProxy));
   size_t rank = 0, proxies = 0;
   forwarding::ZoneProxies zone_proxies;
   zone_proxies.self = membership.self().id;
@@ -178,18 +178,19 @@
   router_->SetZoneProxies(zone_proxies);
 }
 
-void Proxy::OnMessage(const base::Address& from, transport::Kind kind, std::string_view payload) {
+void Proxy::OnMessage(const base::Address& from, transport::MessageKind kind,
+                      std::string_view payload) {
   switch (kind) {
-    case transport::Kind::kQuery:
+    case transport::MessageKind::kQuery:
       if (auto query = transport::Decode<diagnosis::Query>(payload)) OnQuery(from, *query);
       break;
-    case transport::Kind::kLeaseRenewal:
+    case transport::MessageKind::kLeaseRenewal:
       if (auto renewal = transport::Decode<rollout::LeaseRenewal>(payload)) {
         router_->OnLeaseRenewal(*renewal);
         node_->OnRolloutVersion(from, renewal->version);
       }
       break;
-    case transport::Kind::kConfirmReply:
+    case transport::MessageKind::kConfirmReply:
       if (auto reply = transport::Decode<dissemination::ConfirmReply>(payload)) {
         confirmation_->OnReply(base::SteadyMillis(), *reply);
       }
@@ -218,7 +219,7 @@
 
 void Proxy::OnQuery(const base::Address& from, const diagnosis::Query& query) {
   if (query.about == diagnosis::Question::About::kNode) {
-    node_->mesh().Send(from, transport::Kind::kQueryReply, DescribeState(query.nonce));
+    node_->mesh().Send(from, transport::MessageKind::kQueryReply, DescribeState(query.nonce));
     return;
   }
   // The records are taken and searched on the exporter's thread. The reply is posted to the event
@@ -239,7 +240,7 @@
     reply.node = settings_.node_name;
     reply.wall_us = (base::WallNanos() - base::SteadyNanos()) / 1000;
     loop_->Post([this, from, reply = std::move(reply)] {
-      node_->mesh().Send(from, transport::Kind::kQueryReply, reply);
+      node_->mesh().Send(from, transport::MessageKind::kQueryReply, reply);
     });
   });
 }
@@ -264,7 +265,7 @@
   if (lifecycle_.leaving()) return;
   base::Info("proxy.stopping", {{"busy", router_->busy()}});
   lifecycle_.Leave(base::SteadyMillis());
-  router_->SetLeaving(lifecycle_.accept_until());
+  router_->BeginShutdown(lifecycle_.accept_until());
   node_->Leave();
   RunShutdownPhase();
 }
--- a/src/proxy/startup_confirmation.cc
+++ b/src/proxy/startup_confirmation.cc
@@ -34,7 +34,7 @@
 void StartupConfirmation::Probe() {
   base::Millis now = base::SteadyMillis();
   bool timed_out = now - started_at_ > kProbePeriodMs;
-  bool done = router_->able() && (lifecycle_->confirmed() || timed_out);
+  bool done = router_->HasRequiredState() && (lifecycle_->confirmed() || timed_out);
   if (done || lifecycle_->leaving()) return;
   next_request_at_ = std::min(next_request_at_, now + kProbeIntervalMs);
   Tick(now);
@@ -48,12 +48,12 @@
 }
 
 void StartupConfirmation::UpdateServing(base::Millis now) {
-  if (!lifecycle_->confirmed() && confirmation_.Holds(now, OwnVersions())) {
+  if (!lifecycle_->confirmed() && confirmation_.IsCurrent(now, OwnVersions())) {
     lifecycle_->SetConfirmed();
-    node_->VouchForLog(confirmation_.known_at());
+    node_->ConfirmLogCurrent(confirmation_.confirmed_at());
     base::Info("configuration.confirmed", {{"revision", node_->disseminator().revision()}});
   }
-  if (router_->able()) lifecycle_->SetServable(now);
+  if (router_->HasRequiredState()) lifecycle_->SetServable(now);
   router_->SetServing(lifecycle_->IsServing(now));
 }
 
@@ -61,12 +61,12 @@
   UpdateServing(now);
   if (lifecycle_->confirmed() || now < next_request_at_) return;
   next_request_at_ = now + kRequestIntervalMs;
-  std::vector<base::Address> controllers = node_->Controllers();
+  std::vector<base::Address> controllers = node_->ControllersToContact();
   if (controllers.empty()) return;
   const base::Address& to = controllers[next_controller_++ % controllers.size()];
   if (now >= next_confirm_at_) {
     next_confirm_at_ = now + kConfirmIntervalMs;
-    node_->mesh().Send(to, transport::Kind::kConfirm, confirmation_.Ask(now));
+    node_->mesh().Send(to, transport::MessageKind::kConfirm, confirmation_.NewRequest(now));
   }
   // Missing state is requested by digest: the node asks only the first peer that reports to have it
   // for the state itself, which is large and must not be sent by several peers at once.
@@ -75,16 +75,17 @@
 
 bool StartupConfirmation::LacksState() const {
   dissemination::Versions own = OwnVersions();
-  const dissemination::Versions& wanted = confirmation_.wanted();
+  const dissemination::Versions& wanted = confirmation_.newest_confirmed();
   return own.revision < std::max<int64_t>(1, wanted.revision) ||
          own.zone_drains < wanted.zone_drains || own.rollouts < wanted.rollouts ||
          !node_->disseminator().has_endpoints() ||
-         (settings_->VersionsByOrder() && !router_->versions_known());
+         (settings_->VersionsByOrder() && !router_->has_rollout_state());
 }
 
 void StartupConfirmation::OnReply(base::Millis now, const dissemination::ConfirmReply& reply) {
   if (auto leader = confirmation_.OnReply(now, reply)) {
-    node_->mesh().Send(*leader, transport::Kind::kConfirm, dissemination::Confirm{reply.nonce});
+    node_->mesh().Send(*leader, transport::MessageKind::kConfirm,
+                       dissemination::ConfirmRequest{reply.nonce});
   }
   UpdateServing(now);
 }
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -79,10 +79,10 @@
   counts.failed = first + 1;
   counts.broken = first + 2;
   counts.late = first + 3;
-  counts.timed = first + 4;
-  counts.seen = first + 5;
-  counts.broken_at = first + 6;
-  counts.late_at = first + 7;
+  counts.latency_samples = first + 4;
+  counts.servers_seen = first + 5;
+  counts.servers_broken = first + 6;
+  counts.servers_late = first + 7;
   return counts;
 }
 
@@ -104,7 +104,7 @@
 
 rollout::Step MakeFoundStep() {
   rollout::Step step;
-  step.found = {{"service", "v1"}, {"other", "v7"}};
+  step.detected = {{"service", "v1"}, {"other", "v7"}};
   return step;
 }
 
@@ -117,7 +117,7 @@
   server.revision = "v1";
   server.capacity = 3;
   server.draining = true;
-  server.warmup_left_ms = 1500;
+  server.slow_start_left_ms = 1500;
   return server;
 }
 
@@ -188,7 +188,7 @@
   golden.AddEncoded("control-state", state);
   EXPECT_EQ(state.configuration.revision(), 7);
   EXPECT_EQ(state.drained_zones.zones().size(), 1u);
-  EXPECT_NE(state.rollouts.Of("service"), nullptr);
+  EXPECT_NE(state.rollouts.NewestOf("service"), nullptr);
 }
 
 TEST(Golden, MembershipAndDisseminationFrames) {
@@ -203,7 +203,7 @@
   node.incarnation = 3;
   node.state = membership::State::kSuspect;
   node.suspecters = {6, 7};
-  node.front = 8381;
+  node.client_port = 8381;
   node.ready = true;
   node.durable = true;
   golden.AddEncoded("node", node);
@@ -230,7 +230,7 @@
   digest.endpoints_read_age_ms = 6;
   digest.answer = true;
   digest.reliable = true;
-  digest.load = {{load::Key("zone-1"), 10, 3, {{load::Key("service"), 1.5f}}}};
+  digest.load = {{load::NameKey("zone-1"), 10, 3, {{load::NameKey("service"), 1.5f}}}};
   golden.AddEncoded("digest", digest);
   golden.AddEncoded("pull-request", dissemination::PullRequest{1, 2, 3, 4, 5, true});
   golden.AddEncoded("configuration-update", dissemination::ConfigurationUpdate{7, 5, "body"});
@@ -238,12 +238,12 @@
   endpoints.epoch = 2;
   endpoints.sequence = 3;
   endpoints.complete = false;
-  endpoints.exact = true;
+  endpoints.unmodified = true;
   endpoints.base_epoch = 2;
   endpoints.base_sequence = 1;
   endpoints.age_ms = 40;
   endpoints.servers = {MakeServer("i-1"), MakeServer("i-2")};
-  endpoints.gone = {"i-3"};
+  endpoints.removed = {"i-3"};
   golden.AddEncoded("endpoint-update", endpoints);
   dissemination::ZoneDrainUpdate drains;
   drains.drained_zones.Apply({"z2", true});
@@ -252,7 +252,7 @@
   rollouts.rollouts.Apply(MakeFoundStep());
   rollouts.rollouts.Apply(MakeOrderStep());
   golden.AddEncoded("rollout-update", rollouts);
-  golden.AddEncoded("confirm", dissemination::Confirm{5});
+  golden.AddEncoded("confirm", dissemination::ConfirmRequest{5});
   golden.AddEncoded("confirm-reply",
                     dissemination::ConfirmReply{5, true, {1, 2, 3}, "10.0.0.1", 7200});
   golden.AddEncoded("sync-request",
@@ -285,7 +285,7 @@
   vote.boot_id = 3;
   vote.version = 4;
   vote.opinion = rollout::Opinion::kBad;
-  vote.why = "reason";
+  vote.reason = "reason";
   vote.age_ms = 5;
   vote.reporting = 6;
   vote.known_proxies = 7;
@@ -338,7 +338,7 @@
   rollout::ProxyReport report;
   report.rows = {MakeRow()};
   rollout::ProxyReport asking = report;
-  asking.asked_at = 1000;
+  asking.reported_at = 1000;
   CheckLaterFields(&golden, "report", report, asking);
   dissemination::PullRequest pull{1, 2, 3, 4, 5, true};
   CheckLaterFields(&golden, "pull", pull, {1, 2, 3, 4, 5, true, 1000});
@@ -347,22 +347,36 @@
   update.sequence = 6;
   update.servers = {MakeServer("i-1")};
   dissemination::EndpointUpdate answer = update;
-  answer.asked_at = 1000;
-  answer.succeeds = {4, 9};
+  answer.requested_at = 1000;
+  answer.predecessor = {4, 9};
   CheckLaterFields(&golden, "endpoints", update, answer);
 }
 
 TEST(Golden, FrameKinds) {
-  using transport::Kind;
-  const std::vector<Kind> kinds = {
-      Kind::kConsensus,           Kind::kJoin,           Kind::kMembershipUpdate,
-      Kind::kHeartbeat,           Kind::kDigest,         Kind::kPullRequest,
-      Kind::kConfigurationUpdate, Kind::kEndpointUpdate, Kind::kConfirm,
-      Kind::kConfirmReply,        Kind::kResign,         Kind::kQuery,
-      Kind::kQueryReply,          Kind::kSummary,        Kind::kZoneDrainUpdate,
-      Kind::kPartDigests,         Kind::kRolloutUpdate,  Kind::kProxyReport,
-      Kind::kLeaseRenewal,        Kind::kVote,           Kind::kSyncRequest,
-      Kind::kSyncReply,
+  using transport::MessageKind;
+  const std::vector<MessageKind> kinds = {
+      MessageKind::kConsensus,
+      MessageKind::kJoin,
+      MessageKind::kMembershipUpdate,
+      MessageKind::kHeartbeat,
+      MessageKind::kDigest,
+      MessageKind::kPullRequest,
+      MessageKind::kConfigurationUpdate,
+      MessageKind::kEndpointUpdate,
+      MessageKind::kConfirm,
+      MessageKind::kConfirmReply,
+      MessageKind::kResign,
+      MessageKind::kQuery,
+      MessageKind::kQueryReply,
+      MessageKind::kSummary,
+      MessageKind::kZoneDrainUpdate,
+      MessageKind::kPartDigests,
+      MessageKind::kRolloutUpdate,
+      MessageKind::kProxyReport,
+      MessageKind::kLeaseRenewal,
+      MessageKind::kVote,
+      MessageKind::kSyncRequest,
+      MessageKind::kSyncReply,
   };
   for (size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(static_cast<size_t>(kinds[i]), i + 1);
 }
--- a/tests/diagnosis/diagnosis_test.cc
+++ b/tests/diagnosis/diagnosis_test.cc
@@ -45,8 +45,8 @@
 // Guards against a report that is not ordered by time, counts a reply to another question, or does
 // not list a node that has not replied.
 TEST(Diagnosis, ReportIsOrderedByTimeAndListsNodesWithoutReply) {
-  Inquiry inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
-                  1000);
+  FleetQuery inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
+                     1000);
   EXPECT_EQ(inquiry.Next(0).size(), 2u);
   Reply reply = Select(*Question::Parse("server=i-1"), kLines);
   reply.nonce = 4;
@@ -91,7 +91,7 @@
     EXPECT_EQ(SelectFailures(*question, text, 10000000).lines.size(), static_cast<size_t>(c.lines))
         << c.query;
   }
-  Inquiry inquiry(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
+  FleetQuery inquiry(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
   inquiry.Next(0);
   Reply reply = SelectFailures(*Question::ParseFailures(""), text, 10000000);
   reply.nonce = 1;
@@ -124,7 +124,7 @@
 TEST(Diagnosis, QueriesInFlightAreBoundedAndAllLiveNodesReply) {
   std::vector<Target> targets;
   for (int i = 0; i < 400; ++i) targets.push_back({"n" + std::to_string(i), "z"});
-  Inquiry inquiry(1, *Question::ParseFailures(""), targets, 1500);
+  FleetQuery inquiry(1, *Question::ParseFailures(""), targets, 1500);
   size_t answered = 0;
   std::map<std::string, base::Millis> open;
   base::Millis now = 0;
--- a/tests/programs/shutdown_test.cc
+++ b/tests/programs/shutdown_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "programs/programs_fixture.h"
-#include "soak/stall_watch.h"
+#include "soak/stall_detector.h"
 
 // Tests of the shutdown of programs under load: clients send requests until the process has exited.
 
@@ -21,7 +21,7 @@
 };
 
 // Returns the longest stall of the machine itself, in ms.
-base::Millis LongestStall(const soak::StallWatch& watch) {
+base::Millis LongestStall(const soak::StallDetector& watch) {
   base::Millis longest = 0;
   for (const soak::Stall& stall : watch.stalls()) longest = std::max(longest, stall.for_ms);
   return longest;
@@ -59,14 +59,15 @@
   bool Exchange(base::Loop* loop, http::HttpConnection* connection, base::Millis work_ms,
                 Sent* request) {
     bool done = false;
-    connection->Send("GET /a/work-" + std::to_string(work_ms) +
-                         " HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: " +
-                         request->attempt_id + "\r\nElderkeel-Remaining-Ms: 3000\r\n\r\n",
-                     false, [&](http::HttpConnection::Outcome&& outcome) {
-                       request->answered = outcome.ending == http::HttpConnection::Ending::kAnswer;
-                       request->answer = std::move(outcome.answer);
-                       done = true;
-                     });
+    connection->Send(
+        "GET /a/work-" + std::to_string(work_ms) +
+            " HTTP/1.1\r\nHost: h.example\r\nElderkeel-Attempt-Id: " + request->attempt_id +
+            "\r\nElderkeel-Remaining-Ms: 3000\r\n\r\n",
+        false, [&](http::HttpConnection::Outcome&& outcome) {
+          request->answered = outcome.ending == http::HttpConnection::Result::kResponse;
+          request->answer = std::move(outcome.response);
+          done = true;
+        });
     base::Timer wake;
     while (!done) {
       wake.Start(loop, 20, [] {});
@@ -98,7 +99,7 @@
   Start("proxy", "p0", 0, true);
   ASSERT_EQ(CallAnyController("PUT", 0, SlowRequestDocument(3, "/a/")).status, 200);
   ASSERT_TRUE(Eventually([&] { return SendRequest(0, "/a/x") == 200; }));
-  soak::StallWatch stalls;
+  soak::StallDetector stalls;
   std::vector<std::vector<Sent>> sent(kClients);
   std::vector<std::thread> clients;
   for (int i = 0; i < kClients; ++i) clients.emplace_back([&, i] { SendUntilExit(i, &sent[i]); });
@@ -155,7 +156,7 @@
   ASSERT_TRUE(
       Eventually([&] { return SendRequest(0, "/a/x") == 200 && SendRequest(1, "/a/x") == 200; }));
   for (int i = 0; i < kProxies; ++i) kill(running_["p" + std::to_string(i)], SIGSTOP);
-  soak::StallWatch stalls;
+  soak::StallDetector stalls;
   std::vector<Sent> calls(60);
   std::vector<std::thread> callers;
   pid_t controller = running_["c0"];
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -21,7 +21,7 @@
 using dissemination::Confirmation;
 using dissemination::ConfirmReply;
 using dissemination::Versions;
-using simulation::World;
+using simulation::SimulatedCluster;
 
 // Guards against a proxy that takes old versions for confirmed, because of a reply that is delayed,
 // overtaken, or meant for an earlier run of the process.
@@ -62,7 +62,7 @@
   for (const Case& c : cases) {
     Confirmation confirmation(1000);
     std::vector<uint64_t> nonces;
-    for (Millis at : c.asked) nonces.push_back(confirmation.Ask(at).nonce);
+    for (Millis at : c.asked) nonces.push_back(confirmation.NewRequest(at).nonce);
     for (const Reply& r : c.replies) {
       ConfirmReply reply;
       reply.nonce = r.question < 0 ? 999 : nonces[static_cast<size_t>(r.question)];
@@ -70,7 +70,7 @@
       reply.versions = r.versions;
       EXPECT_FALSE(confirmation.OnReply(r.at, reply)) << c.name;
     }
-    EXPECT_EQ(confirmation.Holds(c.at, c.held), c.holds) << c.name;
+    EXPECT_EQ(confirmation.IsCurrent(c.at, c.held), c.holds) << c.name;
   }
 }
 
@@ -79,16 +79,16 @@
 TEST(Confirmation, RedirectsTheQuestionToTheLeaderThatAReplyNames) {
   Confirmation confirmation(7);
   ConfirmReply reply;
-  reply.nonce = confirmation.Ask(0).nonce;
+  reply.nonce = confirmation.NewRequest(0).nonce;
   EXPECT_FALSE(confirmation.OnReply(10, reply));  // no leader is named
   reply.leader_ip = "10.0.0.3";
   reply.leader_port = 7200;
   EXPECT_EQ(confirmation.OnReply(20, reply)->ip, "10.0.0.3");
-  EXPECT_FALSE(confirmation.Holds(20, {9, 9, 9}));
+  EXPECT_FALSE(confirmation.IsCurrent(20, {9, 9, 9}));
   EXPECT_FALSE(confirmation.OnReply(5000, reply));  // the question has expired
 }
 
-// The Raft node of one of three founders. The test takes the part of the two others.
+// The Raft node of one of three initial voters. The test takes the part of the two others.
 class FounderNode {
  public:
   FounderNode() {
@@ -98,9 +98,9 @@
       m.ip = "10.0.0." + std::to_string(id);
       m.port = 7200;
       m.control = m.ip + ":8080";
-      options_.founders.push_back(m);
+      options_.initial_voters.push_back(m);
     }
-    options_.self = options_.founders[0];
+    options_.self = options_.initial_voters[0];
     options_.cluster = 7;
     raft_ = std::make_unique<consensus::RaftNode>(options_, consensus::RestoredState(), 0);
   }
@@ -279,7 +279,7 @@
   for (const Case& c : cases) {
     rollout::Rollouts state;
     rollout::Step found, order;
-    found.found = {{"s", "v1"}};
+    found.detected = {{"s", "v1"}};
     ASSERT_TRUE(state.Apply(found));
     order.kind = rollout::Step::Kind::kOrder;
     order.order = {"s", "v2", 10000};
@@ -290,7 +290,7 @@
     EXPECT_EQ(policy.RuleOf(0, "s").secondary, "v2");
     uint64_t version = static_cast<uint64_t>(static_cast<int64_t>(state.version()) + c.version);
     for (Millis now = 100; now <= 20000; now += 100) {
-      policy.OnLeaseRenewal(now, {state.Of("s")->number + c.number, version});
+      policy.OnLeaseRenewal(now, {state.NewestOf("s")->number + c.number, version});
     }
     EXPECT_EQ(policy.RuleOf(20000, "s").secondary == "v2", c.renewed) << c.name;
   }
@@ -339,7 +339,7 @@
     int64_t revision = 0;
   };
 
-  explicit OperatorApis(World* world, int controllers) : world_(world) {
+  explicit OperatorApis(SimulatedCluster* world, int controllers) : world_(world) {
     for (int i = 0; i < controllers; ++i) {
       apis_.push_back(std::make_unique<NodeApi>(this, static_cast<size_t>(i)));
     }
@@ -379,12 +379,12 @@
  private:
   struct NodeApi : configuration::ReplicatedLog {
     NodeApi(OperatorApis* all, size_t i) : all(all), i(i) {}
-    World::Node& node() const { return all->world_->node(i); }
+    SimulatedCluster::Node& node() const { return all->world_->node(i); }
     Millis now() const { return all->world_->now; }
     bool HasCommittedInTerm() const override { return node().raft->HasCommittedInTerm(); }
     bool is_leader() const override { return node().raft->is_leader(); }
     uint64_t term() const override { return node().raft->term(); }
-    std::optional<std::string> leader_control() const override {
+    std::optional<std::string> leader_control_address() const override {
       auto leader = node().raft->LeaderInContact(now());
       if (!leader) return std::nullopt;
       return leader->ip;
@@ -415,7 +415,7 @@
   // a restart, and marks the requests that were open at the crash as broken.
   configuration::OperatorApi* Api(size_t i) {
     NodeApi& d = *apis_[i];
-    World::Node& n = world_->node(i);
+    SimulatedCluster::Node& n = world_->node(i);
     if (!n.up || d.boot_id != n.boot_id) {
       for (uint64_t ticket : d.open) answers[ticket].status = -1;
       d.open.clear();
@@ -437,7 +437,7 @@
     return d.api.get();
   }
 
-  World* world_;
+  SimulatedCluster* world_;
   std::vector<std::unique_ptr<NodeApi>> apis_;
   uint64_t tickets_ = 0;
 };
@@ -517,11 +517,11 @@
       }
       Advance(1000);
       Cut();  // also cuts the nodes that were restarted
-      const World::Node& member_side = world_.node(kControllers);
+      const SimulatedCluster::Node& member_side = world_.node(kControllers);
       if (member_side.confirmed_at >= 0 && started_[0] > 0 && case_.how == How::kBoth) {
         world_.fault = "a proxy that reaches the member alone was confirmed";
       }
-      const World::Node& majority_side = world_.node(kControllers + 1);
+      const SimulatedCluster::Node& majority_side = world_.node(kControllers + 1);
       if (majority_side.confirmed_at >= 0 && started_[1] > 0) {
         RecordWorst("start of a proxy elsewhere", majority_side.confirmed_at - started_[1]);
         started_[1] = 0;
@@ -557,8 +557,8 @@
   static std::map<std::string, Millis> worst;  // longest duration of calls during a cut, by kind
 
  private:
-  static World::Options MakeOptions(uint64_t seed) {
-    World::Options options;
+  static SimulatedCluster::Options MakeOptions(uint64_t seed) {
+    SimulatedCluster::Options options;
     options.controllers = kControllers;
     options.proxies = 3;
     options.tolerance = {2, 0, 0};
@@ -616,7 +616,7 @@
         AddCaller("GET", (member_ + 1) % kControllers, false);
       }
       for (size_t i = 0; i < kControllers; ++i) {
-        const World::Node& n = world_.node(i);
+        const SimulatedCluster::Node& n = world_.node(i);
         if (n.up && n.raft && n.raft->is_leader()) led_at_[i] = world_.now;
       }
       if (world_.now % 50 == 0) apis_.Tick();
@@ -703,7 +703,7 @@
   }
 
   Case case_;
-  World world_;
+  SimulatedCluster world_;
   OperatorApis apis_;
   std::deque<Caller> callers_;
   size_t member_ = 0;
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -1,4 +1,4 @@
-// World: the work of a controller around its Raft node, and the confirmation of proxies.
+// SimulatedCluster: the work of a controller around its Raft node, and the confirmation of proxies.
 #include <algorithm>
 #include <utility>
 
@@ -6,13 +6,13 @@
 
 namespace elderkeel::simulation {
 
-void World::AskConfirmation(size_t i) {
+void SimulatedCluster::AskConfirmation(size_t i) {
   Node& n = *nodes_[i];
   dissemination::Versions held{n.disseminator->revision(),
                                n.disseminator->drained_zones().version(),
                                n.disseminator->rollouts().version()};
   if (n.confirmed_at >= 0) return;
-  if (n.confirmation->Holds(now, held)) {
+  if (n.confirmation->IsCurrent(now, held)) {
     n.confirmed_at = now;
     // The question is at most a second old, so the confirmed state includes every change that was
     // acknowledged before that.
@@ -24,10 +24,11 @@
   }
   if (now % 100 != 0) return;
   const Address& to = nodes_[n.asked++ % static_cast<size_t>(options_.controllers)]->address;
-  Send(i, to, n.confirmation->Ask(now));
+  Send(i, to, n.confirmation->NewRequest(now));
 }
 
-void World::OnConfirm(size_t i, const Address& from, const dissemination::Confirm& confirm) {
+void SimulatedCluster::OnConfirm(size_t i, const Address& from,
+                                 const dissemination::ConfirmRequest& confirm) {
   Node& n = *nodes_[i];
   uint64_t token = ++last_id_;
   n.pending_confirms[token] = {from, confirm.nonce};
@@ -35,7 +36,7 @@
   AnswerConfirm(i, token, false);
 }
 
-void World::AnswerConfirm(size_t i, uint64_t token, bool confirmed) {
+void SimulatedCluster::AnswerConfirm(size_t i, uint64_t token, bool confirmed) {
   Node& n = *nodes_[i];
   auto at = n.pending_confirms.find(token);
   if (at == n.pending_confirms.end()) return;
@@ -53,7 +54,7 @@
   n.pending_confirms.erase(at);
 }
 
-void World::FinishWrites(size_t i) {
+void SimulatedCluster::FinishWrites(size_t i) {
   Node& n = *nodes_[i];
   while (!n.pending_writes.empty() && n.pending_writes.front().first <= now &&
          now >= n.disk_hangs_until) {
@@ -65,7 +66,7 @@
   }
 }
 
-void World::Store(Node* node, const consensus::WriteRequest& write) {
+void SimulatedCluster::Store(Node* node, const consensus::WriteRequest& write) {
   Node& n = *node;
   n.disk.empty = false;
   if (write.hard_state_changed) n.disk.hard_state = write.hard_state;
@@ -78,13 +79,13 @@
     }
     log = std::move(kept);
   };
-  if (write.drop_to) drop([&](const auto& e) { return e.index > write.drop_to; });
+  if (write.drop_through) drop([&](const auto& e) { return e.index > write.drop_through; });
   if (write.truncate_from) drop([&](const auto& e) { return e.index < write.truncate_from; });
   log.insert(log.end(), write.entries.begin(), write.entries.end());
   if (write.commit && random_.Below(2)) n.disk.commit = write.commit;  // not synced, may be lost
 }
 
-std::vector<singleton::Candidate> World::Candidates(const Node& n) {
+std::vector<singleton::Candidate> SimulatedCluster::Candidates(const Node& n) {
   std::vector<singleton::Candidate> candidates;
   for (const auto& v : n.raft->voters()) {
     Millis reporting = n.raft->LastContact(v.id);
@@ -94,20 +95,21 @@
   return candidates;
 }
 
-void World::ProposeAssignment(Node& n, const std::optional<singleton::Assignment>& assignment) {
+void SimulatedCluster::ProposeAssignment(Node& n,
+                                         const std::optional<singleton::Assignment>& assignment) {
   if (assignment)
     n.raft->Propose(
         now, controller::MakeCommand(controller::Command::Kind::kCatalogReader, *assignment));
 }
 
-void World::OnResignation(size_t i, const singleton::Resignation& r) {
+void SimulatedCluster::OnResignation(size_t i, const singleton::Resignation& r) {
   Node& n = *nodes_[i];
   if (n.raft->HasCommittedInTerm())
     ProposeAssignment(n,
                       n.assignment->OnResignation(now, n.state.catalog_reader, Candidates(n), r));
 }
 
-void World::UpdateVouchers(Node& n) {
+void SimulatedCluster::UpdateAuthorities(Node& n) {
   std::optional<Address> leader, reader;
   if (auto member = n.raft->leader(); member && !n.raft->is_leader()) {
     leader = member->address();
@@ -116,7 +118,7 @@
   for (const auto& voter : n.raft->voters()) {
     if (voter.id == n.state.catalog_reader.owner && !reads) reader = voter.address();
   }
-  n.disseminator->SetVouchers(leader, reader);
+  n.disseminator->SetAuthorities(leader, reader);
   if (!n.raft->HasCommittedInTerm()) n.heartbeat_reads.clear();
   if (n.raft->HasCommittedInTerm() && n.heartbeat_reads.empty()) {
     n.heartbeat_reads[++last_id_] = now;
@@ -126,16 +128,16 @@
   bool published = n.sequence > 0 && n.reader_epoch == n.state.catalog_reader.epoch;
   if (reads && n.state.catalog_reader.boot_id == n.boot_id && published && log_age >= 0 &&
       log_age <= 1000) {
-    n.disseminator->VouchForEndpoints(now);
+    n.disseminator->ConfirmEndpointsCurrent(now);
   }
 }
 
-void World::TickController(size_t i) {
+void SimulatedCluster::TickController(size_t i) {
   Node& n = *nodes_[i];
   TickRollouts(i);
   if (n.raft->HasCommittedInTerm())
     ProposeAssignment(n, n.assignment->Review(now, n.state.catalog_reader, Candidates(n)));
-  UpdateVouchers(n);
+  UpdateAuthorities(n);
   bool reporting = n.raft->last_leader_contact() && now - n.raft->last_leader_contact() < 1200;
   if (!n.raft->is_leader() && !reporting && now >= n.join_at) {
     n.join_at = now + 400;
@@ -163,18 +165,18 @@
   server.id = "list-" + std::to_string(list_version_);
   if (n.sequence && n.disseminator->endpoints().servers.size() == 1 &&
       n.disseminator->endpoints().servers[0].id == server.id) {
-    n.disseminator->Confirm(now, now, n.reader_epoch);
+    n.disseminator->ConfirmListUnchanged(now, now, n.reader_epoch);
   } else {
     n.disseminator->Publish(now, now, {n.reader_epoch, ++n.sequence, {server}});
   }
 }
 
-void World::TraceEffects(size_t i, const consensus::RaftNode::Effects& e) {
+void SimulatedCluster::TraceEffects(size_t i, const consensus::RaftNode::Effects& e) {
   if (!options_.trace) return;
   for (const auto& write : e.writes) {
     Trace(i, 100,
           std::to_string(write.sequence) + "," + std::to_string(write.commit) + "," +
-              std::to_string(write.truncate_from) + "," + std::to_string(write.drop_to));
+              std::to_string(write.truncate_from) + "," + std::to_string(write.drop_through));
     if (write.hard_state_changed) Trace(i, 101, transport::Encode(write.hard_state));
     for (const auto& entry : write.entries) Trace(i, 102, transport::Encode(entry));
     for (const auto& snapshot : write.snapshot) Trace(i, 103, transport::Encode(snapshot));
@@ -186,7 +188,7 @@
   if (e.role_changed) Trace(i, 108, std::to_string(static_cast<int>(RoleOf(i))));
 }
 
-void World::PumpRaft(size_t i) {
+void SimulatedCluster::PumpRaft(size_t i) {
   Node& n = *nodes_[i];
   for (;;) {
     consensus::RaftNode::Effects e = n.raft->TakeEffects();
@@ -249,7 +251,7 @@
         if (n.pending_confirms.count(token)) {
           AnswerConfirm(i, token, ok);
         } else if (n.heartbeat_reads.count(token)) {
-          if (ok) n.disseminator->VouchForLog(n.heartbeat_reads[token]);
+          if (ok) n.disseminator->ConfirmLogCurrent(n.heartbeat_reads[token]);
           n.heartbeat_reads.erase(token);
         } else if (hooks.read_done) {
           hooks.read_done(i, token, ok);
--- a/tests/simulation/simulation_rollouts.cc
+++ b/tests/simulation/simulation_rollouts.cc
@@ -1,4 +1,4 @@
-// World: roll-outs, and the proxies' traffic that they shift to the new version.
+// SimulatedCluster: roll-outs, and the proxies' traffic that they shift to the new version.
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace elderkeel::simulation {
 
-std::vector<rollout::Candidate> World::ObserverCandidates(const Node& n) const {
+std::vector<rollout::Candidate> SimulatedCluster::ObserverCandidates(const Node& n) const {
   std::vector<rollout::Candidate> found;
   for (const auto& [id, node] : n.members->nodes()) {
     if (node.durable && node.state == membership::State::kAlive) found.push_back({id, node.zone});
@@ -14,7 +14,7 @@
   return found;
 }
 
-void World::Serve(size_t i) {
+void SimulatedCluster::Serve(size_t i) {
   Node& n = *nodes_[i];
   for (size_t k = 0; k < n.in_flight.size();) {
     Node::InFlightRequest request = n.in_flight[k];
@@ -25,7 +25,8 @@
     n.in_flight.erase(n.in_flight.begin() + static_cast<long>(k));
     bool failed = request.new_version ? options_.new_fails(random_, now - traffic.ordered_at)
                                       : random_.Unit() < options_.old_fails;
-    if (request.new_version && failed && ++traffic.bad == 50) traffic.fiftieth_at = now;
+    if (request.new_version && failed && ++traffic.failed_answers == 50)
+      traffic.fiftieth_failure_at = now;
     n.policy->CountOutcome(
         now, {"s", request.new_version ? "v2" : "v1", std::to_string(request.server), "r",
               failed ? rollout::CanaryPolicy::Outcome::kFailed
@@ -33,19 +34,19 @@
               true, random_.Unit() < 0.05});
   }
   bool ordered = traffic.ordered_at >= 0;
-  bool in_term = ordered && now < traffic.ordered_at + traffic.over_ms;
+  bool in_term = ordered && now < traffic.ordered_at + traffic.time_limit_ms;
   bool listed = ordered && now > traffic.ordered_at + 1200;  // the endpoint list has new servers
   for (double due = options_.requests; random_.Unit() < due; due -= 1) {
     n.policy->CountRequest("s");
     traffic.requests += in_term;
-    rollout::Rule rule = n.policy->RuleOf(now, "s");
+    rollout::VersionPolicy rule = n.policy->RuleOf(now, "s");
     bool secondary = n.policy->TakesSecondary(now, "s", random_.Next());
     bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
     n.in_flight.push_back(
         {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
     if (!fresh) continue;
     n.policy->CountAttempt("s", "v2");
-    traffic.exposed += in_term;
+    traffic.sent_to_new += in_term;
     traffic.last_sent_at = now;
   }
   if (!n.policy->active() || now < n.report_at) return;
@@ -62,18 +63,18 @@
   }
 }
 
-void World::AdoptRollouts(Node& n) {
+void SimulatedCluster::AdoptRollouts(Node& n) {
   n.coordinator->Adopt(now, n.state.rollouts);
   n.observer->Adopt(n.state.rollouts);
   n.disseminator->Commit(n.state.rollouts);
-  const rollout::Rollout* rollout = n.state.rollouts.Of("s");
+  const rollout::Rollout* rollout = n.state.rollouts.NewestOf("s");
   if (!rollout || !n.raft->HasCommittedInTerm()) return;
   if (traffic.ordered_at < 0) traffic.ordered_at = now;
   if (traffic.ended_at >= 0 && rollout->stage != traffic.stage) {
     Fail("a roll-out that had ended went on");
   }
   traffic.stage = rollout->stage;
-  if (!rollout::Ended(rollout->stage) || traffic.ended_at >= 0) return;
+  if (!rollout::IsFinal(rollout->stage) || traffic.ended_at >= 0) return;
   traffic.ended_at = now;
   // The old servers are stopped now, so no reachable proxy may have requests in flight to them or
   // send them new ones.
@@ -88,7 +89,7 @@
   }
 }
 
-void World::TickRollouts(size_t i) {
+void SimulatedCluster::TickRollouts(size_t i) {
   Node& n = *nodes_[i];
   if (n.raft->HasCommittedInTerm()) {
     for (const auto& step : n.coordinator->Review(now, n.state.rollouts, ObserverCandidates(n))) {
@@ -96,7 +97,7 @@
     }
     if (options_.requests > 0 && n.state.rollouts.InForce("s").empty()) {
       rollout::Step found;
-      found.found = {{"s", "v1"}};
+      found.detected = {{"s", "v1"}};
       Propose(n, found);
     }
   }
