--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -553,7 +553,7 @@
   base::Millis now = base::SteadyMillis();
   base::Info("controller.stopping");
   bool is_reader = catalog_poller_.IsReader();
-  if (is_reader) catalog_poller_.Resign(now, "this controller is shutting down");
+  if (is_reader) catalog_poller_.Resign(now, "leaving");
   context_.stopping = true;
   if (directory_server_) directory_server_->SetLeaving(true);
   stop_timer_.Start(loop_, is_reader && is_leader() ? kRoleHandOverMs : 0, [this, now] {
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -175,7 +175,7 @@
       self->Finish(self->any_sent_ ? Ending::kBroken : Ending::kNotSent,
                    !was_connected           ? "connect refused"
                    : (what & BEV_EVENT_EOF) ? "connection closed before the response was complete"
-                                            : "connection reset");
+                                            : "reset");
     } else if (self->lost_) {
       self->lost_();
     }
