--- a/tests/soak/checkers_test.cc
+++ b/tests/soak/checkers_test.cc
@@ -213,7 +213,7 @@
 }
 
 TEST_F(SoakCheckers, SlowStartLimitsEverySecondUntilTheServerIsWarm) {
-  Disturb(Kind::kServerCold, "i-1", 0, "3000");
+  Disturb(Kind::kServerSlowStart, "i-1", 0, "3000");
   for (int i = 0; i < 17; ++i)
     record_.executions.push_back(MakeExecution("a", "i-1", 500 + i * 50));
   record_.executions.push_back(MakeExecution("a", "i-1", 1500));  // a second after the first
@@ -374,10 +374,10 @@
     return std::count_if(events.begin(), events.end(),
                          [kind](const Event& event) { return event.kind == kind; });
   };
-  EXPECT_GT(count(unsound, Event::Kind::kColdZone), count(plain, Event::Kind::kColdZone));
+  EXPECT_GT(count(unsound, Event::Kind::kSlowStartZone), count(plain, Event::Kind::kSlowStartZone));
   EXPECT_EQ(unsound.size() - plain.size(),
-            static_cast<size_t>(count(unsound, Event::Kind::kColdZone) -
-                                count(plain, Event::Kind::kColdZone)));
+            static_cast<size_t>(count(unsound, Event::Kind::kSlowStartZone) -
+                                count(plain, Event::Kind::kSlowStartZone)));
 }
 
 TEST(SoakSchedule, IsDeterminedByTheSeedAndStaysWithinTheRun) {
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -131,7 +131,7 @@
     times.Add(kind + ", leader: Apply", [&] { applied = leader->Apply(c); });
     Expect(applied, "a change was not applied");
     times.Add(kind + ", leader: Evaluate after it", [&] { verdict = leader->Evaluate(c); });
-    Expect(verdict.status == 200, "a change is not known again");
+    Expect(verdict.status == 200, "the leader did not recognize an applied change");
     times.Add(kind + ", leader: Disseminator::Commit", [&] {
       controller_disseminator->Commit(0, *leader);
       controller_disseminator->TakeEffects();
@@ -146,9 +146,10 @@
                     : configuration::RoutingTable::Build(proxy_disseminator->configuration_text(),
                                                          &names, &regions);
     });
-    Expect(table && table->revision() == revision, "a table is not of the change");
+    Expect(table && table->revision() == revision,
+           "the routing table has another revision than the change");
   };
-  for (int i = 0; i < std::max(3, repeats / 4); ++i) change("whole", false);
+  for (int i = 0; i < std::max(3, repeats / 4); ++i) change("full", false);
   size_t after_full = HeapBytes();
   change("first patch", true);
   for (int i = 0; i < repeats; ++i) change("patch", true);
@@ -163,7 +164,8 @@
     Expect(labels == static_cast<size_t>(routes), "a label is missing");
     change("patch", true);
     size_t bytes = 0;
-    times.Add("snapshot of the register", [&] { bytes = transport::Encode(*leader).size(); });
+    times.Add("snapshot of the controller state",
+              [&] { bytes = transport::Encode(*leader).size(); });
     Expect(bytes > leader->text().size(), "a snapshot is too short");
   }
   times.Print(routes);
@@ -171,19 +173,19 @@
   change("patch", true);
   size_t all = HeapBytes();
   auto print = [&](const char* what, size_t bytes) {
-    std::printf("%6d routes  held: %-38s %10zu bytes\n", routes, what, bytes);
+    std::printf("%6d routes  heap: %-38s %10zu bytes\n", routes, what, bytes);
   };
-  print("everything after a whole change", after_full - before);
-  print("everything after patches", all - before);
+  print("total after full changes", after_full - before);
+  print("total after patches", all - before);
   auto drop = [&](const char* what, auto* of) {
     size_t full = HeapBytes();
     of->reset();
     print(what, full - HeapBytes());
   };
-  drop("table of a proxy", &table);
-  drop("news of a proxy", &proxy_disseminator);
-  drop("news of a controller", &controller_disseminator);
-  drop("register", &leader);
+  drop("routing table of a proxy", &table);
+  drop("disseminator of a proxy", &proxy_disseminator);
+  drop("disseminator of a controller", &controller_disseminator);
+  drop("configuration state of the leader", &leader);
 }
 
 }  // namespace
--- a/tools/soak/checkers.cc
+++ b/tools/soak/checkers.cc
@@ -155,8 +155,8 @@
   if (closed_connections <= kMaxClosedReusedConnections) return {};
   return {{"LOST", last->ended_at,
            std::to_string(closed_connections) +
-               " kept connections were closed without an answer to what was "
-               "passed on, the last with " +
+               " reused connections were closed without a response to a forwarded "
+               "request, the last with " +
                last->attempt_id}};
 }
 
@@ -183,12 +183,14 @@
   }
   std::vector<Violation> violations;
   if (late > kMaxLateExecutions) {
-    violations.push_back({"GONE", at, std::to_string(late) + " reached a server late"});
+    violations.push_back(
+        {"GONE", at,
+         std::to_string(late) + " executions began too late after the client disconnected"});
   }
   if (not_cancelled * 4 > lasting) {
     violations.push_back({"GONE", at,
-                          "servers were still at work on " + std::to_string(not_cancelled) +
-                              " of " + std::to_string(lasting)});
+                          "requests that servers continued after the client disconnected: " +
+                              std::to_string(not_cancelled) + " of " + std::to_string(lasting)});
   }
   return violations;
 }
@@ -206,7 +208,7 @@
   }
   if (denied <= kMaxDenied + record.requests.size() / kRequestsPerExtraDenied) return {};
   return {{"DENIED", last->ended_at,
-           std::to_string(denied) + " proper requests were denied, the last with " +
+           std::to_string(denied) + " valid requests were denied, the last with " +
                std::to_string(last->status)}};
 }
 
@@ -324,7 +326,7 @@
 std::vector<Violation> CheckSlowStart(const RecordData& record, const Bounds& bounds) {
   std::map<std::string, base::Millis> warm_at;
   for (const Disturbance& d : record.disturbances) {
-    if (d.kind == Kind::kServerCold) warm_at[d.target] = d.at + std::stoll(d.detail);
+    if (d.kind == Kind::kServerSlowStart) warm_at[d.target] = d.at + std::stoll(d.detail);
   }
   std::map<std::string, std::vector<base::Millis>> starts;
   for (const Execution& execution : record.executions) {
@@ -350,7 +352,7 @@
       continue;
     violations.push_back(
         {"FAILBACK", at,
-         server + " got " + std::to_string(worst) + " requests in a second in its slow start"});
+         server + " got " + std::to_string(worst) + " requests in a second during its slow start"});
   }
   return violations;
 }
@@ -371,7 +373,7 @@
   }
   if (record.revision_at_end < acknowledged || sent.count(record.revision_at_end) == 0) {
     violations.push_back({"CONFIG", record.ended_at,
-                          "read back " + std::to_string(record.revision_at_end) +
+                          "read revision " + std::to_string(record.revision_at_end) +
                               ", acknowledged " + std::to_string(acknowledged)});
   }
   return violations;
@@ -394,10 +396,11 @@
     }
     if (d.kind != Kind::kExit) continue;
     if (!process.ended) {
-      violations.push_back({"END", d.at, d.target + " ended by itself: " + d.detail});
+      violations.push_back(
+          {"END", d.at, d.target + " exited without a signal from the run: " + d.detail});
     } else if (process.terminated_at >= 0 && d.at > process.terminated_at + bounds.grace_ms &&
                !HasUnplanned(record, process.terminated_at - bounds.contact_ms, d.at, d.target)) {
-      violations.push_back({"END", d.at, d.target + " was still there after its grace time"});
+      violations.push_back({"END", d.at, d.target + " was still running after its grace period"});
     }
   }
   return violations;
@@ -437,7 +440,7 @@
       return "kill";
     case Kind::kFreeze:
       return "freeze";
-    case Kind::kThaw:
+    case Kind::kResume:
       return "thaw";
     case Kind::kReload:
       return "reload";
@@ -449,7 +452,7 @@
       return "server_drains";
     case Kind::kServerGone:
       return "server_gone";
-    case Kind::kServerCold:
+    case Kind::kServerSlowStart:
       return "server_cold";
     case Kind::kPlatformCut:
       return "platform_cut";
@@ -460,7 +463,7 @@
 }
 
 bool IsUnplanned(Disturbance::Kind kind) {
-  return kind == Kind::kKill || kind == Kind::kFreeze || kind == Kind::kThaw;
+  return kind == Kind::kKill || kind == Kind::kFreeze || kind == Kind::kResume;
 }
 
 }  // namespace elderkeel::soak
--- a/tools/soak/fleet.cc
+++ b/tools/soak/fleet.cc
@@ -199,7 +199,7 @@
     if (process.pid >= 0 && process.resume_at >= 0 && now >= process.resume_at) {
       process.resume_at = -1;
       kill(process.pid, SIGCONT);
-      AddDisturbance(Kind::kThaw, name);
+      AddDisturbance(Kind::kResume, name);
     }
     // Kills later than the platform would, so that the record shows which processes exceeded the
     // grace time.
--- a/tools/soak/main.cc
+++ b/tools/soak/main.cc
@@ -65,8 +65,8 @@
     case Event::Kind::kDrain:
       world->DrainOne(Fleet::ZoneOf(event.target));
       break;
-    case Event::Kind::kColdZone:
-      world->ReplaceZoneCold(event.target);
+    case Event::Kind::kSlowStartZone:
+      world->ReplaceZoneWithSlowStart(event.target);
       break;
     case Event::Kind::kCutPlatform:
       world->CutPlatform(true);
@@ -223,10 +223,10 @@
 
 int main(int argc, char** argv) {
   elderkeel::soak::Options options;
-  CLI::App app{"Plays a fleet of real processes under trouble and checks the rules"};
-  app.add_option("--seed", options.seed, "Fixes the schedule of all trouble")
+  CLI::App app{"Runs real proxies and controllers under faults and checks the rules"};
+  app.add_option("--seed", options.seed, "Determines the schedule of all faults")
       ->capture_default_str();
-  app.add_option("--seconds", options.seconds, "Of traffic")
+  app.add_option("--seconds", options.seconds, "Duration of the traffic")
       ->check(CLI::Range(15, 3600))
       ->capture_default_str();
   app.add_option("--controllers", options.controllers)
@@ -235,15 +235,16 @@
   app.add_option("--proxies", options.proxies)->check(CLI::Range(2, 190))->capture_default_str();
   app.add_option("--clients", options.clients)->check(CLI::Range(1, 500))->capture_default_str();
   app.add_flag("--varied", options.varied,
-               "Of four clients one leaves early at times, and one lets its connection rest");
-  app.add_flag(
-      "--unsound", options.unsound,
-      "Servers refuse, fail, cut, hang and garble in spells; their addresses are used again");
-  app.add_option("--programs", options.programs, "Folder of proxy and controller")
+               "One client in four at times disconnects early, and one in four leaves its "
+               "connection idle");
+  app.add_flag("--unsound", options.unsound,
+               "Servers at times reject requests, fail, reset connections, hang or send wrong "
+               "responses; new servers reuse their addresses");
+  app.add_option("--programs", options.programs, "Folder of the programs proxy and controller")
       ->capture_default_str();
   app.add_option("--logs", options.logs,
-                 "Folder for what the processes print; on a busy disk it holds them up");
-  app.add_option("--report", options.report, "File for a report in JSON");
+                 "Folder for the logs of the processes; a busy disk slows the processes down");
+  app.add_option("--report", options.report, "File for the report in JSON");
   app.footer(
       "Exit codes: 0 all rules held; 1 a rule was broken; 2 the soak could not run; 3 none was "
       "broken, "
--- a/tools/soak/record.h
+++ b/tools/soak/record.h
@@ -53,15 +53,15 @@
     kTerminate,  // SIGTERM, by the platform
     kKill,
     kFreeze,  // SIGSTOP
-    kThaw,    // SIGCONT
+    kResume,  // SIGCONT
     kReload,  // SIGHUP with changed settings
     kStart,
-    kExit,            // `detail`: the exit code or signal
-    kServerDrains,    // the platform's list shows the server as draining
-    kServerGone,      // the server has ended
-    kServerCold,      // the server starts with a slow start of `detail` milliseconds
-    kPlatformCut,     // the platform answers the controllers with errors only
-    kPlatformHealed,  // the platform answers the controllers with the list again
+    kExit,             // `detail`: the exit code or signal
+    kServerDrains,     // the platform's list shows the server as draining
+    kServerGone,       // the server has ended
+    kServerSlowStart,  // the server starts with a slow start of `detail` milliseconds
+    kPlatformCut,      // the platform answers the controllers with errors only
+    kPlatformHealed,   // the platform answers the controllers with the list again
   };
   Kind kind = Kind::kStart;
   std::string target = "";  // name of the process, id of the server, or "platform"
--- a/tools/soak/report.cc
+++ b/tools/soak/report.cc
@@ -99,11 +99,12 @@
               data.requests.size(), latencies.size(), data.executions.size(), acknowledged,
               data.changes.size());
   std::printf(
-      "latency of what was served, its work included: median %lld, 99%% %lld, 99.9%% %lld ms\n",
+      "latency of served requests, including the work of the servers: median %lld, 99%% %lld, "
+      "99.9%% %lld ms\n",
       static_cast<long long>(quantile(0.5)), static_cast<long long>(quantile(0.99)),
       static_cast<long long>(quantile(0.999)));
-  std::printf("judged: %.1f %% of the processes' time; no processor in %zu spans%s\n", 100 * judged,
-              data.stalls.size(), judged < kMinJudgedShare ? ": what held proves nothing" : "");
+  std::printf("judged: %.1f %% of the processes' time; %zu CPU stalls%s\n", 100 * judged,
+              data.stalls.size(), judged < kMinJudgedShare ? ": too little to be conclusive" : "");
   for (const auto& [rule, count] : broken) {
     std::printf("%-9s %s\n", rule.c_str(),
                 count == 0 ? "held" : (std::to_string(count) + " broken").c_str());
--- a/tools/soak/schedule.cc
+++ b/tools/soak/schedule.cc
@@ -35,7 +35,7 @@
   for (const Event& event : *events) {
     if (event.kind != Event::Kind::kTerminateZone) continue;
     Event again = event;
-    again.kind = Event::Kind::kColdZone;
+    again.kind = Event::Kind::kSlowStartZone;
     again.at += kMinColdStartMs +
                 static_cast<base::Millis>(random.Below(kMaxColdStartMs - kMinColdStartMs));
     if (again.at < end) cold.push_back(again);
@@ -66,7 +66,7 @@
       return "reload";
     case Event::Kind::kDrain:
       return "drain";
-    case Event::Kind::kColdZone:
+    case Event::Kind::kSlowStartZone:
       return "cold_zone";
     case Event::Kind::kCutPlatform:
       return "cut_platform";
@@ -77,7 +77,7 @@
 std::vector<Event> MakeSchedule(const Options& options) {
   using Kind = Event::Kind;
   const std::vector<Kind> planned = {Kind::kTerminate, Kind::kTerminate, Kind::kTerminateZone,
-                                     Kind::kReload,    Kind::kDrain,     Kind::kColdZone};
+                                     Kind::kReload,    Kind::kDrain,     Kind::kSlowStartZone};
   const std::vector<Kind> unplanned = {Kind::kKill, Kind::kFreeze};
   const std::vector<Kind> platform = {Kind::kReload, Kind::kDrain, Kind::kCutPlatform};
   std::vector<Kind> kinds = options.seed % 4 == 2 ? platform : planned;
@@ -92,7 +92,7 @@
     bool controller = random.Below(4) == 0;
     event.target = controller ? RandomName(&random, "c", options.controllers)
                               : RandomName(&random, "p", options.proxies);
-    if (event.kind == Kind::kTerminateZone || event.kind == Kind::kColdZone) {
+    if (event.kind == Kind::kTerminateZone || event.kind == Kind::kSlowStartZone) {
       event.target = RandomName(&random, "z", 2);
     }
     if (event.kind == Kind::kFreeze) {
@@ -111,7 +111,7 @@
       events.push_back(again);
     }
     // Half of the slow starts of a zone are followed by the termination of the zone's proxies.
-    if (event.kind == Kind::kColdZone && random.Below(2) == 0) {
+    if (event.kind == Kind::kSlowStartZone && random.Below(2) == 0) {
       Event zone = event;
       zone.kind = Kind::kTerminateZone;
       zone.at += kTerminateAfterColdMs;
--- a/tools/soak/schedule.h
+++ b/tools/soak/schedule.h
@@ -32,7 +32,7 @@
     kFreeze,         // SIGSTOP to a process for `for_ms`
     kReload,         // SIGHUP to a process, with changed settings
     kDrain,          // drains one server in the zone of the target process
-    kColdZone,       // replaces the servers of a zone by new ones in slow start
+    kSlowStartZone,  // replaces the servers of a zone by new ones in slow start
     kCutPlatform,    // for `for_ms` the platform fails for controllers and is slow for proxies
   };
   base::Millis at = 0;  // since the start of the traffic
--- a/tools/soak/simulated_platform.cc
+++ b/tools/soak/simulated_platform.cc
@@ -188,8 +188,8 @@
   if (warmup_ms > 0) {
     base::Millis now = base::SteadyMillis();
     server->warm_at = now + warmup_ms;
-    record_->Add(
-        Disturbance{Disturbance::Kind::kServerCold, server->id, now, std::to_string(warmup_ms)});
+    record_->Add(Disturbance{Disturbance::Kind::kServerSlowStart, server->id, now,
+                             std::to_string(warmup_ms)});
   }
   servers_[server->id] = server;
 }
@@ -347,7 +347,7 @@
   return active;
 }
 
-void SimulatedPlatform::ReplaceZoneCold(const std::string& zone) {
+void SimulatedPlatform::ReplaceZoneWithSlowStart(const std::string& zone) {
   Post([this, zone] {
     for (const std::shared_ptr<Server>& server : ActiveServers(zone)) {
       RemoveServer(server->id);
--- a/tools/soak/simulated_platform.h
+++ b/tools/soak/simulated_platform.h
@@ -55,7 +55,7 @@
   // other zone, starts at its address.
   void ReuseAddress(const std::string& zone);
   // Replaces all servers of the zone that don't drain by new ones in slow start.
-  void ReplaceZoneCold(const std::string& zone);
+  void ReplaceZoneWithSlowStart(const std::string& zone);
   // The thread that runs the platform and the servers.
   pid_t thread_id() const { return thread_id_; }
   // While cut, the platform answers controllers with 503. Its answers to proxies are delayed by
