--- a/tests/simulation/linearizability_test.cc
+++ b/tests/simulation/linearizability_test.cc
@@ -48,14 +48,16 @@
        {Put(1, 0, 1, 1, 2, 200), Put(2, 1, 2, 3, 4, 200), Put(1, 0, 1, 5, 6, 200)},
        true},
       {"sent again and refused", {Put(1, 0, 1, 1, 2, 200), Put(1, 0, 1, 3, 4, 412)}, false},
-      {"unclear, in effect later",
+      {"without an answer, in effect later",
        {Put(1, 0, 1, 1, kNever, 0), Get(2, 3, ""), Get(4, 5, "d1")},
        true},
-      {"unclear, never in effect", {Put(1, 0, 1, 1, kNever, 0), Put(2, 0, 1, 2, 3, 200)}, true},
-      {"unclear, in effect and gone",
+      {"without an answer, never in effect",
+       {Put(1, 0, 1, 1, kNever, 0), Put(2, 0, 1, 2, 3, 200)},
+       true},
+      {"without an answer, in effect and lost",
        {Put(1, 0, 1, 1, kNever, 0), Get(2, 3, "d1"), Get(4, 5, "")},
        false},
-      {"unclear, then refused though in effect",
+      {"without an answer, then refused though in effect",
        {Put(1, 0, 1, 1, kNever, 0), Get(2, 3, "d1"), Put(1, 0, 1, 4, 5, 412)},
        false},
       {"invalid", {Put(1, 0, 1, 1, 2, 400)}, false},
@@ -88,7 +90,7 @@
        {drain(1, 1, 2, 200), read(3, 4, true), undrain(2, 5, 6, 200), read(7, 8, false)},
        true},
       {"lost", {drain(1, 1, 2, 200), read(3, 4, false)}, false},
-      {"unclear", {drain(1, 1, kNever, 0), read(2, 3, false), read(4, 5, true)}, true},
+      {"without an answer", {drain(1, 1, kNever, 0), read(2, 3, false), read(4, 5, true)}, true},
       {"a second effect", {drain(1, 1, 2, 200), undrain(2, 3, 4, 200), read(5, 6, true)}, false},
       {"a copy without an answer",
        {drain(1, 1, 2, 200), drain(1, 1, kNever, 0), undrain(2, 3, 4, 200), read(5, 6, true)},
@@ -137,7 +139,7 @@
 // Totals over all runs. The suite prints them at its end, so that a passing run shows how much it
 // checked.
 struct Totals {
-  size_t histories = 0, calls = 0, unclear = 0, refused = 0, states = 0;
+  size_t histories = 0, calls = 0, without_answer = 0, refused = 0, states = 0;
 };
 Totals& totals() {
   static Totals all;
@@ -244,14 +246,14 @@
   for (const char* zone : Operators::kZones) Check<ZoneModel>(operators, zone, seed);
   for (const char* service : Operators::kServices) Check<RolloutModel>(operators, service, seed);
   ++totals().histories;
-  size_t taken = 0;
+  size_t accepted = 0;
   for (const Operation& o : operators.history()) {
     ++totals().calls;
-    totals().unclear += !o.has_answer();
+    totals().without_answer += !o.has_answer();
     totals().refused += o.status == 412 || o.status == 409;
-    taken += o.kind != Kind::kGet && o.status == 200;
+    accepted += o.kind != Kind::kGet && o.status == 200;
   }
-  EXPECT_GT(taken, 20u) << "seed " << seed;
+  EXPECT_GT(accepted, 20u) << "seed " << seed;
 }
 
 // Returns the number of seed groups; ELDERKEEL_SEED_GROUPS=100 runs many more than the default.
@@ -266,8 +268,8 @@
  protected:
   static void TearDownTestSuite() {
     const Totals& p = totals();
-    std::printf("histories %zu, calls %zu, without a clear answer %zu, refused %zu, states %zu\n",
-                p.histories, p.calls, p.unclear, p.refused, p.states);
+    std::printf("histories %zu, calls %zu, without an answer %zu, refused %zu, states %zu\n",
+                p.histories, p.calls, p.without_answer, p.refused, p.states);
   }
 };
 TEST_P(Histories, OfThreeControllersAreLinearizable) {
--- a/tests/simulation/partition_test.cc
+++ b/tests/simulation/partition_test.cc
@@ -45,17 +45,17 @@
       {"older is held", {0}, {{20, 0, {5, 0, 0}}}, 20, {4, 0, 0}, false},
       {"adopted soon after", {0}, {{20, 0, {5, 0, 0}}}, 900, {5, 0, 0}, true},
       {"adopted long after", {0}, {{20, 0, {5, 0, 0}}}, 10000, {5, 0, 0}, false},
-      {"held up on its way", {0}, {{10000, 0, {5, 0, 0}}}, 10000, {5, 0, 0}, false},
-      {"held up, and asked again", {0, 9990}, {{10000, 0, {5, 0, 0}}}, 10000, {5, 0, 0}, false},
-      {"of another life", {0}, {{20, -1, {5, 0, 0}}}, 20, {5, 0, 0}, false},
+      {"delayed in transit", {0}, {{10000, 0, {5, 0, 0}}}, 10000, {5, 0, 0}, false},
+      {"delayed, and asked again", {0, 9990}, {{10000, 0, {5, 0, 0}}}, 10000, {5, 0, 0}, false},
+      {"to an earlier run of the process", {0}, {{20, -1, {5, 0, 0}}}, 20, {5, 0, 0}, false},
       {"overtaken by a newer answer",
        {0, 100},
        {{150, 1, {6, 0, 0}}, {200, 0, {5, 0, 0}}},
        200,
        {5, 0, 0},
        false},
-      {"an order to evacuate is missing", {0}, {{20, 0, {5, 3, 0}}}, 20, {5, 2, 0}, false},
-      {"it came", {0}, {{20, 0, {5, 3, 0}}}, 60, {5, 3, 0}, true},
+      {"a zone drain is missing", {0}, {{20, 0, {5, 3, 0}}}, 20, {5, 2, 0}, false},
+      {"the zone drain has arrived", {0}, {{20, 0, {5, 3, 0}}}, 60, {5, 3, 0}, true},
       {"a roll-out is missing", {0}, {{20, 0, {5, 0, 8}}}, 20, {5, 0, 7}, false},
       {"there is no configuration", {0}, {{20, 0, {0, 0, 0}}}, 20, {0, 0, 0}, false},
   };
@@ -177,7 +177,7 @@
     First first;
   } cases[] = {
       {"a tick", [](FounderNode& f, const auto&) { f.raft().Tick(f.now); }},
-      {"a reply that waited",
+      {"a delayed reply",
        [](FounderNode& f, const auto& m) {
          f.raft().Receive(f.now, m, {"10.0.0.2", 7200});
        }},
@@ -217,17 +217,17 @@
   const consensus::Timing timing;
   FounderNode follower;
   follower.Follow(2);
-  Millis reporting = follower.now;
+  Millis last_heartbeat_at = follower.now;
   ASSERT_EQ(follower.raft().LeaderInContact(follower.now)->control, "10.0.0.2:8080");
-  while (follower.now < reporting + 1000) {
+  while (follower.now < last_heartbeat_at + 1000) {
     follower.Advance(false);
     bool named = follower.raft().LeaderInContact(follower.now).has_value();
     // It may start a pre-vote earlier, and then names no leader; after the election time-out it
     // never names the leader that sent no more heartbeats.
-    if (follower.now - reporting > timing.election_timeout) {
+    if (follower.now - last_heartbeat_at > timing.election_timeout) {
       EXPECT_FALSE(named) << follower.now;
     }
-    if (follower.now - reporting < timing.heartbeat_interval * 3) {
+    if (follower.now - last_heartbeat_at < timing.heartbeat_interval * 3) {
       EXPECT_TRUE(named) << follower.now;
     }
   }
@@ -272,8 +272,8 @@
     bool renewed;
   } cases[] = {
       {"the same", 0, 0, true},
-      {"one that knows more", 0, 1, true},
-      {"one of before", 0, -1, false},
+      {"a newer state version", 0, 1, true},
+      {"an older state version", 0, -1, false},
       {"of another roll-out", 1, 0, false},
   };
   for (const Case& c : cases) {
@@ -478,7 +478,7 @@
   explicit CutRun(const Case& c)
       : case_(c), world_(MakeOptions(c.seed)), apis_(&world_, kControllers) {}
 
-  void Play() {
+  void Run() {
     Advance(3000);
     AddCaller("PUT", 0, false);
     Advance(2000);
@@ -642,7 +642,7 @@
       if (answer.status == 307) CheckLocation(*c, answer.location);
       // It must not name a leader from which it has received nothing for an election time-out.
       if (answer.status == 307 && case_.how != How::kOut && now > cut_at_ + kStaleMs) {
-        world_.fault = "the member named a leader that it does not hear";
+        world_.fault = "the member named a leader from which it receives nothing";
       }
       bool definite = answer.status == 200 || answer.status == 404 || answer.status == 412;
       // An answer that a majority confirmed may have been in transit when the cut began.
@@ -698,8 +698,9 @@
     size_t at = static_cast<size_t>(std::stoi(ip.substr(14))) - 1;
     bool unreachable = at == member_ && case_.how != How::kIn && cut_at_ > 0 &&
                        c.asked > cut_at_ + kStaleMs && c.at != member_;
-    if (unreachable) world_.fault = "sent to " + ip + ", which nobody hears";
-    if (world_.now - led_at_[at] > 800) world_.fault = "sent to " + ip + ", which leads no more";
+    if (unreachable) world_.fault = "sent to " + ip + ", from which no member receives anything";
+    if (world_.now - led_at_[at] > 800)
+      world_.fault = "sent to " + ip + ", which is no longer the leader";
   }
 
   Case case_;
@@ -724,7 +725,7 @@
            {CutRun::Restart::kNone, CutRun::Restart::kMember, CutRun::Restart::kOthers}) {
         for (uint64_t seed = 1; seed <= 2; ++seed) {
           CutRun run({how, leader, restart, seed});
-          run.Play();
+          run.Run();
           if (HasFailure()) return;
         }
       }
--- a/tests/simulation/simulation_controller.cc
+++ b/tests/simulation/simulation_controller.cc
@@ -18,7 +18,7 @@
     // acknowledged before that.
     auto known = acknowledged_at_.upper_bound(now - 1000);
     if (known != acknowledged_at_.begin() && held.revision < std::prev(known)->second) {
-      Fail(n.address.ip + " took an old configuration for confirmed");
+      Fail(n.address.ip + " accepted an outdated configuration as confirmed");
     }
     return;
   }
@@ -88,9 +88,9 @@
 std::vector<singleton::Candidate> SimulatedCluster::Candidates(const Node& n) {
   std::vector<singleton::Candidate> candidates;
   for (const auto& v : n.raft->voters()) {
-    Millis reporting = n.raft->LastContact(v.id);
+    Millis last_contact_at = n.raft->LastContact(v.id);
     candidates.push_back(
-        {v.id, reporting < 0 ? INT64_MAX : now - reporting, v.id == n.raft->self().id});
+        {v.id, last_contact_at < 0 ? INT64_MAX : now - last_contact_at, v.id == n.raft->self().id});
   }
   return candidates;
 }
@@ -194,7 +194,8 @@
     consensus::RaftNode::Effects e = n.raft->TakeEffects();
     // No simulated disk loses synced data while a node keeps its identity, so no node may report
     // the loss of state.
-    if (!e.state_lost.empty() || e.discard_store) Fail(n.address.ip + " tells of lost state");
+    if (!e.state_lost.empty() || e.discard_store)
+      Fail(n.address.ip + " reports lost state or discards its store");
     if (e.messages.empty() && e.writes.empty() && e.committed.empty() && e.installed.empty() &&
         e.confirmed_reads.empty() && e.failed_reads.empty() && !e.role_changed) {
       break;
--- a/tests/simulation/simulation_rollouts.cc
+++ b/tests/simulation/simulation_rollouts.cc
@@ -41,10 +41,10 @@
     traffic.requests += in_term;
     rollout::VersionPolicy rule = n.policy->RuleOf(now, "s");
     bool secondary = n.policy->TakesSecondary(now, "s", random_.Next());
-    bool fresh = listed && (secondary ? rule.secondary : rule.primary) == "v2";
+    bool to_new_version = listed && (secondary ? rule.secondary : rule.primary) == "v2";
     n.in_flight.push_back(
-        {now + 20 + static_cast<Millis>(random_.Below(40)), fresh, random_.Below(12)});
-    if (!fresh) continue;
+        {now + 20 + static_cast<Millis>(random_.Below(40)), to_new_version, random_.Below(12)});
+    if (!to_new_version) continue;
     n.policy->CountAttempt("s", "v2");
     traffic.sent_to_new += in_term;
     traffic.last_sent_at = now;
@@ -82,7 +82,8 @@
   for (auto& other : nodes_) {
     if (other->controller || !other->up || other->frozen || !cuts_.empty()) continue;
     if (!other->policy->RolloutOf("s") && other->policy->RuleOf(now, "s").primary != "v2") continue;
-    if (other->old_in_flight() > 0) Fail(other->address.ip + " has work at stopped servers");
+    if (other->old_in_flight() > 0)
+      Fail(other->address.ip + " has requests in flight to stopped servers");
     if (other->policy->RuleOf(now, "s").primary != "v2") {
       Fail(other->address.ip + " sends to stopped servers");
     }
--- a/tests/simulation/simulation_test.cc
+++ b/tests/simulation/simulation_test.cc
@@ -513,10 +513,10 @@
     world.Change();
     Stabilize(&world, 8000, "start");
     for (int round = 0; round < 6 && world.fault.empty(); ++round) {
-      uint64_t secondary = world.random().Below(64);
+      uint64_t side_mask = world.random().Below(64);
       for (size_t a = 0; a < 6; ++a) {
         for (size_t b = a + 1; b < 6; ++b)
-          world.Cut(a, b, (secondary >> a & 1) != (secondary >> b & 1));
+          world.Cut(a, b, (side_mask >> a & 1) != (side_mask >> b & 1));
       }
       if (round % 2) world.Wipe(world.random().Below(6));
       for (int k = 0; k < 40; ++k) {
@@ -577,14 +577,15 @@
     world.Change();
     Stabilize(&world, 3000, "start");
     size_t proxy = 3 + seed % 4;
-    for (int boot_id = 0; boot_id < 3; ++boot_id) {
+    for (int restart = 0; restart < 3; ++restart) {
       world.Leave(proxy);
       world.Run(600);
       world.Start(proxy);
       world.Run(1500);
       ASSERT_TRUE(world.Change());
       world.ChangeEndpoints();
-      Stabilize(&world, 3000, "life " + std::to_string(boot_id) + " seed " + std::to_string(seed));
+      Stabilize(&world, 3000,
+                "restart " + std::to_string(restart) + " seed " + std::to_string(seed));
     }
   }
 }
