--- a/src/base/loop.cc
+++ b/src/base/loop.cc
@@ -92,9 +92,9 @@
 
 Millis UntilMultiple(Millis now, Millis after, Millis every) {
   // A random offset for each process, so that the processes of a fleet don't all wake up at once.
-  static const Millis kPhase = static_cast<Millis>(RandomSeed() % 1000);
-  Millis due = now + std::max<Millis>(after, 0) + kPhase;
-  return (due + every - 1) / every * every - kPhase - now;
+  static const Millis kOffset = static_cast<Millis>(RandomSeed() % 1000);
+  Millis due = now + std::max<Millis>(after, 0) + kOffset;
+  return (due + every - 1) / every * every - kOffset - now;
 }
 
 void Timer::Fire(evutil_socket_t, short, void* self) {
--- a/src/base/names.h
+++ b/src/base/name_index.h
@@ -10,7 +10,7 @@
 
 // Assigns dense indices, from 0 on, to names, so that tables can be vectors that are indexed by
 // them. An assigned index never changes and is never reused.
-class Names {
+class NameIndex {
  public:
   static constexpr uint32_t kNone = UINT32_MAX;  // no index
 
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -90,11 +90,11 @@
   int64_t heartbeat_ms = 250;  // interval of the heartbeats between ring neighbours
   int64_t digest_ms = 400;     // interval of the digest exchange with a random peer
   int64_t raft_heartbeat_ms = 120;
-  int64_t election_ms = 600;          // the election timeout is one to two times this
-  int64_t connect_ms = 250;           // timeout for connecting to a server
-  int64_t held_body_bytes = 1 << 20;  // answers up to this size are buffered completely
-  int64_t wait_share_percent = 25;    // longest wait for a server, as share of the target latency
-  bool second_sends = true;           // hedge slow idempotent requests, within the retry budget
+  int64_t election_ms = 600;                  // the election timeout is one to two times this
+  int64_t connect_ms = 250;                   // timeout for connecting to a server
+  int64_t max_buffered_body_bytes = 1 << 20;  // answers up to this size are buffered completely
+  int64_t max_queue_wait_percent = 25;  // longest wait for a server, as share of the target latency
+  bool hedging_enabled = true;          // hedge slow idempotent requests, within the retry budget
   std::string telemetry_sink = "stdout";
   std::string telemetry_file;
   int64_t telemetry_flush_ms = 500;
--- a/src/configuration/routing_table.cc
+++ b/src/configuration/routing_table.cc
@@ -89,7 +89,7 @@
 // of a valid configuration.
 class RoutingTable::Builder {
  public:
-  Builder(RoutingTable* table, base::Names* names, base::Names* regions)
+  Builder(RoutingTable* table, base::NameIndex* names, base::NameIndex* regions)
       : table_(table), names_(names), regions_(regions) {}
 
   void AddService(const Value& json) {
@@ -152,12 +152,13 @@
   }
 
   RoutingTable* table_;
-  base::Names* names_;
-  base::Names* regions_;
+  base::NameIndex* names_;
+  base::NameIndex* regions_;
 };
 
-std::shared_ptr<const RoutingTable> RoutingTable::Build(std::string_view text, base::Names* names,
-                                                        base::Names* regions) {
+std::shared_ptr<const RoutingTable> RoutingTable::Build(std::string_view text,
+                                                        base::NameIndex* names,
+                                                        base::NameIndex* regions) {
   Document document;
   if (!ParseObject(text, &document)) return nullptr;
   auto table = std::make_shared<RoutingTable>();
@@ -172,8 +173,9 @@
 }
 
 std::shared_ptr<const RoutingTable> RoutingTable::Patch(const RoutingTable& base,
-                                                        std::string_view patch, base::Names* names,
-                                                        base::Names* regions) {
+                                                        std::string_view patch,
+                                                        base::NameIndex* names,
+                                                        base::NameIndex* regions) {
   Document changes;
   if (!ParseObject(patch, &changes)) return nullptr;
   auto table = std::make_shared<RoutingTable>(base);
--- a/src/configuration/routing_table.h
+++ b/src/configuration/routing_table.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/names.h"
+#include "base/name_index.h"
 #include "configuration/copy_on_write_map.h"
 #include "http/http.h"
 
@@ -14,7 +14,7 @@
 
 // A service that a route sends requests to, and its share of the route's requests.
 struct WeightedTarget {
-  uint32_t service;  // dense index, from base::Names
+  uint32_t service;  // dense index, from base::NameIndex
   uint32_t weight;   // relative to Route::weight_sum; above 0
 };
 
@@ -67,13 +67,14 @@
   // Builds a table from a valid document. Maps service labels to dense indices by `names` and
   // regions by `regions`. Returns null if the document can't be parsed. REQUIRES: `names` and
   // `regions` outlive all tables.
-  static std::shared_ptr<const RoutingTable> Build(std::string_view text, base::Names* names,
-                                                   base::Names* regions);
+  static std::shared_ptr<const RoutingTable> Build(std::string_view text, base::NameIndex* names,
+                                                   base::NameIndex* regions);
   // Builds a table from the table of a valid document and a patch that results in another valid
   // one. The cost depends on the size of the patch, not of the document. Returns null if the patch
   // can't be parsed. REQUIRES: `names` and `regions` are those that `base` was built with.
   static std::shared_ptr<const RoutingTable> Patch(const RoutingTable& base, std::string_view patch,
-                                                   base::Names* names, base::Names* regions);
+                                                   base::NameIndex* names,
+                                                   base::NameIndex* regions);
 
  private:
   class Builder;
--- a/src/controller/diagnosis_service.cc
+++ b/src/controller/diagnosis_service.cc
@@ -45,7 +45,7 @@
 }
 
 void DiagnosisService::OnReply(const base::Address& from, const diagnosis::Reply& reply) {
-  for (PendingFleetQuery& pending : pending_) pending.query.Take(from.ToString(), reply);
+  for (PendingFleetQuery& pending : pending_) pending.query.AddReply(from.ToString(), reply);
   Tick(base::SteadyMillis());
 }
 
--- a/src/controller/status_writer.cc
+++ b/src/controller/status_writer.cc
@@ -102,7 +102,7 @@
   json->Text("zone", node.zone);
   json->Text("state", membership::StateName(node.state));
   if (is_proxy) {
-    const diagnosis::Reply* reply = replies.Of(node.address().ToString());
+    const diagnosis::Reply* reply = replies.FindReply(node.address().ToString());
     // The state of a proxy that did not reply is unknown: what it reported earlier may be outdated.
     std::string line = reply && !reply->lines.empty() ? reply->lines[0] : "";
     json->Text("revision", line.empty() ? "unknown" : diagnosis::ValueOf(line, "revision"));
--- a/src/diagnosis/diagnosis.cc
+++ b/src/diagnosis/diagnosis.cc
@@ -40,7 +40,7 @@
 }
 
 // Returns a sentence that sums up the records. It states nothing that is not in them.
-std::string Conclude(const Question& question, const std::vector<FoundRecord>& found) {
+std::string Summarize(const Question& question, const std::vector<FoundRecord>& found) {
   if (found.empty()) {
     return question.about == Question::About::kFailures ? "no record of a failure"
                                                         : "no matching record";
@@ -289,7 +289,7 @@
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   w.StartObject();
   w.Key("conclusion");
-  w.String(Conclude(question_, found).c_str());
+  w.String(Summarize(question_, found).c_str());
   w.Key("asked");
   w.Uint64(asked_at_.size());
   // Writes the targets from `first` to before `last` that have not replied.
--- a/src/diagnosis/diagnosis.h
+++ b/src/diagnosis/diagnosis.h
@@ -85,7 +85,7 @@
 // A question in progress: its targets, which of them were asked, and their replies. Targets are
 // asked in the given order, with a bound on the number in flight, until the deadline. It does no
 // I/O and reads no clock: the caller sends the query to the nodes that Next returns and passes the
-// replies to Take.
+// replies to AddReply.
 class FleetQuery {
  public:
   FleetQuery(uint64_t nonce, Question question, std::vector<Target> targets, base::Millis deadline)
@@ -97,7 +97,7 @@
   // Returns the addresses of the nodes to ask now, and counts them as asked.
   std::vector<std::string> Next(base::Millis now);
   // Adds a reply. A reply with another nonce belongs to another question and is ignored.
-  void Take(const std::string& from, Reply reply) {
+  void AddReply(const std::string& from, Reply reply) {
     if (reply.nonce == nonce_) replies_[from] = std::move(reply);
   }
   // Whether all targets have replied or the deadline has passed.
@@ -108,7 +108,7 @@
   Query query() const { return {nonce_, question_.about, question_.value, question_.last_s}; }
   Question::About about() const { return question_.about; }
   // Returns the reply of the node at `address`; null if there is none.
-  const Reply* Of(const std::string& address) const {
+  const Reply* FindReply(const std::string& address) const {
     auto at = replies_.find(address);
     return at == replies_.end() ? nullptr : &at->second;
   }
--- a/src/forwarding/attempts.cc
+++ b/src/forwarding/attempts.cc
@@ -141,7 +141,7 @@
 }
 
 void RequestRouter::ScheduleHedge(PendingRequest* pending, const Attempt& attempt) {
-  if (!settings_.second_sends || !pending->route->idempotent || pending->hedge_at != 0) return;
+  if (!settings_.hedging_enabled || !pending->route->idempotent || pending->hedge_at != 0) return;
   if (!pending->attempt_log.MayAttempt()) return;
   base::Millis after = HedgeDelay(MeanLatencyMs(pending->route_index), *pending->route);
   // An attempt at a secondary version, which may be one under trial, is hedged only once it counts
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -63,7 +63,7 @@
   }
   http::Limits limits;
   limits.header_bytes = kMaxHeaderBytes;
-  limits.body_bytes = static_cast<size_t>(settings_->held_body_bytes);
+  limits.body_bytes = static_cast<size_t>(settings_->max_buffered_body_bytes);
   ++pool.open;
   return std::make_unique<http::HttpConnection>(loop_, balancer_->at(server).address,
                                                 settings_->connect_ms, limits);
--- a/src/forwarding/health_prober.cc
+++ b/src/forwarding/health_prober.cc
@@ -46,9 +46,9 @@
   }
   balancer_->OnProbeResult(now, server, healthy);
   telemetry::ControlRecord record;
-  record.what = telemetry::ControlRecord::What::kProbe;
+  record.type = telemetry::ControlRecord::EventType::kProbe;
   record.server = server;
-  record.good = healthy;
+  record.healthy = healthy;
   recorder_->Control(record);
   // This may run within a callback of the call itself, which must not be destroyed before that
   // returns.
--- a/src/forwarding/load_balancer.cc
+++ b/src/forwarding/load_balancer.cc
@@ -42,7 +42,7 @@
     auto address = base::ParseAddress(entry.address);
     if (!address) continue;
     uint32_t index = ids_.Find(entry.id);
-    if (index == base::Names::kNone) {
+    if (index == base::NameIndex::kNone) {
       index = AddServer(now, entry, *address);
       seen.push_back(false);
       changes.push_back({index, Change::What::kNew});
@@ -134,7 +134,7 @@
 std::vector<LoadBalancer::ZoneSlots> LoadBalancer::SlotsByZone(uint32_t service) const {
   std::vector<ZoneSlots> zones;
   uint32_t own = zones_.Find(options_.zone);
-  if (own == base::Names::kNone || service >= by_service_.size()) return zones;
+  if (own == base::NameIndex::kNone || service >= by_service_.size()) return zones;
   zones.push_back({own, 0});
   for (uint32_t i : by_service_[service]) {
     const ServerState& state = servers_[i];
--- a/src/forwarding/load_balancer.h
+++ b/src/forwarding/load_balancer.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "base/names.h"
+#include "base/name_index.h"
 #include "base/random.h"
 #include "discovery/endpoints.h"
 #include "forwarding/server_state.h"
@@ -47,7 +47,7 @@
   };
 
   // `services` and `regions` must outlive this object.
-  LoadBalancer(Options options, base::Names* services, base::Names* regions, uint64_t seed)
+  LoadBalancer(Options options, base::NameIndex* services, base::NameIndex* regions, uint64_t seed)
       : options_(std::move(options)),
         services_(services),
         regions_(regions),
@@ -181,10 +181,10 @@
   void RefillTokens(base::Millis now, ServerState* state) const;
 
   Options options_;
-  base::Names* services_;
-  base::Names* regions_;
-  base::Names zones_;
-  base::Names versions_;
+  base::NameIndex* services_;
+  base::NameIndex* regions_;
+  base::NameIndex zones_;
+  base::NameIndex versions_;
   struct VersionRule {
     rollout::VersionPolicy rule;
     double limited_share = 0;
@@ -196,7 +196,7 @@
   SlowStartOwner slow_start_owner_;
   base::Millis owners_due_at_ = SlowStartOwner::kNever;  // when AssignOwners() is due again
   base::Random random_;
-  base::Names ids_;
+  base::NameIndex ids_;
   std::vector<ServerState> servers_;
   std::vector<std::vector<uint32_t>> by_service_;  // the listed servers of each
   size_t rank_ = 0, proxies_in_zone_ = 1;
--- a/src/forwarding/load_sharing.h
+++ b/src/forwarding/load_sharing.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "base/names.h"
+#include "base/name_index.h"
 #include "forwarding/load_balancer.h"
 #include "load/load_tracker.h"
 
@@ -16,7 +16,7 @@
 class LoadSharing {
  public:
   // `services` and `balancer` must outlive this object.
-  LoadSharing(const std::string& zone, const base::Names* services, LoadBalancer* balancer)
+  LoadSharing(const std::string& zone, const base::NameIndex* services, LoadBalancer* balancer)
       : services_(services), balancer_(balancer), tracker_(zone) {}
 
   void OnAttemptBegun(base::Millis now, uint32_t service) { tracker_.Begin(now, KeyOf(service)); }
@@ -33,7 +33,7 @@
   // The service's shares, from the capacity and the load of each zone.
   std::vector<LoadBalancer::Share> SharesOf(base::Millis now, uint32_t service);
 
-  const base::Names* services_;
+  const base::NameIndex* services_;
   LoadBalancer* balancer_;
   load::LoadTracker tracker_;
   std::vector<uint32_t> keys_;  // KeyOf() of each service, by index
--- a/src/forwarding/request_router.cc
+++ b/src/forwarding/request_router.cc
@@ -128,8 +128,8 @@
     recorder_->names().Set(NameTable::kService, i, services_.Name(i));
   }
   ControlRecord record;
-  record.what = ControlRecord::What::kVersion;
-  record.number = table_->revision();
+  record.type = ControlRecord::EventType::kVersion;
+  record.value = table_->revision();
   recorder_->Control(record);
 }
 
@@ -150,7 +150,7 @@
   bool draining = change.what == LoadBalancer::Change::What::kDraining;
   ControlRecord record;
   record.server = change.server;
-  record.what = draining ? ControlRecord::What::kDraining : ControlRecord::What::kGone;
+  record.type = draining ? ControlRecord::EventType::kDraining : ControlRecord::EventType::kGone;
   recorder_->Control(record);
   connections_.CloseIdle(change.server);
 }
@@ -275,7 +275,7 @@
   added->route_index = routes_.Find(route.label);
   added->arrived_ns = base::SteadyNanos();
   base::Millis arrived = added->arrived_ns / 1000000;
-  base::Millis wait_ms = route.target_latency_ms * settings_.wait_share_percent / 100;
+  base::Millis wait_ms = route.target_latency_ms * settings_.max_queue_wait_percent / 100;
   added->deadline = arrived + remaining_ms;
   added->wait_until = std::min(added->deadline, arrived + wait_ms);
   return requests_.emplace(ticket, std::move(added)).first->second.get();
--- a/src/forwarding/request_router.h
+++ b/src/forwarding/request_router.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/loop.h"
-#include "base/names.h"
+#include "base/name_index.h"
 #include "base/settings.h"
 #include "configuration/routing_table.h"
 #include "discovery/endpoints.h"
@@ -129,8 +129,8 @@
   bool FailAll();
 
   // The dense indices of services and regions, for building routing tables.
-  base::Names* service_names() { return &services_; }
-  base::Names* regions() { return &regions_; }
+  base::NameIndex* service_names() { return &services_; }
+  base::NameIndex* regions() { return &regions_; }
 
  private:
   using Ticket = http::HttpServer::Ticket;
@@ -237,9 +237,9 @@
   base::Loop* loop_;
   const base::Settings& settings_;
   telemetry::Recorder* recorder_;
-  base::Names services_;
-  base::Names regions_;
-  base::Names routes_;
+  base::NameIndex services_;
+  base::NameIndex regions_;
+  base::NameIndex routes_;
   std::shared_ptr<const configuration::RoutingTable> table_;
   base::Millis first_endpoints_at_ = -1;  // -1 before the first endpoint list
   bool serving_ = false;
--- a/src/forwarding/version_routing.cc
+++ b/src/forwarding/version_routing.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-VersionRouting::VersionRouting(const base::Settings& settings, base::Names* services,
+VersionRouting::VersionRouting(const base::Settings& settings, base::NameIndex* services,
                                LoadBalancer* balancer)
     : services_(services), balancer_(balancer), policy_(PolicyOptions(settings)) {}
 
--- a/src/forwarding/version_routing.h
+++ b/src/forwarding/version_routing.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "base/names.h"
+#include "base/name_index.h"
 #include "base/settings.h"
 #include "forwarding/load_balancer.h"
 #include "forwarding/pending_request.h"
@@ -26,7 +26,7 @@
 class VersionRouting {
  public:
   // `services` and `balancer` must outlive this object.
-  VersionRouting(const base::Settings& settings, base::Names* services, LoadBalancer* balancer);
+  VersionRouting(const base::Settings& settings, base::NameIndex* services, LoadBalancer* balancer);
 
   // Applies a newer state of the roll-outs. Returns the excluded servers of each service whose rule
   // has changed.
@@ -59,7 +59,7 @@
   std::vector<AddressedReport> MakeReports(base::Millis now);
 
  private:
-  base::Names* services_;
+  base::NameIndex* services_;
   LoadBalancer* balancer_;
   rollout::CanaryPolicy policy_;
   uint64_t version_ = 0;  // of the roll-outs' state; 0 before the first
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -81,7 +81,7 @@
   if (!self->busy()) {
     // No request is in flight: these bytes would be taken for the response to the next one.
     self->Close();
-    if (self->lost_) self->lost_();
+    if (self->idle_closed_) self->idle_closed_();
     return;
   }
   self->Read();
@@ -97,14 +97,15 @@
 void HttpConnection::Read() {
   evbuffer* in = bufferevent_get_input(socket_.get());
   Limits limits = limits_;
-  if (large_) limits.body_bytes = SIZE_MAX;  // checked below, where the rest can be streamed
+  // With a handler, the size is checked below, where the rest can be streamed.
+  if (oversized_body_) limits.body_bytes = SIZE_MAX;
   MessageReader::Progress progress = reader_.Read(in, limits);
   if (progress == MessageReader::Progress::kNeedMore) {
-    if (!large_ || streaming_ || !reader_.head_done()) return;
+    if (!oversized_body_ || streaming_ || !reader_.head_done()) return;
     int64_t length = reader_.content_length();
     size_t buffered = limits_.body_bytes;
     if (reader_.body_size() <= buffered && length <= static_cast<int64_t>(buffered)) return;
-    BodySink sink = large_(reader_.message(), length);
+    BodySink sink = oversized_body_(reader_.message(), length);
     if (!sink) {
       Close();
       Finish(Result::kBroken, "response body too large");
@@ -127,24 +128,25 @@
   outcome.response = reader_.Take();
   Match match = MatchResponse(outcome.response);
   if (match != Match::kThisRequest) {
-    if (match == Match::kUnknown || streaming_ || received_stray_ || !outcome.response.keep_alive) {
+    if (match == Match::kUnknown || streaming_ || received_unmatched_ ||
+        !outcome.response.keep_alive) {
       Close();
       Finish(Result::kBroken, "answer to another request");
       return;
     }
-    received_stray_ = true;
+    received_unmatched_ = true;
     reader_.Reset(head_request_);
     if (trailing) {
       Read();
-    } else if (stray_) {
-      stray_();
+    } else if (unmatched_response_) {
+      unmatched_response_();
     }
     return;
   }
   used_ = true;
   outcome.ending = any_sent_ ? Result::kResponse : Result::kBroken;
   if (!any_sent_) outcome.reason = "response received before the request was sent";
-  if (early || trailing || received_stray_ || !outcome.response.keep_alive) Close();
+  if (early || trailing || received_unmatched_ || !outcome.response.keep_alive) Close();
   Pause(false);  // the sink may have paused reading at the last bytes of the body
   idle_since_ = base::SteadyMillis();
   if (const std::string* keep_alive = outcome.response.Find("Keep-Alive")) {
@@ -176,15 +178,15 @@
                    !was_connected           ? "connect refused"
                    : (what & BEV_EVENT_EOF) ? "connection closed before the response was complete"
                                             : "reset");
-    } else if (self->lost_) {
-      self->lost_();
+    } else if (self->idle_closed_) {
+      self->idle_closed_();
     }
   }
 }
 
 void HttpConnection::Finish(Result ending, std::string reason) {
   if (!done_) {
-    if (lost_) lost_();
+    if (idle_closed_) idle_closed_();
     return;
   }
   Outcome outcome;
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -45,23 +45,25 @@
     expect_header_ = header;
     expect_value_ = std::move(value);
   }
-  // `large` is called once when the body of a response, or its Content-Length, exceeds the limit:
-  // with the head, the part of the body that has arrived, and the Content-Length (-1 if none). If
-  // it returns a sink, the rest of the body is passed to it, and `done` receives the response with
-  // the first part of the body only. If it returns nullptr, the connection is closed and the
-  // request ends with kBroken.
+  // `callback` is called once when the body of a response, or its Content-Length, exceeds the
+  // limit: with the head, the part of the body that has arrived, and the Content-Length (-1 if
+  // none). If it returns a sink, the rest of the body is passed to it, and `done` receives the
+  // response with the first part of the body only. If it returns nullptr, the connection is closed
+  // and the request ends with kBroken.
   using BodySink = std::function<void(std::string_view)>;
-  using Large = std::function<BodySink(const Message& response, int64_t length)>;
-  void OnOversizedBody(Large large) { large_ = std::move(large); }
-  // `stray` is called when a response to another request was discarded and its successor has not
+  using OversizedBodyHandler = std::function<BodySink(const Message& response, int64_t length)>;
+  void OnOversizedBody(OversizedBodyHandler callback) { oversized_body_ = std::move(callback); }
+  // `callback` is called when a response to another request was discarded and its successor has not
   // arrived yet. It indicates that the server responds late.
-  void OnUnmatchedResponse(std::function<void()> stray) { stray_ = std::move(stray); }
+  void OnUnmatchedResponse(std::function<void()> callback) {
+    unmatched_response_ = std::move(callback);
+  }
   // Stops or resumes reading, for a receiver of the body that is slower than the server. Reading
   // resumes at the end of the response in any case.
   void Pause(bool pause);
-  // `lost` is called when the connection closes while idle, or receives bytes that answer no
+  // `callback` is called when the connection closes while idle, or receives bytes that answer no
   // request.
-  void OnIdleClosed(std::function<void()> lost) { lost_ = std::move(lost); }
+  void OnIdleClosed(std::function<void()> callback) { idle_closed_ = std::move(callback); }
 
   // Whether a request is in flight.
   bool busy() const { return done_ != nullptr; }
@@ -95,12 +97,12 @@
   base::Timer connect_timer_;
   MessageReader reader_;
   Done done_;
-  std::function<void()> lost_;
-  Large large_;
-  std::function<void()> stray_;
+  std::function<void()> idle_closed_;
+  OversizedBodyHandler oversized_body_;
+  std::function<void()> unmatched_response_;
   const char* expect_header_ = nullptr;
   std::string expect_value_;
-  bool received_stray_ = false;  // a response to another request came; close after this request
+  bool received_unmatched_ = false;  // a response to another request came; close after this request
   bool streaming_ = false;
   bool connected_ = false;
   bool closed_ = false;
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -316,7 +316,9 @@
   c->pending.clear();
   for (PendingResponse& entry : discarded) {
     buffered_body_bytes_ -= entry.body_bytes;
-    if (entry.ticket && unanswered_.erase(entry.ticket) && gone_) gone_(entry.ticket);
+    if (entry.ticket && unanswered_.erase(entry.ticket) && client_closed_) {
+      client_closed_(entry.ticket);
+    }
   }
 }
 
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -34,7 +34,7 @@
   using Handler = std::function<void(Ticket, Message&&)>;
   // Called when the response to a request can no longer be sent: the client closed the connection,
   // or an earlier response on it carried Connection: close.
-  using GoneHandler = std::function<void(Ticket)>;
+  using ClientClosedHandler = std::function<void(Ticket)>;
   // Called when a request is rejected without the handler, for example because it is malformed.
   using RejectedHandler = std::function<void(int status, const char* reason)>;
 
@@ -44,7 +44,7 @@
   // Returns an error if the address can't be bound.
   base::Status Listen(const base::Address& address);
   void StopListening() { listener_.Close(); }
-  void OnClientClosed(GoneHandler gone) { gone_ = std::move(gone); }
+  void OnClientClosed(ClientClosedHandler closed) { client_closed_ = std::move(closed); }
   void OnRejected(RejectedHandler rejected) { rejected_ = std::move(rejected); }
 
   // Sends a complete response. `close` closes the connection after it. Returns false if the request
@@ -119,7 +119,7 @@
   base::Loop* loop_;
   Options options_;
   Handler handler_;
-  GoneHandler gone_;
+  ClientClosedHandler client_closed_;
   std::function<void(Ticket)> output_flushed_;
   RejectedHandler rejected_;
   transport::Listener listener_;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -47,8 +47,8 @@
   if (!started) return started;
   node_->WatchSettings(settings_path_, [this](const base::Settings& settings) {
     settings_.seeds = settings.seeds;
-    settings_.second_sends = settings.second_sends;
-    settings_.wait_share_percent = settings.wait_share_percent;
+    settings_.hedging_enabled = settings.hedging_enabled;
+    settings_.max_queue_wait_percent = settings.max_queue_wait_percent;
     settings_.connect_ms = settings.connect_ms;
   });
   loop_->OnSignal(SIGTERM, [this] { Terminate(); });
@@ -224,17 +224,17 @@
   }
   // The records are taken and searched on the exporter's thread. The reply is posted to the event
   // loop's thread, which sends it.
-  recorder_->TakeRecords([this, from, query](const telemetry::Recorder::Kept& kept) {
+  recorder_->ReadRecords([this, from, query](const telemetry::Recorder::RetainedRecords& retained) {
     diagnosis::Question question;
     question.about = query.about;
     question.value = query.value;
     question.last_s = query.last_s;
     diagnosis::Reply reply;
     if (question.about == diagnosis::Question::About::kFailures) {
-      reply = diagnosis::SelectFailures(question, kept.failures, base::SteadyNanos() / 1000);
-      reply.missing = kept.missing;
+      reply = diagnosis::SelectFailures(question, retained.failures, base::SteadyNanos() / 1000);
+      reply.missing = retained.missing;
     } else {
-      reply = diagnosis::Select(question, kept.records);
+      reply = diagnosis::Select(question, retained.records);
     }
     reply.nonce = query.nonce;
     reply.node = settings_.node_name;
--- a/src/telemetry/recorder.cc
+++ b/src/telemetry/recorder.cc
@@ -13,9 +13,9 @@
 namespace {
 
 // Bounds of the lines kept in memory.
-constexpr size_t kKeptBytes = 96 << 10;
-constexpr size_t kKeptControlBytes = 32 << 10;
-constexpr size_t kKeptFailureBytes = 32 << 10;
+constexpr size_t kRetainedRequestBytes = 96 << 10;
+constexpr size_t kRetainedControlBytes = 32 << 10;
+constexpr size_t kRetainedFailureBytes = 32 << 10;
 constexpr int64_t kClockStepNs = 50'000'000;  // smaller steps of the wall clock are not recorded
 constexpr int kMaxStalledReads = 2;           // in a row, before the writers switch buffers
 
@@ -112,21 +112,21 @@
   std::function<bool(std::string)> write_;
 };
 
-const char* EventName(ControlRecord::What what) {
-  switch (what) {
-    case ControlRecord::What::kVersion:
+const char* EventName(ControlRecord::EventType type) {
+  switch (type) {
+    case ControlRecord::EventType::kVersion:
       return "version.adopted";
-    case ControlRecord::What::kDraining:
+    case ControlRecord::EventType::kDraining:
       return "server.draining";
-    case ControlRecord::What::kGone:
+    case ControlRecord::EventType::kGone:
       return "server.gone";
-    case ControlRecord::What::kProbe:
+    case ControlRecord::EventType::kProbe:
       return "server.probed";
-    case ControlRecord::What::kEjected:
+    case ControlRecord::EventType::kEjected:
       return "server.ejected";
-    case ControlRecord::What::kReturned:
+    case ControlRecord::EventType::kReturned:
       return "server.returned";
-    case ControlRecord::What::kClock:
+    case ControlRecord::EventType::kClock:
       return "clock.stepped";
   }
   return "unknown";
@@ -221,10 +221,10 @@
   return counts;
 }
 
-void Recorder::TakeRecords(std::function<void(Kept)> done) {
+void Recorder::ReadRecords(std::function<void(RetainedRecords)> done) {
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    pending_takes_.push_back(std::move(done));
+    pending_reads_.push_back(std::move(done));
   }
   wake_.notify_one();
 }
@@ -232,25 +232,26 @@
 void Recorder::Run() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_) {
-    // Woken by the timeout, TakeRecords or the destructor; writers never wake the exporter.
+    // Woken by the timeout, ReadRecords or the destructor; writers never wake the exporter.
     wake_.wait_for(lock, std::chrono::milliseconds(options_.flush_ms),
-                   [this] { return stopping_ || !pending_takes_.empty(); });
-    std::vector<std::function<void(Kept)>> takes;
-    takes.swap(pending_takes_);
+                   [this] { return stopping_ || !pending_reads_.empty(); });
+    std::vector<std::function<void(RetainedRecords)>> reads;
+    reads.swap(pending_reads_);
     lock.unlock();
     Export();
-    if (!takes.empty()) {
+    if (!reads.empty()) {
       {
         std::lock_guard<std::mutex> export_lock(export_mutex_);
         requests_.Read([this](const Buffer<>::RecordHeader& h, const std::byte* payload) {
           RequestRecord record;
           std::memcpy(&record, payload, sizeof record);
-          AppendLine(record, "request.done", h.time, &kept_);
+          AppendLine(record, "request.done", h.time, &retained_requests_);
         });
-        KeepNewest(&kept_, kKeptBytes);
+        KeepNewest(&retained_requests_, kRetainedRequestBytes);
       }
-      for (auto& done : takes) {
-        done({kept_control_ + kept_, kept_failures_, failures_dropped_ + failures_.lost()});
+      for (auto& done : reads) {
+        done({retained_control_ + retained_requests_, retained_failures_,
+              failures_dropped_ + failures_.lost()});
       }
     }
     lock.lock();
@@ -263,8 +264,8 @@
   int64_t offset = base::WallNanos() - base::SteadyNanos();
   if (std::abs(offset - clock_offset_) > kClockStepNs) {
     ControlRecord record;
-    record.what = ControlRecord::What::kClock;
-    record.number = offset - clock_offset_;
+    record.type = ControlRecord::EventType::kClock;
+    record.value = offset - clock_offset_;
     control_.Write(record);
   }
   clock_offset_ = offset;
@@ -280,19 +281,19 @@
     std::memcpy(&record, payload, sizeof record);
     size_t begin = text.size();
     AppendLine(record, "request.failed", h.time, &text);
-    kept_failures_.append(text, begin);
+    retained_failures_.append(text, begin);
     ++lines;
   });
-  failures_dropped_ += KeepNewest(&kept_failures_, kKeptFailureBytes);
+  failures_dropped_ += KeepNewest(&retained_failures_, kRetainedFailureBytes);
   control_.Read([&](const Buffer<>::RecordHeader& h, const std::byte* payload) {
     ControlRecord record;
     std::memcpy(&record, payload, sizeof record);
     size_t begin = text.size();
     AppendLine(record, h.time, &text);
-    kept_control_.append(text, begin);
+    retained_control_.append(text, begin);
     ++lines;
   });
-  KeepNewest(&kept_control_, kKeptControlBytes);
+  KeepNewest(&retained_control_, kRetainedControlBytes);
   uint64_t lost = failures_.lost() + control_.lost() + unsent_.load(std::memory_order_relaxed);
   if (lost != lost_reported_) {
     text += "event=telemetry.lost";
@@ -330,11 +331,11 @@
 }
 
 void Recorder::AppendLine(const ControlRecord& r, uint64_t time, std::string* out) const {
-  out->append("event=").append(EventName(r.what));
+  out->append("event=").append(EventName(r.type));
   AppendField(out, "at_us", static_cast<int64_t>(time / 1000));
   if (r.server != UINT32_MAX) AppendField(out, "server", names_.Get(NameTable::kServer, r.server));
-  AppendField(out, "good", r.good);
-  AppendField(out, "number", r.number);
+  AppendField(out, "good", r.healthy);
+  AppendField(out, "number", r.value);
   out->push_back('\n');
 }
 
--- a/src/telemetry/recorder.h
+++ b/src/telemetry/recorder.h
@@ -60,11 +60,19 @@
 // The record of an event of the node that is not part of a request.
 struct ControlRecord {
   static constexpr uint32_t kType = 2;
-  enum class What : uint8_t { kVersion, kDraining, kGone, kProbe, kEjected, kReturned, kClock };
-  What what = What::kVersion;
-  uint8_t good = 0;  // for kProbe: 1 if the server is healthy
+  enum class EventType : uint8_t {
+    kVersion,
+    kDraining,
+    kGone,
+    kProbe,
+    kEjected,
+    kReturned,
+    kClock
+  };
+  EventType type = EventType::kVersion;
+  uint8_t healthy = 0;  // for kProbe: 1 if the server is healthy
   uint32_t server = UINT32_MAX;
-  int64_t number = 0;  // for kVersion the revision, for kClock the clock's step in ns; else 0
+  int64_t value = 0;  // for kVersion the revision, for kClock the clock's step in ns; else 0
 };
 
 // The names of the dense indices, for the exporter. Thread-safe. It is updated when the
@@ -162,16 +170,16 @@
   NameTable& names() { return names_; }
 
   // The records kept in memory, one line each, oldest first within each kind.
-  struct Kept {
+  struct RetainedRecords {
     std::string records;   // the newest about the node, then the newest of all requests
     std::string failures;  // the newest requests that failed or were rejected
     uint64_t missing = 0;  // failures since the process started that are not in `failures`
   };
   // Calls `done` with the records kept in memory, on the exporter's thread. May be called from any
   // thread.
-  void TakeRecords(std::function<void(Kept)> done);
+  void ReadRecords(std::function<void(RetainedRecords)> done);
   // Exports all committed records on the caller's thread, so that the last records of a process are
-  // not lost. REQUIRES: no call of TakeRecords is pending.
+  // not lost. REQUIRES: no call of ReadRecords is pending.
   void Flush();
   struct Counts {
     uint64_t lost = 0;      // records dropped because a buffer had no room
@@ -197,14 +205,14 @@
   uint64_t lost_reported_ = 0;  // lost records, as of the last line that the sink accepted
   int64_t clock_offset_ = 0;    // wall clock minus steady clock, ns
   // The newest lines of each channel, bounded in size.
-  std::string kept_;  // of `requests`, as far as already read
-  std::string kept_control_;
-  std::string kept_failures_;
-  uint64_t failures_dropped_ = 0;  // lines removed from kept_failures_
+  std::string retained_requests_;  // of `requests`, as far as already read
+  std::string retained_control_;
+  std::string retained_failures_;
+  uint64_t failures_dropped_ = 0;  // lines removed from retained_failures_
 
   std::mutex mutex_;  // guards the next three
   std::condition_variable wake_;
-  std::vector<std::function<void(Kept)>> pending_takes_;
+  std::vector<std::function<void(RetainedRecords)>> pending_reads_;
   bool stopping_ = false;
   std::mutex export_mutex_;  // the buffers allow one reader at a time
   std::thread thread_;
--- a/tests/compatibility/golden_test.cc
+++ b/tests/compatibility/golden_test.cc
@@ -449,9 +449,9 @@
   EXPECT_EQ(s->raft_heartbeat_ms, 127);
   EXPECT_EQ(s->election_ms, 128);
   EXPECT_EQ(s->connect_ms, 129);
-  EXPECT_EQ(s->held_body_bytes, 1300);
-  EXPECT_EQ(s->wait_share_percent, 31);
-  EXPECT_FALSE(s->second_sends);
+  EXPECT_EQ(s->max_buffered_body_bytes, 1300);
+  EXPECT_EQ(s->max_queue_wait_percent, 31);
+  EXPECT_FALSE(s->hedging_enabled);
   EXPECT_EQ(s->telemetry_sink, "file");
   EXPECT_EQ(s->telemetry_file, "/t");
   EXPECT_EQ(s->telemetry_flush_ms, 132);
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -93,7 +93,7 @@
   ASSERT_TRUE(patched.has_value()) << patched.error().reason;
   EXPECT_EQ(RevisionOf(*patched), 9);
   EXPECT_NE(patched->find("\"note\":\"kept\""), std::string::npos);
-  base::Names names, regions;
+  base::NameIndex names, regions;
   auto table = RoutingTable::Build(*patched, &names, &regions);
   ASSERT_TRUE(table);
   EXPECT_EQ(table->Match("h.example", "/b/x"), nullptr);
@@ -109,7 +109,7 @@
 // Guards against a route with a shorter prefix or a part of a path segment being matched, and
 // against a split of requests that doesn't follow the weights.
 TEST(Configuration, MatchesTheLongestPrefixAndSplitsRequestsByWeight) {
-  base::Names names, regions;
+  base::NameIndex names, regions;
   auto table = RoutingTable::Build(
       Document(
           1,
--- a/tests/configuration/parsed_configuration_test.cc
+++ b/tests/configuration/parsed_configuration_test.cc
@@ -160,7 +160,7 @@
 };
 
 // Describes the routes of a table at all locations that ChangeGenerator uses, and all its services.
-std::string DescribeTable(const RoutingTable& table, const base::Names& names) {
+std::string DescribeTable(const RoutingTable& table, const base::NameIndex& names) {
   std::string text = std::to_string(table.revision());
   for (int place = 0; place < 60; ++place) {
     for (const char* host : {"h", "a.b"}) {
@@ -192,7 +192,7 @@
     ChangeGenerator generator(seed);
     FullConfiguration full;
     ConfigurationState state;
-    base::Names names, regions;
+    base::NameIndex names, regions;
     std::shared_ptr<const RoutingTable> table;
     ParsedConfiguration follower;  // as in a proxy: applies accepted changes without a check
     for (int step = 0; step < 60; ++step) {
--- a/tests/diagnosis/diagnosis_test.cc
+++ b/tests/diagnosis/diagnosis_test.cc
@@ -45,18 +45,18 @@
 // Guards against a report that is not ordered by time, counts a reply to another question, or does
 // not list a node that has not replied.
 TEST(Diagnosis, ReportIsOrderedByTimeAndListsNodesWithoutReply) {
-  FleetQuery inquiry(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
-                     1000);
-  EXPECT_EQ(inquiry.Next(0).size(), 2u);
+  FleetQuery query(5, *Question::Parse("server=i-1"), {{"10.0.0.1:7", "a"}, {"10.0.0.2:7", "b"}},
+                   1000);
+  EXPECT_EQ(query.Next(0).size(), 2u);
   Reply reply = Select(*Question::Parse("server=i-1"), kLines);
   reply.nonce = 4;
-  inquiry.Take("10.0.0.1:7", reply);  // a reply to another question
+  query.AddReply("10.0.0.1:7", reply);  // a reply to another question
   reply.nonce = 5;
   reply.node = "edge-1";
-  inquiry.Take("10.0.0.1:7", reply);
-  EXPECT_FALSE(inquiry.Done(999));
-  EXPECT_TRUE(inquiry.Done(1000));
-  std::string json = inquiry.Report();
+  query.AddReply("10.0.0.1:7", reply);
+  EXPECT_FALSE(query.Done(999));
+  EXPECT_TRUE(query.Done(1000));
+  std::string json = query.Report();
   EXPECT_LT(json.find("attempt=a2"), json.find("server.draining"));
   EXPECT_LT(json.find("server.draining"), json.find("attempt=a1"));
   EXPECT_NE(json.find("2 requests ended there, 1 of them without success, seen by 1 nodes"),
@@ -66,10 +66,10 @@
   std::string text = DiagnosisText(json, &degraded);
   EXPECT_TRUE(degraded);
   EXPECT_NE(text.find("did not answer: 10.0.0.2:7"), std::string::npos);
-  inquiry.Take("10.0.0.2:7", Reply{5, "edge-2", 0, false, {}});
-  EXPECT_TRUE(inquiry.Done(0));
+  query.AddReply("10.0.0.2:7", Reply{5, "edge-2", 0, false, {}});
+  EXPECT_TRUE(query.Done(0));
   degraded = false;
-  DiagnosisText(inquiry.Report(), &degraded);
+  DiagnosisText(query.Report(), &degraded);
   EXPECT_FALSE(degraded);
 }
 
@@ -91,14 +91,14 @@
     EXPECT_EQ(SelectFailures(*question, text, 10000000).lines.size(), static_cast<size_t>(c.lines))
         << c.query;
   }
-  FleetQuery inquiry(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
-  inquiry.Next(0);
+  FleetQuery query(1, *Question::ParseFailures(""), {{"10.0.0.1:7", "a"}}, 1000);
+  query.Next(0);
   Reply reply = SelectFailures(*Question::ParseFailures(""), text, 10000000);
   reply.nonce = 1;
   reply.missing = 7;
-  inquiry.Take("10.0.0.1:7", reply);
+  query.AddReply("10.0.0.1:7", reply);
   bool degraded = false;
-  std::string shown = DiagnosisText(inquiry.Report(), &degraded);
+  std::string shown = DiagnosisText(query.Report(), &degraded);
   EXPECT_TRUE(degraded);
   EXPECT_NE(shown.find("2 requests failed on 1 nodes: r1 1 r2 1"), std::string::npos) << shown;
   EXPECT_NE(shown.find("7 failures whose records"), std::string::npos) << shown;
@@ -124,12 +124,12 @@
 TEST(Diagnosis, QueriesInFlightAreBoundedAndAllLiveNodesReply) {
   std::vector<Target> targets;
   for (int i = 0; i < 400; ++i) targets.push_back({"n" + std::to_string(i), "z"});
-  FleetQuery inquiry(1, *Question::ParseFailures(""), targets, 1500);
+  FleetQuery query(1, *Question::ParseFailures(""), targets, 1500);
   size_t answered = 0;
   std::map<std::string, base::Millis> open;
   base::Millis now = 0;
-  for (; !inquiry.Done(now); now += 50) {
-    for (const std::string& address : inquiry.Next(now)) open[address] = now;
+  for (; !query.Done(now); now += 50) {
+    for (const std::string& address : query.Next(now)) open[address] = now;
     size_t waiting = 0;
     for (auto at = open.begin(); at != open.end();) {
       bool alive = std::stoi(at->first.substr(1)) < 200;
@@ -137,7 +137,7 @@
       if (alive && now > at->second) {
         Reply reply;
         reply.nonce = 1;
-        inquiry.Take(at->first, reply);
+        query.AddReply(at->first, reply);
         ++answered;
         at = open.erase(at);
       } else {
@@ -149,7 +149,7 @@
   EXPECT_EQ(now, 1500);
   EXPECT_EQ(answered, 200u);
   bool degraded = false;
-  std::string text = DiagnosisText(inquiry.Report(), &degraded);
+  std::string text = DiagnosisText(query.Report(), &degraded);
   EXPECT_TRUE(degraded);
   EXPECT_NE(text.find("did not answer: n200"), std::string::npos);
   EXPECT_NE(text.find("were not asked in time: "), std::string::npos);
--- a/tests/forwarding/load_balancer_test.cc
+++ b/tests/forwarding/load_balancer_test.cc
@@ -96,7 +96,7 @@
     }
     return counts;
   }
-  base::Names names_, regions_;
+  base::NameIndex names_, regions_;
   std::vector<uint32_t> allowed_;
   LoadBalancer balancer_;
 };
--- a/tests/forwarding/request_router_test.cc
+++ b/tests/forwarding/request_router_test.cc
@@ -220,7 +220,7 @@
 }
 
 TEST_F(RequestRouterTest, WaitsForASilentServerUntilTheDeadline) {
-  settings_.second_sends = false;
+  settings_.hedging_enabled = false;
   AddServer("i-1", [](const std::string&) { return std::string(); });
   Configure();
   base::Millis begun = base::SteadyMillis();
@@ -244,7 +244,7 @@
 }
 
 TEST_F(RequestRouterTest, StreamsLargeAnswersAndResetsTheClientIfCut) {
-  settings_.held_body_bytes = 1000;
+  settings_.max_buffered_body_bytes = 1000;
   std::string large(300000, 'x');
   bool cut = false, chunks = false;
   AddServer("i-1", [&](const std::string& r) {
--- a/tests/forwarding/slow_start_test.cc
+++ b/tests/forwarding/slow_start_test.cc
@@ -29,7 +29,7 @@
   constexpr size_t kProxies = 12;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     base::Random random(seed);
-    base::Names names, regions;
+    base::NameIndex names, regions;
     LoadBalancer::Options options = ZoneOptions();
     std::vector<uint64_t> all;
     for (size_t i = 0; i < kProxies; ++i) all.push_back(random.Next());
@@ -204,7 +204,7 @@
     sent_.push_back(now_);
   }
 
-  base::Names names_, regions_;
+  base::NameIndex names_, regions_;
   base::Random random_;
   base::Millis now_ = 1;
   std::vector<Proxy> proxies_;
--- a/tests/proxy/shutdown_test.cc
+++ b/tests/proxy/shutdown_test.cc
@@ -142,7 +142,7 @@
 // it as well. These were then failed a second time.
 TEST_F(ShutdownTest, FailsStreamsAndTheRequestsBehindThemOnce) {
   constexpr size_t kBehind = 5;
-  settings_.held_body_bytes = 2048;
+  settings_.max_buffered_body_bytes = 2048;
   forwarding::FakeServer* server = ServeWithoutAnswers();
   std::deque<OpenConnection> clients;
   for (int i = 0; i < 4; ++i) {
@@ -173,7 +173,7 @@
 // An answer that is being streamed when the unanswered requests are failed must be continued,
 // whether its server or its client is slow.
 TEST_F(ShutdownTest, ContinuesAnAnswerThatIsBeingStreamed) {
-  settings_.held_body_bytes = 2048;
+  settings_.max_buffered_body_bytes = 2048;
   forwarding::FakeServer* server = ServeWithoutAnswers();
   OpenConnection client = Open(AskFor("stream"));
   ASSERT_TRUE(WaitForRequests(*server, 1));
--- a/tests/telemetry/telemetry_test.cc
+++ b/tests/telemetry/telemetry_test.cc
@@ -288,8 +288,8 @@
   }
   std::atomic<bool> done{false};
   std::string all;
-  recorder.TakeRecords([&](Recorder::Kept kept) {
-    all = std::move(kept.records);
+  recorder.ReadRecords([&](Recorder::RetainedRecords retained) {
+    all = std::move(retained.records);
     done = true;
   });
   while (!done) std::this_thread::sleep_for(std::chrono::milliseconds(1));
--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -114,7 +114,7 @@
       dissemination::Disseminator::Options(), &controllers, 0);
   auto proxy_disseminator = std::make_unique<dissemination::Disseminator>(
       dissemination::Disseminator::Options(), &proxies, 0);
-  base::Names names, regions;
+  base::NameIndex names, regions;
   std::shared_ptr<const configuration::RoutingTable> table;
   int64_t revision = 0;
   // Takes one change through all steps on the leader and on the proxy. `kind` is the prefix of the
