--- a/tools/change_cost.cc
+++ b/tools/change_cost.cc
@@ -164,8 +164,7 @@
     Expect(labels == static_cast<size_t>(routes), "a label is missing");
     change("patch", true);
     size_t bytes = 0;
-    times.Add("snapshot of the controller state",
-              [&] { bytes = transport::Encode(*leader).size(); });
+    times.Add("snapshot of the register", [&] { bytes = transport::Encode(*leader).size(); });
     Expect(bytes > leader->text().size(), "a snapshot is too short");
   }
   times.Print(routes);
@@ -185,7 +184,7 @@
   drop("routing table of a proxy", &table);
   drop("disseminator of a proxy", &proxy_disseminator);
   drop("disseminator of a controller", &controller_disseminator);
-  drop("configuration state of the leader", &leader);
+  drop("register", &leader);
 }
 
 }  // namespace
--- a/tools/soak/main.cc
+++ b/tools/soak/main.cc
@@ -238,7 +238,7 @@
                "One client in four at times disconnects early, and one in four leaves its "
                "connection idle");
   app.add_flag("--unsound", options.unsound,
-               "Servers at times reject requests, fail, reset connections, hang or send wrong "
+               "Servers at times reject requests, fail, reset connections, hang or garble "
                "responses; new servers reuse their addresses");
   app.add_option("--programs", options.programs, "Folder of the programs proxy and controller")
       ->capture_default_str();
